--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -46,7 +46,7 @@
 
 } // namespace
 
-Ownership::Ownership(const Settings &settings, LiveInstance self, GroupEvents events, Transactions &transactions, std::uint64_t seed)
+Ownership::Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers events, Transactions &transactions, std::uint64_t seed)
     : settings_(settings)
     , self_(std::move(self))
     , events_(std::move(events))
@@ -74,7 +74,7 @@
         if (known != owned_.end() && known->second.record == *record) {
             auto owned = std::move(known->second);
             owned_.erase(known);
-            owned.owner->setHolders(namesOf(owners), static_cast<unsigned>(*rank));
+            owned.owner->setOwners(namesOf(owners), static_cast<unsigned>(*rank));
             owned.owners = std::move(owners);
             next.emplace(name, std::move(owned));
             continue;
@@ -171,12 +171,12 @@
         options.members.push_back({member.name, member.address});
     }
     options.slots = record.slots;
-    options.connections = record.connections;
+    options.maxConnections = record.connections;
     options.shares = sharesFor(*view.catalog, name);
     options.identity = {self_.name, self_.domain};
     options.policy = policyFor(owned_.size() + 1);
     options.rank = rank;
-    options.holders = namesOf(owners);
+    options.owners = namesOf(owners);
     options.seed = seed_ ^ stableHash(name.text());
     if (!settings_.trace.file.empty()) {
         options.traceFile = settings_.trace.file + "." + name.text() + ".jsonl";
--- a/src/app/ownership.h
+++ b/src/app/ownership.h
@@ -20,7 +20,7 @@
 class Ownership
 {
 public:
-    Ownership(const Settings &settings, LiveInstance self, GroupEvents events, Transactions &transactions, std::uint64_t seed);
+    Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers events, Transactions &transactions, std::uint64_t seed);
 
     /// Begins, changes and ends owners as \a view says; ended ones finish their statements.
     void reconcile(const entry::FleetView &view);
@@ -77,7 +77,7 @@
 
     const Settings &settings_;
     LiveInstance self_;
-    GroupEvents events_;
+    GroupOwnerHandlers events_;
     Transactions &transactions_;
     std::uint64_t seed_;
     mutable std::mutex mutex_;
--- a/src/app/peersightings.cpp
+++ b/src/app/peersightings.cpp
@@ -40,7 +40,7 @@
             const auto result = peers_.sight(other.address, told, peerTimeout);
             const auto *seen = std::get_if<peer::Sighting>(&result);
             if (seen != nullptr && !seen->from.empty()) {
-                owner->onPeerSighting(seen->from, seen->seen);
+                owner->onPeerObservation(seen->from, seen->seen);
             }
         });
     }
@@ -53,9 +53,9 @@
         return {};
     }
     if (seen.hold) {
-        owner->hold(*seen.hold);
+        owner->pauseWrites(*seen.hold);
     }
-    owner->onPeerSighting(seen.from, seen.seen);
+    owner->onPeerObservation(seen.from, seen.seen);
     return sightingOf(*owner, seen.group);
 }
 
@@ -71,7 +71,7 @@
     peer::Sighting sighting;
     sighting.from = self_;
     sighting.group = group;
-    sighting.seen = owner.sighting();
+    sighting.seen = owner.observation();
     sighting.busy = owner.busyMembers();
     sighting.revision = configuration_.revision();
     sighting.transactions = static_cast<std::uint32_t>(transactions_.countOf(group));
--- a/src/app/planwatch.cpp
+++ b/src/app/planwatch.cpp
@@ -36,7 +36,7 @@
             return seen && seen->transactions > 0;
         });
         if (free) {
-            owner->moveLeavingPrimary();
+            owner->replaceLeavingPrimary();
         }
     }
 }
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -73,7 +73,7 @@
     [[nodiscard]] Result<Success> listen();
     void stop();
 
-    [[nodiscard]] GroupEvents groupEvents();
+    [[nodiscard]] GroupOwnerHandlers groupEvents();
     [[nodiscard]] peer::Handlers peerHandlers();
     [[nodiscard]] entry::CallerServices callerServices();
     [[nodiscard]] entry::Dispatcher::Sources dispatcherSources();
@@ -204,9 +204,9 @@
 
 // What the slices need from the process
 
-GroupEvents Proxy::Impl::groupEvents()
+GroupOwnerHandlers Proxy::Impl::groupEvents()
 {
-    GroupEvents events;
+    GroupOwnerHandlers events;
     events.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
         if (change.reason != PromotionReason::Observed) {
             status.onPromotion(group, change.previous, change.member, change.term, toText(change.reason));
@@ -221,15 +221,15 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    events.note = [](const GroupName &group, const Note &note) {
+    events.auditEvent = [](const GroupName &group, const Note &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
     };
-    events.askPeers = [this](const GroupName &group) {
+    events.queryPeers = [this](const GroupName &group) {
         addTask([this, group] { sightings.tell(group, std::nullopt); });
     };
-    events.holdPeers = [this](const GroupName &group, Milliseconds span) {
+    events.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
         addTask([this, group, span] { sightings.tell(group, span); });
     };
     return events;
@@ -377,7 +377,7 @@
             continue;
         }
         const auto group = owner->snapshot().group;
-        if (const auto yielded = transactions.yieldIdle(group)) {
+        if (const auto yielded = transactions.evictIdle(group)) {
             logEvent(LogLevel::Info, "idle-transaction-ended", {{"group", group.text()}, {"transaction", yielded->transaction.id.text()}});
             owner->closeConnection(*yielded);
         }
--- a/src/owner/controlworker.cpp
+++ b/src/owner/controlworker.cpp
@@ -6,7 +6,7 @@
 namespace cardamomstep {
 
 ControlWorker::ControlWorker(const Address &remote, const LinkIdentity &identity)
-    : link_(remote, identity)
+    : connection_(remote, identity)
     , thread_([this] { run(); })
 {
 }
@@ -47,7 +47,7 @@
             job = std::move(jobs_.front());
             jobs_.pop_front();
         }
-        job(link_);
+        job(connection_);
     }
 }
 
--- a/src/owner/controlworker.h
+++ b/src/owner/controlworker.h
@@ -33,7 +33,7 @@
 
     void run();
 
-    HttpControlLink link_;
+    HttpControlLink connection_;
     std::mutex mutex_;
     std::condition_variable condition_;
     /// Guarded by mutex_.
--- a/src/owner/fwd.h
+++ b/src/owner/fwd.h
@@ -4,11 +4,11 @@
 namespace cardamomstep {
 
 struct GroupOwnerOptions;
-struct GroupEvents;
+struct GroupOwnerHandlers;
 class GroupOwner;
 class Waiter;
 class WaitList;
 class ControlWorker;
-class MemberLinks;
+class MemberConnections;
 
 } // namespace cardamomstep
--- a/src/owner/groupowner.cpp
+++ b/src/owner/groupowner.cpp
@@ -13,8 +13,8 @@
 
 namespace cardamomstep {
 
-GroupOwner::GroupOwner(GroupOwnerOptions options, GroupEvents events, Transactions &transactions)
-    : core_(std::make_shared<impl::GroupCore>(std::move(options), std::move(events)))
+GroupOwner::GroupOwner(GroupOwnerOptions options, GroupOwnerHandlers handlers, Transactions &transactions)
+    : core_(std::make_shared<impl::GroupCore>(std::move(options), std::move(handlers)))
     , transactions_(transactions)
 {
     core_->start();
@@ -53,10 +53,10 @@
     return impl::ReadFlow(*core_, statement, *session, deadline).run();
 }
 
-void GroupOwner::setHolders(const std::vector<InstanceName> &holders, unsigned rank)
+void GroupOwner::setOwners(const std::vector<InstanceName> &owners, unsigned rank)
 {
     const std::lock_guard lock(core_->mutex);
-    core_->setHolders(holders);
+    core_->setOwners(owners);
     core_->feed(trace::SetRank{rank});
 }
 
@@ -66,17 +66,17 @@
     core_->feed(trace::SetPolicy{policy});
 }
 
-void GroupOwner::onPeerSighting(const InstanceName &peer, const PeerSighting &sighting)
+void GroupOwner::onPeerObservation(const InstanceName &peer, const PeerSighting &observation)
 {
     const std::lock_guard lock(core_->mutex);
-    core_->feed(trace::Sighting{peer, sighting});
+    core_->feed(trace::Sighting{peer, observation});
 }
 
-void GroupOwner::hold(Milliseconds span)
+void GroupOwner::pauseWrites(Milliseconds span)
 {
     const std::lock_guard lock(core_->mutex);
-    core_->heldUntil = span.count() > 0 ? steadyNow() + span : TimePoint{};
-    core_->feed(trace::PeerHold{core_->heldUntil});
+    core_->writesPausedUntil = span.count() > 0 ? steadyNow() + span : TimePoint{};
+    core_->feed(trace::PeerHold{core_->writesPausedUntil});
     core_->primaryWaiters.signalAll();
 }
 
@@ -90,21 +90,21 @@
 {
     const std::lock_guard lock(core_->mutex);
     const auto view = core_->monitor.primary();
-    const bool leaves = view && core_->isToldLeaving(view->member);
+    const bool leaves = view && core_->isMarkedLeaving(view->member);
     return leaves ? std::optional<MemberName>(view->member) : std::nullopt;
 }
 
-void GroupOwner::moveLeavingPrimary()
+void GroupOwner::replaceLeavingPrimary()
 {
     const std::lock_guard lock(core_->mutex);
-    core_->moveLeavingPrimary();
+    core_->replaceLeavingPrimary();
 }
 
 void GroupOwner::closeConnection(const Transactions::Use &use)
 {
     const std::lock_guard lock(core_->mutex);
     if (auto *member = core_->find(use.transaction.member)) {
-        member->links.close(use.lease.key);
+        member->connections.close(use.checkout.key);
     }
 }
 
@@ -112,12 +112,12 @@
 {
     const std::lock_guard lock(core_->mutex);
     const auto hasWaiters = [](const auto &item) {
-        return item.second->links.hasWaiters();
+        return item.second->connections.hasWaiters();
     };
     return std::any_of(core_->members.begin(), core_->members.end(), hasWaiters);
 }
 
-PeerSighting GroupOwner::sighting() const
+PeerSighting GroupOwner::observation() const
 {
     const std::lock_guard lock(core_->mutex);
     return core_->monitor.sighting(steadyNow());
@@ -128,7 +128,7 @@
     const std::lock_guard lock(core_->mutex);
     std::vector<MemberName> busy;
     for (const auto &[name, member] : core_->members) {
-        if (member->links.inUse() > 0) {
+        if (member->connections.inUse() > 0) {
             busy.push_back(name);
         }
     }
@@ -151,7 +151,7 @@
         snapshot.running += core_->admission.running(lane);
     }
     for (const auto &[name, member] : core_->members) {
-        snapshot.openConnections += member->links.open();
+        snapshot.openConnections += member->connections.open();
     }
     return snapshot;
 }
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -32,7 +32,7 @@
 {
 public:
     /// Begins to watch the group. \a transactions outlives this owner.
-    GroupOwner(GroupOwnerOptions options, GroupEvents events, Transactions &transactions);
+    GroupOwner(GroupOwnerOptions options, GroupOwnerHandlers handlers, Transactions &transactions);
     GroupOwner(const GroupOwner &) = delete;
     GroupOwner &operator=(const GroupOwner &) = delete;
 
@@ -43,16 +43,16 @@
     [[nodiscard]] Answer run(const Statement &statement, TimePoint deadline);
 
     /// Takes in the current owners of the group, with this proxy's place among them.
-    void setHolders(const std::vector<InstanceName> &holders, unsigned rank);
+    void setOwners(const std::vector<InstanceName> &owners, unsigned rank);
 
     /// Takes in how often to report.
     void setPolicy(const GroupPolicy &policy);
 
     /// Takes in what another owner knows.
-    void onPeerSighting(const InstanceName &peer, const PeerSighting &sighting);
+    void onPeerObservation(const InstanceName &peer, const PeerSighting &observation);
 
     /// Takes in that another owner holds writes for \a span; zero releases them.
-    void hold(Milliseconds span);
+    void pauseWrites(Milliseconds span);
 
     /// Takes in the members that are to get no new work; see moveLeavingPrimary() for a primary.
     void setLeaving(const std::vector<MemberName> &leaving);
@@ -61,7 +61,7 @@
     [[nodiscard]] std::optional<MemberName> leavingPrimary() const;
 
     /// Has the leaving primary replaced; to be called once no transaction of the group is open at any of its owners.
-    void moveLeavingPrimary();
+    void replaceLeavingPrimary();
 
     /// Closes the connection of a transaction that expired.
     void closeConnection(const Transactions::Use &use);
@@ -70,7 +70,7 @@
     [[nodiscard]] bool waitsForConnection() const;
 
     /// What to tell the other owners.
-    [[nodiscard]] PeerSighting sighting() const;
+    [[nodiscard]] PeerSighting observation() const;
 
     /// Members at which this proxy has statements or transactions.
     [[nodiscard]] std::vector<MemberName> busyMembers() const;
--- a/src/owner/impl/flow.cpp
+++ b/src/owner/impl/flow.cpp
@@ -25,31 +25,31 @@
 {
     switch (refusal) {
     case Refusal::LowerTerm:
-        return Error{ErrorKind::Superseded, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::Superseded, description}.comingBackAfter(defaultRetryAfter);
     case Refusal::NotPrimary:
-        return Error{ErrorKind::NoPrimary, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::NoPrimary, description}.comingBackAfter(defaultRetryAfter);
     case Refusal::RequestIdReused:
         return Error{ErrorKind::RequestIdReused, description};
     case Refusal::TransactionUnknown:
-        return Error{ErrorKind::TransactionAborted, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::TransactionAborted, description}.comingBackAfter(defaultRetryAfter);
     case Refusal::StatementFailed:
         return Error{ErrorKind::StatementFailed, description};
     case Refusal::Leaving:
         break;
     }
-    return Error{ErrorKind::NoPrimary, "the member is leaving"}.comingBackAfter(comeBackSoon);
+    return Error{ErrorKind::NoPrimary, "the member is leaving"}.comingBackAfter(defaultRetryAfter);
 }
 
-Milliseconds exchangeTimeout(const MemberLinks &links, TimePoint deadline)
+Milliseconds exchangeTimeout(const MemberConnections &connections, TimePoint deadline)
 {
     const auto remaining = wholeMilliseconds(deadline - steadyNow());
-    return std::max(Milliseconds{1}, std::min(remaining, links.answerTimeout()));
+    return std::max(Milliseconds{1}, std::min(remaining, connections.replyTimeout()));
 }
 
-std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &mark)
+std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &position)
 {
     // Room was checked before the request ran, so the merge cannot fail.
-    (void)session.merge(group, mark);
+    (void)session.merge(group, position);
     return session.format();
 }
 
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -13,7 +13,7 @@
 inline constexpr const char *closeIdOperation = "none";
 
 /// Time to come back that answers name when nothing better is known.
-inline constexpr Milliseconds comeBackSoon{100};
+inline constexpr Milliseconds defaultRetryAfter{100};
 
 /// The call that a member gets for \a statement.
 [[nodiscard]] MemberCall callFor(GroupCore &core, const Statement &statement, const Term &term);
@@ -22,7 +22,7 @@
 [[nodiscard]] Error errorFor(Refusal refusal, const std::string &description);
 
 /// Time that an exchange may take: until the connection counts as silent, at most until \a deadline.
-[[nodiscard]] Milliseconds exchangeTimeout(const MemberLinks &links, TimePoint deadline);
+[[nodiscard]] Milliseconds exchangeTimeout(const MemberConnections &connections, TimePoint deadline);
 
 /// Sends one call by \a send(link, timeout) on \a lease, with \a lock released meanwhile.
 ///
@@ -31,7 +31,7 @@
 [[nodiscard]] LinkResult<MemberReply> exchange(GroupCore &core,
                                                std::unique_lock<std::mutex> &lock,
                                                const MemberName &name,
-                                               const MemberLinks::Lease &lease,
+                                               const MemberConnections::CheckedOutConnection &checkout,
                                                TimePoint deadline,
                                                Send send)
 {
@@ -40,11 +40,11 @@
         return LinkFailure{LinkFault::Closed, true, "the member was removed"};
     }
     const auto sentAt = steadyNow();
-    const auto timeout = exchangeTimeout(member->links, deadline);
-    member->links.began(lease.key, sentAt);
-    core.router.setLoad(name, member->links.inUse(), core.options.slots);
+    const auto timeout = exchangeTimeout(member->connections, deadline);
+    member->connections.onExchangeStarted(checkout.key, sentAt);
+    core.router.setLoad(name, member->connections.inUse(), core.options.slots);
     lock.unlock();
-    auto result = send(*lease.link, timeout);
+    auto result = send(*checkout.connection, timeout);
     lock.lock();
     member = core.find(name);
     const auto *reply = std::get_if<MemberReply>(&result);
@@ -52,7 +52,7 @@
         return result;
     }
     const auto now = steadyNow();
-    member->links.answered(lease.key, now);
+    member->connections.onReply(checkout.key, now);
     core.feed(trace::StatementEvidence{name});
     // A stored reply names the entry of its effect, not the end of the log.
     if (!reply->repeated) {
@@ -63,6 +63,6 @@
 }
 
 /// The answer's session token: \a session with \a mark merged in.
-[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &mark);
+[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &position);
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -34,14 +34,14 @@
 
 } // namespace
 
-GroupCore::GroupCore(GroupOwnerOptions groupOptions, GroupEvents groupEvents)
+GroupCore::GroupCore(GroupOwnerOptions groupOptions, GroupOwnerHandlers groupHandlers)
     : options(std::move(groupOptions))
-    , events(std::move(groupEvents))
+    , handlers(std::move(groupHandlers))
     , startedAt_(steadyNow())
     , monitor(options.members, options.rank, options.policy, options.seed, startedAt_)
     , acks(namesOf(options.members))
     , rounds(namesOf(options.members))
-    , share(options.identity.instance, options.connections, shareExpiry)
+    , quota(options.identity.instance, options.maxConnections, shareExpiry)
     , random(options.seed ^ stableHash(options.group.text()))
 {
     router.setMembers(namesOf(options.members));
@@ -54,7 +54,7 @@
 void GroupCore::start()
 {
     const std::lock_guard lock(mutex);
-    setHolders(options.holders);
+    setOwners(options.owners);
     beginTrace();
     feed(trace::Tick{});
     ticker_ = std::thread([self = shared_from_this()] { self->runTicker(); });
@@ -119,22 +119,22 @@
                        [this](const SendAdopt &send) { sendOrder(send.member, OrderKind::Adopt, send.term, nullptr, send.timeout); },
                        [this](const SendLead &send) { sendOrder(send.member, OrderKind::Lead, send.term, nullptr, send.timeout); },
                        [this](const SendFollow &send) { sendOrder(send.member, OrderKind::Follow, send.term, &send, send.timeout); },
-                       [this](const AskPeers & /*ask*/) { events.askPeers(options.group); },
+                       [this](const AskPeers & /*ask*/) { handlers.queryPeers(options.group); },
                        [this](const HoldWrites &hold) {
-                           heldUntil = hold.until;
-                           events.holdPeers(options.group, wholeMilliseconds(hold.until - steadyNow()));
+                           writesPausedUntil = hold.until;
+                           handlers.pausePeerWrites(options.group, wholeMilliseconds(hold.until - steadyNow()));
                        },
                        [this](const ReleaseWrites & /*release*/) {
-                           heldUntil = TimePoint{};
+                           writesPausedUntil = TimePoint{};
                            primaryWaiters.signalAll();
-                           events.holdPeers(options.group, Milliseconds{0});
+                           handlers.pausePeerWrites(options.group, Milliseconds{0});
                        },
                        [this](const PrimaryChanged &change) { onPrimaryChanged(change); },
                        [this](const Note &note) {
                            if (note.kind == NoteKind::PrimaryLost) {
                                router.clearPrimary();
                            }
-                           events.note(options.group, note);
+                           handlers.auditEvent(options.group, note);
                            primaryWaiters.signalAll();
                        },
                    },
@@ -151,7 +151,7 @@
         return;
     }
     const auto seen = monitor.lastReport(action.member);
-    (void)member->watcher.add([self = weak_from_this(), action, seen](HttpControlLink &link) {
+    (void)member->reportWorker.add([self = weak_from_this(), action, seen](HttpControlLink &link) {
         const auto sentAt = steadyNow();
         const bool waits = seen && action.wait.count() > 0;
         const auto result = waits ? link.reportAfter(*seen, action.wait, action.timeout) : link.report(action.timeout);
@@ -161,7 +161,7 @@
         }
         const std::lock_guard lock(core->mutex);
         if (const auto *report = std::get_if<MemberReport>(&result)) {
-            core->takeReport(*report, sentAt);
+            core->onMemberReport(*report, sentAt);
         } else {
             core->router.setSuspect(action.member, true);
             core->feed(trace::ReportFailure{action.member, std::get<LinkFailure>(result)});
@@ -169,42 +169,42 @@
     });
 }
 
-void GroupCore::takeReport(const MemberReport &report, TimePoint sentAt)
+void GroupCore::onMemberReport(const MemberReport &report, TimePoint sentAt)
 {
     onState(report.member, report.log, report.adopted, sentAt);
     const auto view = monitor.primary();
     const bool leads = view && view->member == report.member;
     // A leaving replica is not to be promoted; a leaving primary is moved by moveLeavingPrimary(), when its transactions are over.
     feed(trace::Report{report.member, leads ? report : withLeaving(report), sentAt});
-    tellRouter(report);
+    updateRouter(report);
     router.setSuspect(report.member, false);
     reportWaiters.signalAll();
 }
 
-bool GroupCore::isToldLeaving(const MemberName &member) const
+bool GroupCore::isMarkedLeaving(const MemberName &member) const
 {
     return std::find(leaving_.begin(), leaving_.end(), member) != leaving_.end();
 }
 
 MemberReport GroupCore::withLeaving(MemberReport report) const
 {
-    report.leaving = report.leaving || isToldLeaving(report.member);
+    report.leaving = report.leaving || isMarkedLeaving(report.member);
     return report;
 }
 
-void GroupCore::tellRouter(const MemberReport &report)
+void GroupCore::updateRouter(const MemberReport &report)
 {
     router.report(withLeaving(report), steadyNow());
 }
 
-void GroupCore::moveLeavingPrimary()
+void GroupCore::replaceLeavingPrimary()
 {
     const auto view = monitor.primary();
     if (!view) {
         return;
     }
-    if (isToldLeaving(view->member) && switchoverAsked_ != view->member) {
-        switchoverAsked_ = view->member;
+    if (isMarkedLeaving(view->member) && switchoverRequested_ != view->member) {
+        switchoverRequested_ = view->member;
         feed(trace::RequestSwitchover{view->member});
     }
 }
@@ -214,12 +214,12 @@
     leaving_ = leaving;
     for (const auto &member : monitor.members()) {
         if (const auto report = monitor.lastReport(member.name)) {
-            tellRouter(*report);
+            updateRouter(*report);
         }
     }
-    if (!switchoverAsked_.empty() && !isToldLeaving(switchoverAsked_)) {
-        switchoverAsked_ = MemberName{};
-        feed(trace::RequestSwitchover{switchoverAsked_});
+    if (!switchoverRequested_.empty() && !isMarkedLeaving(switchoverRequested_)) {
+        switchoverRequested_ = MemberName{};
+        feed(trace::RequestSwitchover{switchoverRequested_});
     }
     primaryWaiters.signalAll();
 }
@@ -231,7 +231,7 @@
         return;
     }
     const auto target = follow != nullptr ? *follow : SendFollow{};
-    (void)member->orders.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlLink &link) {
+    (void)member->orderWorker.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlLink &link) {
         const auto sentAt = steadyNow();
         const auto result = kind == OrderKind::Adopt ? link.adopt(term, timeout)
             : kind == OrderKind::Lead                ? link.lead(term, timeout)
@@ -243,7 +243,7 @@
         const std::lock_guard lock(core->mutex);
         if (const auto *reply = std::get_if<TermReply>(&result)) {
             core->onState(name, reply->report.log, reply->report.adopted, sentAt);
-            core->tellRouter(reply->report);
+            core->updateRouter(reply->report);
             core->feed(trace::OrderReply{name, kind, term, *reply, sentAt});
         } else {
             core->feed(trace::OrderFailure{name, kind, term, std::get<LinkFailure>(result)});
@@ -256,38 +256,38 @@
     router.setPrimary(change.member);
     rounds.setPrimary(change.member, change.term);
     refreshSlots();
-    events.primaryChanged(options.group, change);
+    handlers.primaryChanged(options.group, change);
     primaryWaiters.signalAll();
-    pumpRounds();
+    startDueRounds();
 }
 
 void GroupCore::onState(const MemberName &member, const Mark &log, const Term &adopted, TimePoint sentAt)
 {
     rounds.onState(member, adopted, log, sentAt);
     if (acks.onState(member, log, adopted)) {
-        coverageWaiters.signalAll();
+        quorumWaiters.signalAll();
     }
-    pumpRounds();
+    startDueRounds();
 }
 
 // Read checks
 
-void GroupCore::pumpRounds()
+void GroupCore::startDueRounds()
 {
     const auto now = steadyNow();
     while (const auto result = rounds.takeResult(now)) {
         if (result->legitimate) {
-            router.confirm(roundBegan_[result->round], result->readMark);
+            router.confirm(roundStartedAt_[result->round], result->readMark);
         }
         roundResults_[result->round] = *result;
-        roundBegan_.erase(result->round);
+        roundStartedAt_.erase(result->round);
         roundWaiters.signalAll();
     }
     while (roundResults_.size() > keptRounds) {
         roundResults_.erase(roundResults_.begin());
     }
     if (const auto round = rounds.begin(now)) {
-        roundBegan_[*round] = now;
+        roundStartedAt_[*round] = now;
         sendChecks(*round);
     }
 }
@@ -295,7 +295,7 @@
 void GroupCore::sendChecks(RoundNumber /*round*/)
 {
     for (auto &[name, member] : members) {
-        (void)member->orders.add([self = weak_from_this(), name = name](HttpControlLink &link) {
+        (void)member->orderWorker.add([self = weak_from_this(), name = name](HttpControlLink &link) {
             const auto sentAt = steadyNow();
             const auto result = link.report(checkTimeout);
             const auto core = self.lock();
@@ -304,7 +304,7 @@
                 return;
             }
             const std::lock_guard lock(core->mutex);
-            core->tellRouter(*report);
+            core->updateRouter(*report);
             core->onState(name, report->log, report->adopted, sentAt);
         });
     }
@@ -313,7 +313,7 @@
 std::optional<RoundResult> GroupCore::confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline)
 {
     const auto round = rounds.join(steadyNow());
-    pumpRounds();
+    startDueRounds();
     Waiter waiter;
     const WaitList::Entry entry(roundWaiters, waiter);
     for (;;) {
@@ -330,20 +330,20 @@
 
 // Slots and connections
 
-void GroupCore::setHolders(const std::vector<InstanceName> &holders)
+void GroupCore::setOwners(const std::vector<InstanceName> &owners)
 {
-    share.setHolders(holders, steadyNow());
+    quota.setHolders(owners, steadyNow());
     refreshSlots();
 }
 
 void GroupCore::refreshSlots()
 {
     const auto now = steadyNow();
-    const auto allowed = std::max(1U, share.allowed(now));
+    const auto allowed = std::max(1U, quota.allowed(now));
     const auto view = monitor.primary();
     std::uint32_t replicaSlots = 0;
     for (auto &[name, member] : members) {
-        member->links.setAllowed(allowed, now);
+        member->connections.setAllowed(allowed, now);
         const bool isPrimary = view && view->member == name;
         replicaSlots += isPrimary ? 0 : allowed;
     }
@@ -403,19 +403,19 @@
     apply(admission.finished(ticket, steadyNow()));
 }
 
-bool GroupCore::waitReleased(std::unique_lock<std::mutex> &lock, TimePoint deadline)
+bool GroupCore::waitForWrites(std::unique_lock<std::mutex> &lock, TimePoint deadline)
 {
     Waiter waiter;
     const WaitList::Entry entry(primaryWaiters, waiter);
     for (;;) {
         const auto now = steadyNow();
-        if (now >= heldUntil) {
+        if (now >= writesPausedUntil) {
             return true;
         }
         if (now >= deadline) {
             return false;
         }
-        waiter.wait(lock, std::min(deadline, heldUntil));
+        waiter.wait(lock, std::min(deadline, writesPausedUntil));
     }
 }
 
@@ -453,9 +453,9 @@
             feed(trace::Tick{});
         }
         apply(admission.wake(now));
-        pumpRounds();
+        startDueRounds();
         for (auto &[name, member] : members) {
-            member->links.wake(now);
+            member->connections.closeIdle(now);
         }
     }
 }
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -7,7 +7,7 @@
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "owner/controlworker.h"
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 #include "owner/options.h"
 #include "owner/waiter.h"
 #include "requests/admission.h"
@@ -39,21 +39,21 @@
     struct Member {
         Member(const GroupMember &member, const LinkIdentity &identity)
             : address(member.address)
-            , links(member.address, identity)
-            , watcher(member.address, identity)
-            , orders(member.address, identity)
+            , connections(member.address, identity)
+            , reportWorker(member.address, identity)
+            , orderWorker(member.address, identity)
         {
         }
 
         Address address;
-        MemberLinks links;
+        MemberConnections connections;
         /// Carries the waiting reports.
-        ControlWorker watcher;
+        ControlWorker reportWorker;
         /// Carries orders, checks and outcome questions.
-        ControlWorker orders;
+        ControlWorker orderWorker;
     };
 
-    GroupCore(GroupOwnerOptions options, GroupEvents events);
+    GroupCore(GroupOwnerOptions options, GroupOwnerHandlers handlers);
 
     /// Begins to watch the group.
     void start();
@@ -70,7 +70,7 @@
     void onState(const MemberName &member, const Mark &log, const Term &adopted, TimePoint sentAt);
 
     /// Begins due read checks and hands out their results.
-    void pumpRounds();
+    void startDueRounds();
 
     /// Acts on what the admission queue decided.
     void apply(const std::vector<AdmissionAction> &actions);
@@ -79,13 +79,13 @@
     void setLeaving(const std::vector<MemberName> &leaving);
 
     /// True when \a member is to get no new work, by others' word than its own.
-    [[nodiscard]] bool isToldLeaving(const MemberName &member) const;
+    [[nodiscard]] bool isMarkedLeaving(const MemberName &member) const;
 
     /// Has a primary that was told to leave replaced; to be called once no transaction of the group is open.
-    void moveLeavingPrimary();
+    void replaceLeavingPrimary();
 
     /// Takes in the current owners of the group.
-    void setHolders(const std::vector<InstanceName> &holders);
+    void setOwners(const std::vector<InstanceName> &owners);
 
     // Requests, locked
 
@@ -97,7 +97,7 @@
     void finished(std::uint64_t ticket);
 
     /// Waits until writes are not held; false when \a deadline came first.
-    [[nodiscard]] bool waitReleased(std::unique_lock<std::mutex> &lock, TimePoint deadline);
+    [[nodiscard]] bool waitForWrites(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
     /// Waits for the result of a read check that begins now; nothing when none came by \a deadline.
     [[nodiscard]] std::optional<RoundResult> confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline);
@@ -111,7 +111,7 @@
     [[nodiscard]] std::string nextExchange();
 
     GroupOwnerOptions options;
-    GroupEvents events;
+    GroupOwnerHandlers handlers;
 
 private:
     TimePoint startedAt_;
@@ -124,14 +124,14 @@
     ReadRouter router;
     AdmissionQueue admission;
     RetryBudget retries;
-    ConnectionShare share;
+    ConnectionShare quota;
     Random random;
     std::map<MemberName, std::unique_ptr<Member>> members;
 
     /// Writes are held until this time.
-    TimePoint heldUntil;
+    TimePoint writesPausedUntil;
     /// Threads that wait for coverage, for another primary, for a report or for the release of writes.
-    WaitList coverageWaiters;
+    WaitList quorumWaiters;
     WaitList primaryWaiters;
     WaitList reportWaiters;
     WaitList roundWaiters;
@@ -146,9 +146,9 @@
     void perform(const GroupActions &actions);
     void beginTrace();
     void endTrace();
-    void takeReport(const MemberReport &report, TimePoint sentAt);
+    void onMemberReport(const MemberReport &report, TimePoint sentAt);
     [[nodiscard]] MemberReport withLeaving(MemberReport report) const;
-    void tellRouter(const MemberReport &report);
+    void updateRouter(const MemberReport &report);
     void sendReport(const SendReport &action);
     void sendOrder(const MemberName &member, OrderKind kind, const Term &term, const SendFollow *follow, Milliseconds timeout);
     void sendChecks(RoundNumber round);
@@ -158,7 +158,7 @@
     [[nodiscard]] TimePoint nextWake() const;
 
     /// The leaving primary that the monitor was asked to move; empty when it was asked for none.
-    MemberName switchoverAsked_;
+    MemberName switchoverRequested_;
     std::ofstream trace_;
     /// Members that are to stop, by others' word than their own.
     std::vector<MemberName> leaving_;
@@ -166,7 +166,7 @@
     std::uint64_t nextTicket_ = 1;
     std::uint64_t nextExchange_ = 1;
     /// Begin of the rounds that are in flight or whose reads still wait.
-    std::map<RoundNumber, TimePoint> roundBegan_;
+    std::map<RoundNumber, TimePoint> roundStartedAt_;
     std::map<RoundNumber, RoundResult> roundResults_;
 
     std::condition_variable tickerCondition_;
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr Milliseconds askTimeout{150};
+constexpr Milliseconds queryTimeout{150};
 constexpr Milliseconds askPause{40};
 
 Answer unknown(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(defaultRetryAfter));
 }
 
 /// The statement that takes the place of a request id: it has no effect but to hold the id.
@@ -47,18 +47,18 @@
 Answer OutcomeFlow::run()
 {
     while (steadyNow() < deadline_) {
-        std::optional<PrimaryView> view;
+        std::optional<PrimaryView> primary;
         {
             std::unique_lock lock(core_.mutex);
-            view = core_.monitor.primary();
-            if (!view) {
+            primary = core_.monitor.primary();
+            if (!primary) {
                 Waiter waiter;
                 const WaitList::Entry entry(core_.primaryWaiters, waiter);
                 waiter.wait(lock, std::min(deadline_, steadyNow() + askPause));
                 continue;
             }
         }
-        const auto reply = ask(*view);
+        const auto reply = query(*primary);
         if (reply && reply->found) {
             return found(*reply);
         }
@@ -69,12 +69,12 @@
     return unknown("no primary could be asked within the window");
 }
 
-std::optional<OutcomeReply> OutcomeFlow::ask(const PrimaryView &view)
+std::optional<OutcomeReply> OutcomeFlow::query(const PrimaryView &primary)
 {
     Address address;
     {
         const std::lock_guard lock(core_.mutex);
-        const auto *member = core_.find(view.member);
+        const auto *member = core_.find(primary.member);
         if (member == nullptr) {
             return std::nullopt;
         }
@@ -82,7 +82,7 @@
     }
     HttpControlLink link(address, core_.options.identity);
     const auto sentAt = steadyNow();
-    const auto result = link.outcome(statement_.requestId, askTimeout);
+    const auto result = link.outcome(statement_.requestId, queryTimeout);
     const auto *reply = std::get_if<OutcomeReply>(&result);
     std::unique_lock lock(core_.mutex);
     if (reply == nullptr) {
@@ -91,7 +91,7 @@
         waiter.wait(lock, std::min(deadline_, steadyNow() + askPause));
         return std::nullopt;
     }
-    core_.onState(view.member, reply->report.log, reply->report.adopted, sentAt);
+    core_.onState(primary.member, reply->report.log, reply->report.adopted, sentAt);
     return *reply;
 }
 
@@ -99,7 +99,7 @@
 {
     std::unique_lock lock(core_.mutex);
     Waiter waiter;
-    const WaitList::Entry forCoverage(core_.coverageWaiters, waiter);
+    const WaitList::Entry forCoverage(core_.quorumWaiters, waiter);
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
--- a/src/owner/impl/outcomeflow.h
+++ b/src/owner/impl/outcomeflow.h
@@ -19,7 +19,7 @@
 private:
     [[nodiscard]] Answer found(const OutcomeReply &reply);
     [[nodiscard]] Answer closeId();
-    [[nodiscard]] std::optional<OutcomeReply> ask(const PrimaryView &view);
+    [[nodiscard]] std::optional<OutcomeReply> query(const PrimaryView &primary);
 
     GroupCore &core_;
     const Statement &statement_;
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -35,8 +35,8 @@
         if (const auto *give = std::get_if<GiveUpRead>(&step)) {
             return failedAnswer(give->error);
         }
-        if (const auto *ask = std::get_if<AskMember>(&step)) {
-            answer = performAsk(plan, *ask);
+        if (const auto *read = std::get_if<AskMember>(&step)) {
+            answer = performReadFromMember(plan, *read);
         } else if (const auto *await = std::get_if<AwaitReplica>(&step)) {
             performAwait(await->until);
         } else {
@@ -46,22 +46,22 @@
             return *answer;
         }
         if (steadyNow() >= deadline_) {
-            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.comingBackAfter(comeBackSoon));
+            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.comingBackAfter(defaultRetryAfter));
         }
     }
 }
 
 std::optional<Error> ReadFlow::checkToken()
 {
-    const auto mark = session_.find(core_.options.group);
-    if (!mark || checkAgainst(*mark, core_.router.highestSeen(), std::nullopt) == TokenStanding::Reached) {
+    const auto position = session_.find(core_.options.group);
+    if (!position || checkAgainst(*position, core_.router.highestSeen(), std::nullopt) == TokenStanding::Reached) {
         return std::nullopt;
     }
     const auto result = core_.confirmPrimary(lock_, deadline_);
     if (!result || !result->legitimate) {
         return std::nullopt;
     }
-    if (checkAgainst(*mark, core_.router.highestSeen(), result->readMark) != TokenStanding::Ahead) {
+    if (checkAgainst(*position, core_.router.highestSeen(), result->readMark) != TokenStanding::Ahead) {
         return std::nullopt;
     }
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
@@ -83,73 +83,73 @@
     return std::nullopt;
 }
 
-std::optional<Answer> ReadFlow::performAsk(ReadPlan &plan, const AskMember &ask)
+std::optional<Answer> ReadFlow::performReadFromMember(ReadPlan &plan, const AskMember &read)
 {
-    const auto lane = ask.isPrimary ? Lane::Primary : Lane::Replica;
+    const auto lane = read.isPrimary ? Lane::Primary : Lane::Replica;
     const auto ticket = core_.admit(lock_, lane, statement_.service, deadline_);
     if (!ticket) {
         return failedAnswer(ticket.error());
     }
-    auto *member = core_.find(ask.member);
+    auto *member = core_.find(read.member);
     if (member == nullptr) {
         core_.finished(*ticket);
-        core_.router.failed(plan, ask.member);
+        core_.router.failed(plan, read.member);
         return std::nullopt;
     }
-    const auto lease = member->links.take(lock_, deadline_);
-    if (!lease) {
+    const auto checkout = member->connections.acquire(lock_, deadline_);
+    if (!checkout) {
         core_.finished(*ticket);
-        core_.router.failed(plan, ask.member);
+        core_.router.failed(plan, read.member);
         return std::nullopt;
     }
     auto call = callFor(core_, statement_, core_.leader().term);
     call.write = false;
-    call.needsPrimary = ask.isPrimary;
+    call.needsPrimary = read.isPrimary;
     const auto result = exchange(
-        core_, lock_, ask.member, *lease, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
-    member->links.giveBack(*lease, steadyNow());
+        core_, lock_, read.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
+    member->connections.release(*checkout, steadyNow());
     core_.finished(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
-        core_.router.failed(plan, ask.member);
+        core_.router.failed(plan, read.member);
         return std::nullopt;
     }
-    return judge(plan, ask, *reply);
+    return evaluate(plan, read, *reply);
 }
 
-std::optional<Answer> ReadFlow::judge(ReadPlan &plan, const AskMember &ask, const MemberReply &reply)
+std::optional<Answer> ReadFlow::evaluate(ReadPlan &plan, const AskMember &read, const MemberReply &reply)
 {
     if (reply.refusal == Refusal::StatementFailed) {
         return failedAnswer(errorFor(*reply.refusal, reply.description));
     }
     if (reply.refusal) {
-        core_.router.failed(plan, ask.member);
+        core_.router.failed(plan, read.member);
         return std::nullopt;
     }
-    if (!core_.router.verify(plan, ask.member, reply.mark, steadyNow())) {
+    if (!core_.router.verify(plan, read.member, reply.mark, steadyNow())) {
         return std::nullopt;
     }
-    if (!waitLasting(reply.mark)) {
-        core_.router.failed(plan, ask.member);
+    if (!waitDurable(reply.mark)) {
+        core_.router.failed(plan, read.member);
         return std::nullopt;
     }
     Answer answer;
     answer.rows = reply.rows;
     answer.rowCount = reply.rowCount;
-    answer.servedBy = ask.member;
-    answer.fromReplica = !ask.isPrimary;
+    answer.servedBy = read.member;
+    answer.fromReplica = !read.isPrimary;
     answer.mark = reply.mark;
     answer.session = statement_.session;
     return answer;
 }
 
-bool ReadFlow::waitLasting(const Mark &mark)
+bool ReadFlow::waitDurable(const Mark &position)
 {
     Waiter waiter;
-    const WaitList::Entry entry(core_.coverageWaiters, waiter);
+    const WaitList::Entry entry(core_.quorumWaiters, waiter);
     for (;;) {
-        const auto coverage = core_.acks.coverage(mark);
-        if (coverage != Coverage::Pending || mark.position == 0) {
+        const auto coverage = core_.acks.coverage(position);
+        if (coverage != Coverage::Pending || position.position == 0) {
             return coverage != Coverage::Superseded;
         }
         const bool woken = waiter.wait(lock_, deadline_);
@@ -168,7 +168,7 @@
 
 Answer ReadFlow::noPrimary() const
 {
-    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.comingBackAfter(defaultRetryAfter));
 }
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -20,10 +20,10 @@
     /// Has the primary confirmed; an answer when that is not to be had in time.
     [[nodiscard]] std::optional<Answer> performConfirm();
     /// Asks one member; an answer when it is fresh enough or final.
-    [[nodiscard]] std::optional<Answer> performAsk(ReadPlan &plan, const AskMember &ask);
-    [[nodiscard]] std::optional<Answer> judge(ReadPlan &plan, const AskMember &ask, const MemberReply &reply);
+    [[nodiscard]] std::optional<Answer> performReadFromMember(ReadPlan &plan, const AskMember &read);
+    [[nodiscard]] std::optional<Answer> evaluate(ReadPlan &plan, const AskMember &read, const MemberReply &reply);
     /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
-    [[nodiscard]] bool waitLasting(const Mark &mark);
+    [[nodiscard]] bool waitDurable(const Mark &position);
     void performAwait(TimePoint until);
     [[nodiscard]] Answer noPrimary() const;
 
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -11,7 +11,7 @@
 
 Answer aborted(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.comingBackAfter(defaultRetryAfter));
 }
 
 } // namespace
@@ -34,62 +34,63 @@
     if (!room) {
         return failedAnswer(room.error());
     }
-    std::optional<PrimaryView> view;
+    std::optional<PrimaryView> primary;
     {
         std::unique_lock lock(core_.mutex);
         Waiter waiter;
         const WaitList::Entry entry(core_.primaryWaiters, waiter);
-        bool inTime = core_.waitReleased(lock, deadline_);
-        view = core_.monitor.primary();
+        bool inTime = core_.waitForWrites(lock, deadline_);
+        primary = core_.monitor.primary();
         // A leaving primary is replaced once its transactions are over, so no new one begins there.
-        while (inTime && (!view || core_.isToldLeaving(view->member))) {
+        while (inTime && (!primary || core_.isMarkedLeaving(primary->member))) {
             inTime = waiter.wait(lock, deadline_);
-            view = core_.monitor.primary();
+            primary = core_.monitor.primary();
         }
         if (!inTime) {
-            return failedAnswer(Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.comingBackAfter(comeBackSoon));
+            return failedAnswer(
+                Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.comingBackAfter(defaultRetryAfter));
         }
     }
-    return beginOn(*view);
+    return beginOn(*primary);
 }
 
-Answer TransactionFlow::beginOn(const PrimaryView &view)
+Answer TransactionFlow::beginOn(const PrimaryView &primary)
 {
     std::unique_lock lock(core_.mutex);
     const auto ticket = core_.admit(lock, Lane::Primary, statement_.service, deadline_);
     if (!ticket) {
         return failedAnswer(ticket.error());
     }
-    auto *member = core_.find(view.member);
-    const auto lease = member->links.take(lock, deadline_);
-    if (!lease) {
+    auto *member = core_.find(primary.member);
+    const auto checkout = member->connections.acquire(lock, deadline_);
+    if (!checkout) {
         core_.finished(*ticket);
-        return failedAnswer(lease.error());
+        return failedAnswer(checkout.error());
     }
-    auto call = callFor(core_, statement_, view.term);
+    auto call = callFor(core_, statement_, primary.term);
     call.needsPrimary = true;
     const auto result = exchange(
-        core_, lock, view.member, *lease, deadline_, [&call](auto &link, Milliseconds timeout) { return link.begin(call, timeout); });
+        core_, lock, primary.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.begin(call, timeout); });
     core_.finished(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr || reply->refusal) {
-        member->links.giveBack(*lease, steadyNow());
+        member->connections.release(*checkout, steadyNow());
         return reply == nullptr ? aborted("the connection broke before the transaction began")
                                 : failedAnswer(errorFor(*reply->refusal, reply->description));
     }
     OpenTransaction transaction;
     transaction.group = core_.options.group;
-    transaction.member = view.member;
+    transaction.member = primary.member;
     transaction.memberTransaction = reply->transaction;
-    transaction.term = view.term;
-    const auto id = transactions_.open(transaction, *lease);
+    transaction.term = primary.term;
+    const auto id = transactions_.open(transaction, *checkout);
     if (!id) {
-        member->links.close(lease->key);
+        member->connections.close(checkout->key);
         return failedAnswer(id.error());
     }
     Answer answer;
     answer.transaction = *id;
-    answer.servedBy = view.member;
+    answer.servedBy = primary.member;
     answer.session = statement_.session;
     answer.mark = reply->mark;
     return answer;
@@ -109,7 +110,7 @@
     call.needsPrimary = true;
     call.requestId = RequestId{};
     call.transaction = use->transaction.memberTransaction;
-    const auto result = exchange(core_, lock, use->transaction.member, use->lease, deadline_, [&call](auto &link, Milliseconds timeout) {
+    const auto result = exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
         return link.execute(call, timeout);
     });
     lock.unlock();
@@ -120,7 +121,7 @@
 {
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
-        transactions_.lost(use);
+        transactions_.onConnectionLost(use);
         closeConnection(use);
         return aborted("the connection of the transaction broke");
     }
@@ -129,7 +130,7 @@
         return failedAnswer(errorFor(*reply->refusal, reply->description));
     }
     if (reply->refusal) {
-        transactions_.lost(use);
+        transactions_.onConnectionLost(use);
         closeConnection(use);
         return aborted(reply->description);
     }
@@ -158,7 +159,7 @@
         // The transaction may still be open at the member: closing the connection rolls it back.
         closeConnection(*use);
     } else {
-        giveBack(*use);
+        release(*use);
     }
     return answer;
 }
@@ -172,14 +173,14 @@
     auto call = callFor(core_, statement_, use->transaction.term);
     call.transaction = use->transaction.memberTransaction;
     std::unique_lock lock(core_.mutex);
-    const auto result = exchange(core_, lock, use->transaction.member, use->lease, deadline_, [&call](auto &link, Milliseconds timeout) {
+    const auto result = exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
         return link.rollback(call, timeout);
     });
     lock.unlock();
     transactions_.close(statement_.transaction);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply != nullptr && !reply->refusal) {
-        giveBack(*use);
+        release(*use);
     } else {
         closeConnection(*use);
     }
@@ -193,15 +194,15 @@
 {
     const std::lock_guard lock(core_.mutex);
     if (auto *member = core_.find(use.transaction.member)) {
-        member->links.close(use.lease.key);
+        member->connections.close(use.checkout.key);
     }
 }
 
-void TransactionFlow::giveBack(const Transactions::Use &use)
+void TransactionFlow::release(const Transactions::Use &use)
 {
     const std::lock_guard lock(core_.mutex);
     if (auto *member = core_.find(use.transaction.member)) {
-        member->links.giveBack(use.lease, steadyNow());
+        member->connections.release(use.checkout, steadyNow());
     }
 }
 
--- a/src/owner/impl/transactionflow.h
+++ b/src/owner/impl/transactionflow.h
@@ -28,10 +28,10 @@
     [[nodiscard]] Answer rollback();
 
 private:
-    [[nodiscard]] Answer beginOn(const PrimaryView &view);
+    [[nodiscard]] Answer beginOn(const PrimaryView &primary);
     [[nodiscard]] Answer finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result);
     void closeConnection(const Transactions::Use &use);
-    void giveBack(const Transactions::Use &use);
+    void release(const Transactions::Use &use);
 
     GroupCore &core_;
     Transactions &transactions_;
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -29,8 +29,8 @@
     if (!room) {
         return failedAnswer(room.error());
     }
-    if (!core_.waitReleased(lock_, deadline_)) {
-        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.comingBackAfter(comeBackSoon));
+    if (!core_.waitForWrites(lock_, deadline_)) {
+        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.comingBackAfter(defaultRetryAfter));
     }
     return drive(false, [this](const Term &term) { return sendOnce(term); });
 }
@@ -45,7 +45,7 @@
         auto call = callFor(core_, statement_, term);
         call.write = true;
         call.transaction = use.transaction.memberTransaction;
-        return exchange(core_, lock_, servedBy_, use.lease, deadline_, [&call](auto &link, Milliseconds timeout) {
+        return exchange(core_, lock_, servedBy_, use.checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
             return link.commit(call, timeout);
         });
     });
@@ -53,7 +53,7 @@
 
 Answer WriteFlow::drive(bool isCommit, const Sender &send)
 {
-    WriteAttempt attempt(need(isCommit), core_.retries);
+    WriteAttempt attempt(requirements(isCommit), core_.retries);
     auto step = attempt.start(core_.leader(), steadyNow());
     for (;;) {
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
@@ -61,17 +61,17 @@
         }
         if (const auto *sending = std::get_if<SendWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
-        } else if (const auto *ask = std::get_if<AskOutcome>(&step)) {
-            step = performAsk(attempt, *ask);
+        } else if (const auto *query = std::get_if<AskOutcome>(&step)) {
+            step = performQueryOutcome(attempt, *query);
         } else if (const auto *coverage = std::get_if<WaitCoverage>(&step)) {
-            step = performCoverage(attempt, coverage->mark);
+            step = performWaitQuorum(attempt, coverage->mark);
         } else {
             step = performWaitPrimary(attempt);
         }
     }
 }
 
-WriteNeed WriteFlow::need(bool isCommit) const
+WriteNeed WriteFlow::requirements(bool isCommit) const
 {
     WriteNeed need;
     need.fingerprint = fingerprintOf(statement_);
@@ -94,15 +94,15 @@
     }
     servedBy_ = view->member;
     auto *member = core_.find(servedBy_);
-    const auto lease = member->links.take(lock_, deadline_);
-    if (!lease) {
+    const auto checkout = member->connections.acquire(lock_, deadline_);
+    if (!checkout) {
         core_.finished(*ticket);
-        return LinkFailure{LinkFault::NoConnection, true, lease.error().description};
+        return LinkFailure{LinkFault::NoConnection, true, checkout.error().description};
     }
     const auto call = callFor(core_, statement_, term);
     auto result = exchange(
-        core_, lock_, servedBy_, *lease, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
-    member->links.giveBack(*lease, steadyNow());
+        core_, lock_, servedBy_, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
+    member->connections.release(*checkout, steadyNow());
     core_.finished(*ticket);
     return result;
 }
@@ -129,21 +129,21 @@
     return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
-WriteStep WriteFlow::performAsk(WriteAttempt &attempt, const AskOutcome &ask)
+WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const AskOutcome &query)
 {
-    if (steadyNow() < ask.notBefore) {
+    if (steadyNow() < query.notBefore) {
         Waiter waiter;
         const WaitList::Entry entry(core_.primaryWaiters, waiter);
-        waiter.wait(lock_, std::min(ask.notBefore, deadline_));
+        waiter.wait(lock_, std::min(query.notBefore, deadline_));
     }
     // The news may be only that the start of the same term is covered: then the question is asked now, not put off again.
     auto current = attempt.primaryChanged(core_.leader(), steadyNow());
     const auto *stillAsked = std::get_if<AskOutcome>(&current);
-    if (stillAsked == nullptr || stillAsked->term != ask.term) {
+    if (stillAsked == nullptr || stillAsked->term != query.term) {
         return current;
     }
     const auto view = core_.monitor.primary();
-    if (!view || view->term != ask.term) {
+    if (!view || view->term != query.term) {
         return attempt.outcomeFailed(steadyNow());
     }
     const auto *member = core_.find(view->member);
@@ -161,19 +161,19 @@
     return attempt.outcome(*reply, steadyNow());
 }
 
-WriteStep WriteFlow::performCoverage(WriteAttempt &attempt, const Mark &mark)
+WriteStep WriteFlow::performWaitQuorum(WriteAttempt &attempt, const Mark &position)
 {
     Waiter waiter;
-    const WaitList::Entry forCoverage(core_.coverageWaiters, waiter);
+    const WaitList::Entry forCoverage(core_.quorumWaiters, waiter);
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto now = steadyNow();
-        const auto coverage = core_.acks.coverage(mark);
+        const auto coverage = core_.acks.coverage(position);
         if (coverage == Coverage::Covered) {
-            return attempt.covered(mark);
+            return attempt.covered(position);
         }
         const auto leader = core_.leader();
-        if (coverage == Coverage::Superseded || leader.term > mark.term) {
+        if (coverage == Coverage::Superseded || leader.term > position.term) {
             auto step = attempt.primaryChanged(leader, now);
             if (!std::holds_alternative<WaitCoverage>(step)) {
                 return step;
--- a/src/owner/memberlinks.cpp
+++ b/src/owner/memberconnections.cpp
@@ -1,5 +1,5 @@
 // The statement connections of this proxy to one member.
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 
 #include <algorithm>
 #include <variant>
@@ -12,29 +12,29 @@
 
 } // namespace
 
-MemberLinks::MemberLinks(const Address &remote, const LinkIdentity &identity)
+MemberConnections::MemberConnections(const Address &remote, const LinkIdentity &identity)
     : remote_(remote)
     , identity_(identity)
 {
 }
 
-void MemberLinks::setAllowed(std::uint32_t allowed, TimePoint now)
+void MemberConnections::setAllowed(std::uint32_t allowed, TimePoint now)
 {
     for (const auto key : pool_.setAllowed(allowed, now)) {
-        links_.erase(key);
+        connections_.erase(key);
     }
     waiting_.signalAll();
 }
 
-Result<MemberLinks::Lease> MemberLinks::take(std::unique_lock<std::mutex> &lock, TimePoint deadline)
+Result<MemberConnections::CheckedOutConnection> MemberConnections::acquire(std::unique_lock<std::mutex> &lock, TimePoint deadline)
 {
     Waiter waiter;
     for (;;) {
         const auto step = pool_.take(deadline, steadyNow());
         if (const auto *reuse = std::get_if<ReuseConnection>(&step)) {
-            const auto link = links_.at(reuse->key);
-            if (link->checkOpen()) {
-                return Lease{reuse->key, link};
+            const auto connection = connections_.at(reuse->key);
+            if (connection->checkOpen()) {
+                return CheckedOutConnection{reuse->key, connection};
             }
             close(reuse->key);
             continue;
@@ -50,12 +50,13 @@
     }
 }
 
-Result<MemberLinks::Lease> MemberLinks::openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline)
+Result<MemberConnections::CheckedOutConnection>
+MemberConnections::openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline)
 {
-    auto link = std::make_shared<HttpStatementLink>(remote_, identity_);
+    auto connection = std::make_shared<HttpStatementLink>(remote_, identity_);
     const auto timeout = std::min(openTimeout, wholeMilliseconds(deadline - steadyNow()));
     lock.unlock();
-    const auto result = link->open(timeout);
+    const auto result = connection->open(timeout);
     lock.lock();
     if (const auto *failure = std::get_if<LinkFailure>(&result)) {
         pool_.openFailed(key, failure->fault, steadyNow());
@@ -63,55 +64,55 @@
         return Error{ErrorKind::EndpointUnreachable, failure->description};
     }
     pool_.opened(key, steadyNow());
-    links_[key] = link;
-    return Lease{key, link};
+    connections_[key] = connection;
+    return CheckedOutConnection{key, connection};
 }
 
-void MemberLinks::giveBack(const Lease &lease, TimePoint now)
+void MemberConnections::release(const CheckedOutConnection &checkout, TimePoint now)
 {
-    if (!lease.link->isOpen()) {
-        close(lease.key);
+    if (!checkout.connection->isOpen()) {
+        close(checkout.key);
         return;
     }
-    if (!pool_.giveBack(lease.key, now)) {
-        links_.erase(lease.key);
+    if (!pool_.giveBack(checkout.key, now)) {
+        connections_.erase(checkout.key);
     }
     waiting_.signalAll();
 }
 
-void MemberLinks::close(ConnectionKey key)
+void MemberConnections::close(ConnectionKey key)
 {
     pool_.closed(key);
     silence_.closed(key);
-    links_.erase(key);
+    connections_.erase(key);
     waiting_.signalAll();
 }
 
-void MemberLinks::wake(TimePoint now)
+void MemberConnections::closeIdle(TimePoint now)
 {
     for (const auto key : pool_.wake(now)) {
         silence_.closed(key);
-        links_.erase(key);
+        connections_.erase(key);
     }
 }
 
-Milliseconds MemberLinks::answerTimeout() const noexcept
+Milliseconds MemberConnections::replyTimeout() const noexcept
 {
     return std::max(Milliseconds{1}, wholeMilliseconds(silence_.overdueAfter()));
 }
 
-void MemberLinks::began(ConnectionKey key, TimePoint now)
+void MemberConnections::onExchangeStarted(ConnectionKey key, TimePoint now)
 {
     silence_.began(key, now);
 }
 
-void MemberLinks::answered(ConnectionKey key, TimePoint now)
+void MemberConnections::onReply(ConnectionKey key, TimePoint now)
 {
     // The blocking exchange has its own timeout, so the detector only measures here.
     (void)silence_.answered(key, now);
 }
 
-std::uint32_t MemberLinks::inUse() const noexcept
+std::uint32_t MemberConnections::inUse() const noexcept
 {
     return pool_.open() - pool_.idle();
 }
--- a/src/owner/memberlinks.h
+++ b/src/owner/memberconnections.h
@@ -17,40 +17,40 @@
 /// Connections to one member: the pool's decisions with the links that belong to them.
 ///
 /// All functions are called with the group's lock held.
-class MemberLinks
+class MemberConnections
 {
 public:
     /// A connection in use by one request.
-    struct Lease {
+    struct CheckedOutConnection {
         ConnectionKey key = 0;
-        std::shared_ptr<HttpStatementLink> link;
+        std::shared_ptr<HttpStatementLink> connection;
     };
 
-    MemberLinks(const Address &remote, const LinkIdentity &identity);
+    MemberConnections(const Address &remote, const LinkIdentity &identity);
 
     /// Sets how many connections may be open.
     void setAllowed(std::uint32_t allowed, TimePoint now);
 
     /// Takes a connection, opening or waiting for one until \a deadline; releases \a lock meanwhile.
-    [[nodiscard]] Result<Lease> take(std::unique_lock<std::mutex> &lock, TimePoint deadline);
+    [[nodiscard]] Result<CheckedOutConnection> acquire(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
     /// Gives a connection back after a whole exchange, or closes it when the link broke.
-    void giveBack(const Lease &lease, TimePoint now);
+    void release(const CheckedOutConnection &checkout, TimePoint now);
 
     /// Closes a connection, whatever state it is in.
     void close(ConnectionKey key);
 
     /// Closes connections that were idle for too long.
-    void wake(TimePoint now);
+    void closeIdle(TimePoint now);
 
     /// Longest time that an answer is waited for before the connection counts as silent.
-    [[nodiscard]] Milliseconds answerTimeout() const noexcept;
+    [[nodiscard]] Milliseconds replyTimeout() const noexcept;
 
     /// Notes the begin of an exchange.
-    void began(ConnectionKey key, TimePoint now);
+    void onExchangeStarted(ConnectionKey key, TimePoint now);
 
     /// Notes the whole answer to an exchange.
-    void answered(ConnectionKey key, TimePoint now);
+    void onReply(ConnectionKey key, TimePoint now);
 
     /// Requests that use a connection now.
     [[nodiscard]] std::uint32_t inUse() const noexcept;
@@ -72,14 +72,14 @@
     }
 
 private:
-    [[nodiscard]] Result<Lease> openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline);
+    [[nodiscard]] Result<CheckedOutConnection> openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline);
 
     Address remote_;
     LinkIdentity identity_;
     ConnectionPool pool_;
     SilenceDetector silence_;
     /// Links of all open connections; opening ones have none yet.
-    std::map<ConnectionKey, std::shared_ptr<HttpStatementLink>> links_;
+    std::map<ConnectionKey, std::shared_ptr<HttpStatementLink>> connections_;
     WaitList waiting_;
 };
 
--- a/src/owner/options.h
+++ b/src/owner/options.h
@@ -24,7 +24,7 @@
     /// Statements that each member runs at once.
     std::uint32_t slots = 1;
     /// Most connections to each member, over all proxies.
-    std::uint32_t connections = 1;
+    std::uint32_t maxConnections = 1;
     /// Guaranteed parts of the services that use this group.
     std::vector<ServiceShare> shares;
     LinkIdentity identity;
@@ -32,7 +32,7 @@
     /// Place of this proxy among the group's owners; 0 acts first.
     unsigned rank = 0;
     /// All owners of the group, this one included.
-    std::vector<InstanceName> holders;
+    std::vector<InstanceName> owners;
     /// Differs between processes and starts.
     std::uint64_t seed = 1;
     /// Where to record the monitor's inputs and actions; nothing is recorded when empty.
@@ -40,13 +40,13 @@
 };
 
 /// What an owner tells the rest of the process; called with the group's lock held, so they must not call back or block.
-struct GroupEvents {
+struct GroupOwnerHandlers {
     std::function<void(const GroupName &, const PrimaryChanged &)> primaryChanged;
-    std::function<void(const GroupName &, const Note &)> note;
+    std::function<void(const GroupName &, const Note &)> auditEvent;
     /// The group's other owners should be asked for their sightings.
-    std::function<void(const GroupName &)> askPeers;
+    std::function<void(const GroupName &)> queryPeers;
     /// Other owners should hold writes for this long; zero releases them.
-    std::function<void(const GroupName &, Milliseconds)> holdPeers;
+    std::function<void(const GroupName &, Milliseconds)> pausePeerWrites;
 };
 
 } // namespace cardamomstep
--- a/src/owner/transactions.cpp
+++ b/src/owner/transactions.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-Result<TransactionId> Transactions::open(OpenTransaction transaction, const MemberLinks::Lease &lease)
+Result<TransactionId> Transactions::open(OpenTransaction transaction, const MemberConnections::CheckedOutConnection &checkout)
 {
     const std::lock_guard lock(mutex_);
     transaction.connection = nextPin_++;
@@ -19,7 +19,7 @@
     if (!opened) {
         return opened.error();
     }
-    pinned_[opened->id] = {*opened, lease};
+    pinned_[opened->id] = {*opened, checkout};
     return opened->id;
 }
 
@@ -30,7 +30,7 @@
     if (!begun) {
         return begun.error();
     }
-    return Use{*begun, pinned_.at(id).lease};
+    return Use{*begun, pinned_.at(id).checkout};
 }
 
 void Transactions::end(const TransactionId &id)
@@ -46,7 +46,7 @@
     pinned_.erase(id);
 }
 
-void Transactions::lost(const Use &use)
+void Transactions::onConnectionLost(const Use &use)
 {
     const std::lock_guard lock(mutex_);
     (void)registry_.connectionLost(use.transaction.connection);
@@ -65,7 +65,7 @@
     return expired;
 }
 
-std::optional<Transactions::Use> Transactions::yieldIdle(const GroupName &group)
+std::optional<Transactions::Use> Transactions::evictIdle(const GroupName &group)
 {
     const std::lock_guard lock(mutex_);
     const auto yielded = registry_.yieldIdle(group, steadyNow());
@@ -78,7 +78,7 @@
     if (found == pinned_.end()) {
         return std::nullopt;
     }
-    const Use use{found->second.transaction, found->second.lease};
+    const Use use{found->second.transaction, found->second.checkout};
     pinned_.erase(found);
     return use;
 }
--- a/src/owner/transactions.h
+++ b/src/owner/transactions.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "owner/fwd.h"
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 #include "requests/transactions.h"
 
 #include <map>
@@ -18,13 +18,13 @@
     /// A statement's hold on its transaction.
     struct Use {
         OpenTransaction transaction;
-        MemberLinks::Lease lease;
+        MemberConnections::CheckedOutConnection checkout;
     };
 
     Transactions(InstanceName owner, std::uint64_t seed);
 
     /// Adds a transaction that holds \a lease; errors as of TransactionRegistry::open().
-    [[nodiscard]] Result<TransactionId> open(OpenTransaction transaction, const MemberLinks::Lease &lease);
+    [[nodiscard]] Result<TransactionId> open(OpenTransaction transaction, const MemberConnections::CheckedOutConnection &checkout);
 
     /// Begins a statement of \a id; errors as of TransactionRegistry::beginStatement().
     [[nodiscard]] Result<Use> begin(const TransactionId &id);
@@ -36,13 +36,13 @@
     void close(const TransactionId &id);
 
     /// Takes in that the connection of \a use broke: the endpoint rolls the transaction back.
-    void lost(const Use &use);
+    void onConnectionLost(const Use &use);
 
     /// Removes transactions over their limits; their connections must be closed.
     [[nodiscard]] std::vector<Use> expire();
 
     /// Removes the longest idle transaction of \a group, see TransactionRegistry::yieldIdle(); its connection must be closed.
-    [[nodiscard]] std::optional<Use> yieldIdle(const GroupName &group);
+    [[nodiscard]] std::optional<Use> evictIdle(const GroupName &group);
 
     /// The group of an open transaction; none when it is not open.
     [[nodiscard]] std::optional<GroupName> groupOf(const TransactionId &id);
@@ -55,7 +55,7 @@
 private:
     struct Pinned {
         OpenTransaction transaction;
-        MemberLinks::Lease lease;
+        MemberConnections::CheckedOutConnection checkout;
     };
 
     [[nodiscard]] std::optional<Use> unpin(const CloseTransaction &ended);
