--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -57,7 +57,7 @@
     : store_(store)
     , peers_(peers)
     , changed_(std::move(changed))
-    , spread_(optionsFor(self, seed))
+    , gossip_(optionsFor(self, seed))
 {
 }
 
@@ -65,12 +65,12 @@
 {
     tasks_ = std::make_unique<TaskPool>(exchangeThreads);
     ticker_ = std::make_unique<Periodic>([this] { return tick(); });
-    follower_ = std::make_unique<Periodic>([this] { return followStore(); });
+    storeWatcher_ = std::make_unique<Periodic>([this] { return syncWithStore(); });
 }
 
 void ConfigurationService::stop()
 {
-    follower_.reset();
+    storeWatcher_.reset();
     ticker_.reset();
     tasks_.reset();
 }
@@ -78,21 +78,21 @@
 void ConfigurationService::setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains)
 {
     const std::lock_guard lock(mutex_);
-    spread_.setInstances(std::move(live), listedDomains);
+    gossip_.setInstances(std::move(live), listedDomains);
 }
 
 SpreadMessage ConfigurationService::onRequest(const SpreadMessage &request)
 {
     std::unique_lock lock(mutex_);
-    auto handled = spread_.onRequest(request, steadyNow());
+    auto handled = gossip_.onRequest(request, steadyNow());
     finishInput(lock, handled.actions);
     return std::move(handled.reply);
 }
 
-void ConfigurationService::onAccepted(const StoredObject &change)
+void ConfigurationService::onWriteAccepted(const StoredObject &change)
 {
     std::unique_lock lock(mutex_);
-    const auto actions = spread_.onAccepted(change, steadyNow());
+    const auto actions = gossip_.onAccepted(change, steadyNow());
     finishInput(lock, actions);
 }
 
@@ -104,28 +104,28 @@
     return catalog_;
 }
 
-CurrencyState ConfigurationService::currency() const
+CurrencyState ConfigurationService::configurationFreshness() const
 {
     const std::lock_guard lock(mutex_);
-    return spread_.currency(steadyNow());
+    return gossip_.currency(steadyNow());
 }
 
-bool ConfigurationService::mayAccept() const
+bool ConfigurationService::mayWriteToStore() const
 {
     const std::lock_guard lock(mutex_);
-    return spread_.mayAccept(steadyNow());
+    return gossip_.mayAccept(steadyNow());
 }
 
 Revision ConfigurationService::revision() const
 {
     const std::lock_guard lock(mutex_);
-    return spread_.state().digest().complete;
+    return gossip_.state().digest().complete;
 }
 
 void ConfigurationService::awaitRevision(Revision revision, Milliseconds wait)
 {
     std::unique_lock lock(mutex_);
-    advanced_.wait_for(lock, wait, [this, revision] { return spread_.state().digest().complete >= revision; });
+    advanced_.wait_for(lock, wait, [this, revision] { return gossip_.state().digest().complete >= revision; });
 }
 
 // Peers
@@ -133,7 +133,7 @@
 Milliseconds ConfigurationService::tick()
 {
     std::unique_lock lock(mutex_);
-    const auto actions = spread_.tick(steadyNow());
+    const auto actions = gossip_.tick(steadyNow());
     finishInput(lock, actions);
     return tickPeriod;
 }
@@ -156,7 +156,7 @@
         if (const auto *exchange = std::get_if<SendExchange>(&action)) {
             send(*exchange);
         } else {
-            take(std::get<ObjectsChanged>(action).objects);
+            applyObjects(std::get<ObjectsChanged>(action).objects);
         }
     }
 }
@@ -164,21 +164,21 @@
 void ConfigurationService::send(const SendExchange &exchange)
 {
     const bool added = tasks_ && tasks_->add([this, exchange] {
-        const auto result = peers_.spread(exchange.to.address, exchange.message, exchangeTimeout);
+        const auto result = peers_.gossip(exchange.to.address, exchange.message, exchangeTimeout);
         std::unique_lock taskLock(mutex_);
         if (const auto *reply = std::get_if<SpreadMessage>(&result)) {
-            const auto actions = spread_.onReply(exchange.id, *reply, steadyNow());
+            const auto actions = gossip_.onReply(exchange.id, *reply, steadyNow());
             finishInput(taskLock, actions);
         } else {
-            spread_.onExchangeFailed(exchange.id);
+            gossip_.onExchangeFailed(exchange.id);
         }
     });
     if (!added) {
-        spread_.onExchangeFailed(exchange.id);
+        gossip_.onExchangeFailed(exchange.id);
     }
 }
 
-void ConfigurationService::take(const std::vector<StoredObject> &objects)
+void ConfigurationService::applyObjects(const std::vector<StoredObject> &objects)
 {
     std::vector<RecordChange> records;
     for (const auto &object : objects) {
@@ -186,17 +186,17 @@
             records.push_back(std::move(*change));
         }
     }
-    catalog_ = catalog_->with(records, spread_.state().digest().complete.value);
+    catalog_ = catalog_->with(records, gossip_.state().digest().complete.value);
 }
 
 // The store
 
-Milliseconds ConfigurationService::followStore()
+Milliseconds ConfigurationService::syncWithStore()
 {
     StoreStep step;
     {
         const std::lock_guard lock(mutex_);
-        step = spread_.nextStoreStep(steadyNow());
+        step = gossip_.nextStoreStep(steadyNow());
     }
     if (const auto *pause = std::get_if<PauseUntil>(&step)) {
         return std::clamp(wholeMilliseconds(pause->time - steadyNow()) + Milliseconds{1}, Milliseconds{1}, longestPause);
@@ -215,11 +215,11 @@
     const auto listing = store_.list(ObjectKind{}, listTimeout);
     std::unique_lock lock(mutex_);
     if (!listing) {
-        spread_.onStoreFailure(steadyNow());
+        gossip_.onStoreFailure(steadyNow());
         logEvent(LogLevel::Warning, "store-unavailable", {{"call", "list"}, {"fault", listing.error().description}});
         return;
     }
-    const auto actions = spread_.onListing(*listing, calledAt, steadyNow());
+    const auto actions = gossip_.onListing(*listing, calledAt, steadyNow());
     finishInput(lock, actions);
 }
 
@@ -229,11 +229,11 @@
     const auto changes = store_.watch(step.after, step.wait);
     std::unique_lock lock(mutex_);
     if (!changes) {
-        spread_.onStoreFailure(steadyNow());
+        gossip_.onStoreFailure(steadyNow());
         logEvent(LogLevel::Warning, "store-unavailable", {{"call", "watch"}, {"fault", changes.error().description}});
         return;
     }
-    const auto actions = spread_.onChanges(*changes, calledAt, steadyNow());
+    const auto actions = gossip_.onChanges(*changes, calledAt, steadyNow());
     finishInput(lock, actions);
 }
 
--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -40,16 +40,16 @@
     [[nodiscard]] SpreadMessage onRequest(const SpreadMessage &request);
 
     /// Takes in a change that the store confirmed to this proxy as its own, and pushes it on.
-    void onAccepted(const StoredObject &change);
+    void onWriteAccepted(const StoredObject &change);
 
     /// The records in force.
     [[nodiscard]] std::shared_ptr<const Catalog> catalog() const;
 
     /// What this proxy can know about its configuration.
-    [[nodiscard]] CurrencyState currency() const;
+    [[nodiscard]] CurrencyState configurationFreshness() const;
 
     /// True when this proxy may write changes to the store.
-    [[nodiscard]] bool mayAccept() const;
+    [[nodiscard]] bool mayWriteToStore() const;
 
     /// Revision up to which the configuration is complete.
     [[nodiscard]] Revision revision() const;
@@ -59,12 +59,12 @@
 
 private:
     [[nodiscard]] Milliseconds tick();
-    [[nodiscard]] Milliseconds followStore();
+    [[nodiscard]] Milliseconds syncWithStore();
     void list();
     void watch(const WatchAfter &step);
     void perform(const SpreadActions &actions);
     void send(const SendExchange &exchange);
-    void take(const std::vector<StoredObject> &objects);
+    void applyObjects(const std::vector<StoredObject> &objects);
     void finishInput(std::unique_lock<std::mutex> &lock, const SpreadActions &actions);
 
     StoreClient &store_;
@@ -73,12 +73,12 @@
     mutable std::mutex mutex_;
     std::condition_variable advanced_;
     /// All guarded by mutex_.
-    ConfigurationSpread spread_;
+    ConfigurationSpread gossip_;
     std::shared_ptr<const Catalog> catalog_ = Catalog::empty();
     // Stopped first.
     std::unique_ptr<TaskPool> tasks_;
     std::unique_ptr<Periodic> ticker_;
-    std::unique_ptr<Periodic> follower_;
+    std::unique_ptr<Periodic> storeWatcher_;
 };
 
 } // namespace cardamomstep
--- a/src/app/membershipservice.cpp
+++ b/src/app/membershipservice.cpp
@@ -145,7 +145,7 @@
     return view_.listedDomains();
 }
 
-void MembershipService::setConfiguration(Revision revision)
+void MembershipService::setConfigurationRevision(Revision revision)
 {
     const std::lock_guard lock(mutex_);
     view_.setConfiguration(revision);
--- a/src/app/membershipservice.h
+++ b/src/app/membershipservice.h
@@ -58,7 +58,7 @@
     [[nodiscard]] std::size_t listedDomains() const;
 
     /// Sets the configuration revision that pings tell of.
-    void setConfiguration(Revision revision);
+    void setConfigurationRevision(Revision revision);
 
 private:
     [[nodiscard]] Milliseconds tick();
--- a/src/app/peersightings.h
+++ b/src/app/observationexchange.h
@@ -13,29 +13,30 @@
 namespace cardamomstep {
 
 /// Exchanges sightings with the other owners of groups that this proxy owns.
-class PeerSightings
+class ObservationExchange
 {
 public:
     using AddTask = std::function<void(TaskPool::Task)>;
 
-    PeerSightings(const InstanceName &self,
-                  const Ownership &ownership,
-                  const ConfigurationService &configuration,
-                  const Transactions &transactions,
-                  peer::Client &peers,
-                  AddTask addTask);
+    ObservationExchange(const InstanceName &self,
+                        const Ownership &ownership,
+                        const ConfigurationService &configuration,
+                        const Transactions &transactions,
+                        peer::Client &peers,
+                        AddTask addTask);
 
     /// Tells the group's other owners what is seen here and takes in what they see; they hold new work for \a hold where it is set.
-    void tell(const GroupName &group, std::optional<Milliseconds> hold);
+    void publish(const GroupName &group, std::optional<Milliseconds> writePause);
 
     /// Takes in what another owner sees; returns what is seen here, nothing for a group that is not owned.
-    [[nodiscard]] peer::Sighting sighted(const peer::Sighting &seen);
+    [[nodiscard]] peer::GroupObservation onObservation(const peer::GroupObservation &received);
 
     /// Asks one other owner what it sees; nothing when it does not answer.
-    [[nodiscard]] std::optional<peer::Sighting> ask(const LiveInstance &other, const GroupOwner &owner, const GroupName &group) const;
+    [[nodiscard]] std::optional<peer::GroupObservation>
+    query(const LiveInstance &other, const GroupOwner &owner, const GroupName &group) const;
 
 private:
-    [[nodiscard]] peer::Sighting sightingOf(const GroupOwner &owner, const GroupName &group) const;
+    [[nodiscard]] peer::GroupObservation observationOf(const GroupOwner &owner, const GroupName &group) const;
 
     const InstanceName &self_;
     const Ownership &ownership_;
--- a/src/app/operatorenvironment.cpp
+++ b/src/app/operatorenvironment.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds storeTimeout{3'000};
-constexpr Milliseconds comeBackSoon{1'000};
+constexpr Milliseconds defaultRetryAfter{1'000};
 
 std::vector<RecordForm> recordForms(const std::vector<SchemaForm> &forms)
 {
@@ -54,22 +54,22 @@
 
 std::vector<operators::ProxyView> FleetEnvironment::proxies() const
 {
-    std::vector<operators::ProxyView> views;
+    std::vector<operators::ProxyView> infos;
     for (const auto &proxy : membership_.proxies()) {
         const auto &update = *proxy.update;
         if (update.state == ProxyState::Dead) {
             continue;
         }
-        operators::ProxyView view;
-        view.instance = update.instance.name;
-        view.failureDomain = update.instance.domain;
-        view.state = update.state == ProxyState::Leaving ? InstanceState::Draining : InstanceState::Ready;
+        operators::ProxyView info;
+        info.instance = update.instance.name;
+        info.failureDomain = update.instance.domain;
+        info.state = update.state == ProxyState::Leaving ? InstanceState::Draining : InstanceState::Ready;
         const bool isSelf = update.instance.name == self_;
-        view.revision = isSelf ? configuration_.revision().value : proxy.configuration.value;
-        view.forms = recordForms(update.forms);
-        views.push_back(std::move(view));
+        info.revision = isSelf ? configuration_.revision().value : proxy.configuration.value;
+        info.forms = recordForms(update.forms);
+        infos.push_back(std::move(info));
     }
-    return views;
+    return infos;
 }
 
 WallTime FleetEnvironment::now() const
@@ -95,10 +95,10 @@
 
 std::optional<Error> RecordWriter::refusal() const
 {
-    if (configuration_.mayAccept()) {
+    if (configuration_.mayWriteToStore()) {
         return std::nullopt;
     }
-    return Error{ErrorKind::NotReady, "this proxy cannot know that its configuration is current"}.comingBackAfter(comeBackSoon);
+    return Error{ErrorKind::NotReady, "this proxy cannot know that its configuration is current"}.comingBackAfter(defaultRetryAfter);
 }
 
 Result<std::uint64_t> RecordWriter::put(const RecordKey &key, const std::string &text, const operators::StoredText *replaced)
@@ -108,7 +108,7 @@
     }
     auto version = records_.put(key, text, replaced);
     if (version) {
-        configuration_.onAccepted(acceptedObject(key, *version, text, false));
+        configuration_.onWriteAccepted(acceptedObject(key, *version, text, false));
     }
     return version;
 }
@@ -120,7 +120,7 @@
     }
     auto revision = records_.remove(key, version);
     if (revision && *revision > 0) {
-        configuration_.onAccepted(acceptedObject(key, *revision, "", true));
+        configuration_.onWriteAccepted(acceptedObject(key, *revision, "", true));
     }
     return revision;
 }
--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -46,28 +46,29 @@
 
 } // namespace
 
-Ownership::Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers events, Transactions &transactions, std::uint64_t seed)
+Ownership::Ownership(
+    const Settings &settings, LiveInstance self, GroupOwnerHandlers handlers, Transactions &transactions, std::uint64_t seed)
     : settings_(settings)
     , self_(std::move(self))
-    , events_(std::move(events))
+    , handlers_(std::move(handlers))
     , transactions_(transactions)
     , seed_(seed)
 {
 }
 
-void Ownership::reconcile(const entry::FleetView &view)
+void Ownership::reconcile(const entry::FleetView &fleet)
 {
     const std::unique_lock lock(mutex_);
     std::map<GroupName, Owned> next;
-    for (const auto &name : view.catalog->groupNames()) {
-        const auto *record = view.catalog->group(name);
+    for (const auto &name : fleet.catalog->groupNames()) {
+        const auto *record = fleet.catalog->group(name);
         const auto domains = domainsOf(*record);
-        const auto rank = view.instances->rank(name, domains, self_.name);
+        const auto rank = fleet.instances->rank(name, domains, self_.name);
         if (!rank) {
             continue;
         }
         std::vector<LiveInstance> owners;
-        for (const auto *owner : view.instances->owners(name, domains)) {
+        for (const auto *owner : fleet.instances->owners(name, domains)) {
             owners.push_back(*owner);
         }
         const auto known = owned_.find(name);
@@ -79,7 +80,7 @@
             next.emplace(name, std::move(owned));
             continue;
         }
-        auto owner = makeOwner(view, name, *record, owners, static_cast<unsigned>(*rank));
+        auto owner = makeOwner(fleet, name, *record, owners, static_cast<unsigned>(*rank));
         next.emplace(name, Owned{std::move(owner), std::move(owners), *record, {}});
         logEvent(LogLevel::Info, "group-owned", {{"group", name.text()}, {"rank", static_cast<std::int64_t>(*rank)}});
     }
@@ -92,22 +93,22 @@
     for (auto &[name, owned] : owned_) {
         owned.owner->setPolicy(policy);
     }
-    catalog_ = view.catalog;
-    tellLeaving();
+    catalog_ = fleet.catalog;
+    publishLeaving();
 }
 
 void Ownership::setListedLeaving(std::vector<MemberName> leaving)
 {
     const std::lock_guard lock(mutex_);
     listedLeaving_ = std::move(leaving);
-    tellLeaving();
+    publishLeaving();
 }
 
 void Ownership::refresh()
 {
     std::vector<std::shared_ptr<GroupOwner>> ended;
     const std::lock_guard lock(mutex_);
-    tellLeaving();
+    publishLeaving();
     const auto longAgo = steadyNow() - retirement;
     for (auto retired = retired_.begin(); retired != retired_.end();) {
         if (retired->second.since < longAgo && transactions_.countOf(retired->first) == 0) {
@@ -119,7 +120,7 @@
     }
 }
 
-void Ownership::tellLeaving()
+void Ownership::publishLeaving()
 {
     const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
     for (auto &[name, owned] : owned_) {
@@ -146,7 +147,7 @@
     return groups;
 }
 
-std::vector<DuePlan> Ownership::plansToWatch() const
+std::vector<DuePlan> Ownership::plansToMonitor() const
 {
     const std::lock_guard lock(mutex_);
     std::vector<DuePlan> plans;
@@ -159,7 +160,7 @@
     return plans;
 }
 
-std::shared_ptr<GroupOwner> Ownership::makeOwner(const entry::FleetView &view,
+std::shared_ptr<GroupOwner> Ownership::makeOwner(const entry::FleetView &fleet,
                                                  const GroupName &name,
                                                  const DatabaseGroup &record,
                                                  const std::vector<LiveInstance> &owners,
@@ -172,7 +173,7 @@
     }
     options.slots = record.slots;
     options.maxConnections = record.connections;
-    options.shares = sharesFor(*view.catalog, name);
+    options.shares = sharesFor(*fleet.catalog, name);
     options.identity = {self_.name, self_.domain};
     options.policy = policyFor(owned_.size() + 1);
     options.rank = rank;
@@ -181,7 +182,7 @@
     if (!settings_.trace.file.empty()) {
         options.traceFile = settings_.trace.file + "." + name.text() + ".jsonl";
     }
-    return std::make_shared<GroupOwner>(std::move(options), events_, transactions_);
+    return std::make_shared<GroupOwner>(std::move(options), handlers_, transactions_);
 }
 
 GroupPolicy Ownership::policyFor(std::size_t groups) const
--- a/src/app/ownership.h
+++ b/src/app/ownership.h
@@ -20,10 +20,10 @@
 class Ownership
 {
 public:
-    Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers events, Transactions &transactions, std::uint64_t seed);
+    Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers handlers, Transactions &transactions, std::uint64_t seed);
 
     /// Begins, changes and ends owners as \a view says; ended ones finish their statements.
-    void reconcile(const entry::FleetView &view);
+    void reconcile(const entry::FleetView &fleet);
 
     /// Takes in the members that the platform's list says are leaving.
     void setListedLeaving(std::vector<MemberName> leaving);
@@ -41,7 +41,7 @@
     [[nodiscard]] std::vector<GroupName> firstOwned() const;
 
     /// The plans for members of groups where this proxy is the first owner.
-    [[nodiscard]] std::vector<DuePlan> plansToWatch() const;
+    [[nodiscard]] std::vector<DuePlan> plansToMonitor() const;
 
     /// All owned groups, sorted by name.
     [[nodiscard]] std::vector<std::shared_ptr<GroupOwner>> all() const;
@@ -67,17 +67,17 @@
         TimePoint since;
     };
 
-    [[nodiscard]] std::shared_ptr<GroupOwner> makeOwner(const entry::FleetView &view,
+    [[nodiscard]] std::shared_ptr<GroupOwner> makeOwner(const entry::FleetView &fleet,
                                                         const GroupName &name,
                                                         const DatabaseGroup &record,
                                                         const std::vector<LiveInstance> &owners,
                                                         unsigned rank);
     [[nodiscard]] GroupPolicy policyFor(std::size_t groups) const;
-    void tellLeaving();
+    void publishLeaving();
 
     const Settings &settings_;
     LiveInstance self_;
-    GroupOwnerHandlers events_;
+    GroupOwnerHandlers handlers_;
     Transactions &transactions_;
     std::uint64_t seed_;
     mutable std::mutex mutex_;
--- /dev/null
+++ b/src/app/planmonitor.cpp
@@ -0,0 +1,84 @@
+// Decides for each due plan how far it has come.
+#include "app/planmonitor.h"
+
+#include "logging/log.h"
+
+#include <algorithm>
+
+namespace cardamomstep {
+
+PlanMonitor::PlanMonitor(const Ownership &ownership,
+                         const Transactions &transactions,
+                         const ObservationExchange &observations,
+                         StatusWriter &status)
+    : ownership_(ownership)
+    , transactions_(transactions)
+    , observations_(observations)
+    , status_(status)
+{
+}
+
+void PlanMonitor::check()
+{
+    replaceLeavingPrimaries();
+    for (const auto &plan : ownership_.plansToMonitor()) {
+        checkPlan(plan);
+    }
+}
+
+void PlanMonitor::replaceLeavingPrimaries()
+{
+    for (const auto &group : ownership_.firstOwned()) {
+        const auto owner = ownership_.find(group);
+        if (!owner || !owner->leavingPrimary() || transactions_.countOf(group) > 0) {
+            continue;
+        }
+        const auto others = ownership_.otherOwners(group);
+        const bool free = std::none_of(others.begin(), others.end(), [&](const auto &other) {
+            const auto observed = observations_.query(other, *owner, group);
+            return observed && observed->openTransactions > 0;
+        });
+        if (free) {
+            owner->replaceLeavingPrimary();
+        }
+    }
+}
+
+void PlanMonitor::checkPlan(const DuePlan &plan)
+{
+    const auto owner = ownership_.find(plan.group);
+    if (!owner) {
+        return;
+    }
+    const auto primary = owner->snapshot().primary;
+    PlanSight observation;
+    observation.due = plan.due;
+    observation.leads = primary && primary->member == plan.member;
+    observation.quiet = plan.due && !observation.leads && isDrained(plan, *owner);
+    const auto progress = planProgress(observation);
+    const auto known = lastPublished_.find(plan.plan);
+    if (known != lastPublished_.end() && known->second == std::pair{plan.version, progress}) {
+        return;
+    }
+    lastPublished_[plan.plan] = {plan.version, progress};
+    status_.onPlan(plan.plan, progress, planDetail(observation));
+    logEvent(LogLevel::Info, "plan-progress", {{"plan", plan.plan.text()}, {"detail", planDetail(observation)}});
+}
+
+/// True when no owner has work at the plan's member, and all know of the plan.
+bool PlanMonitor::isDrained(const DuePlan &plan, const GroupOwner &owner) const
+{
+    const auto isBusy = [&plan](const std::vector<MemberName> &busy) {
+        return std::find(busy.begin(), busy.end(), plan.member) != busy.end();
+    };
+    if (isBusy(owner.busyMembers())) {
+        return false;
+    }
+    const auto others = ownership_.otherOwners(plan.group);
+    return std::all_of(others.begin(), others.end(), [&](const auto &other) {
+        const auto observed = observations_.query(other, owner, plan.group);
+        return observed && observed->revision.value >= plan.version && !isBusy(observed->busyMembers);
+    });
+}
+
+} // namespace cardamomstep
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -3,11 +3,11 @@
 
 #include "app/configurationservice.h"
 #include "app/membershipservice.h"
+#include "app/observationexchange.h"
 #include "app/operatorenvironment.h"
 #include "app/ownership.h"
-#include "app/peersightings.h"
 #include "app/periodic.h"
-#include "app/planwatch.h"
+#include "app/planmonitor.h"
 #include "app/statuswriter.h"
 #include "app/taskpool.h"
 #include "entry/callerapi.h"
@@ -109,8 +109,8 @@
     FleetEnvironment environment;
     RecordWriter records;
     StatusWriter status;
-    PeerSightings sightings;
-    PlanWatch plans;
+    ObservationExchange observations;
+    PlanMonitor plans;
     operators::OperatorApi<RecordWriter, FleetEnvironment> operatorApi;
     entry::Dispatcher dispatcher;
     entry::CallerApi callers;
@@ -138,8 +138,8 @@
     , environment(self.name, configuration, membership)
     , records(store, configuration, seed)
     , status(store, self.name, seed)
-    , sightings(self.name, ownership, configuration, transactions, peers, [this](TaskPool::Task task) { addTask(std::move(task)); })
-    , plans(ownership, transactions, sightings, status)
+    , observations(self.name, ownership, configuration, transactions, peers, [this](TaskPool::Task task) { addTask(std::move(task)); })
+    , plans(ownership, transactions, observations, status)
     , operatorApi(records, environment, {.token = given.operators.token})
     , dispatcher(self, dispatcherSources(), peers, transactions)
     , callers(callerServices(), {.tokenBytes = given.limits.tokenBytes, .maxWindow = given.limits.maxWindow}, given.limits.inFlight)
@@ -206,8 +206,8 @@
 
 GroupOwnerHandlers Proxy::Impl::groupEvents()
 {
-    GroupOwnerHandlers events;
-    events.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
+    GroupOwnerHandlers handlers;
+    handlers.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
         if (change.reason != PromotionReason::Observed) {
             status.onPromotion(group, change.previous, change.member, change.term, toText(change.reason));
         }
@@ -221,18 +221,18 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    events.auditEvent = [](const GroupName &group, const Note &note) {
+    handlers.auditEvent = [](const GroupName &group, const Note &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
     };
-    events.queryPeers = [this](const GroupName &group) {
-        addTask([this, group] { sightings.tell(group, std::nullopt); });
+    handlers.queryPeers = [this](const GroupName &group) {
+        addTask([this, group] { observations.publish(group, std::nullopt); });
     };
-    events.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
-        addTask([this, group, span] { sightings.tell(group, span); });
+    handlers.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
+        addTask([this, group, span] { observations.publish(group, span); });
     };
-    return events;
+    return handlers;
 }
 
 peer::Handlers Proxy::Impl::peerHandlers()
@@ -252,11 +252,11 @@
     handlers.snapshot = [this] {
         return membership.snapshot();
     };
-    handlers.spread = [this](const SpreadMessage &message) {
+    handlers.gossip = [this](const SpreadMessage &message) {
         return configuration.onRequest(message);
     };
-    handlers.sight = [this](const peer::Sighting &seen) {
-        return sightings.sighted(seen);
+    handlers.exchangeObservations = [this](const peer::GroupObservation &received) {
+        return observations.onObservation(received);
     };
     return handlers;
 }
@@ -332,7 +332,7 @@
 
 entry::FleetView Proxy::Impl::view() const
 {
-    const auto currency = configuration.currency();
+    const auto currency = configuration.configurationFreshness();
     const bool mayServe = currency == CurrencyState::Current || currency == CurrencyState::StoreSilent;
     return {configuration.catalog(), membership.owners(), mayServe};
 }
@@ -365,7 +365,7 @@
     }
     const auto owners = membership.owners();
     configuration.setInstances(owners, membership.listedDomains());
-    membership.setConfiguration(configuration.revision());
+    membership.setConfigurationRevision(configuration.revision());
     store.setBudget(callBudgetFor(owners->instances().size()));
     ownership.reconcile({configuration.catalog(), owners, true});
 }
@@ -393,14 +393,14 @@
     }
     yieldIdleTransactions();
     configuration.setInstances(membership.owners(), membership.listedDomains());
-    membership.setConfiguration(configuration.revision());
+    membership.setConfigurationRevision(configuration.revision());
     if (++maintenanceRound % planRounds == 0) {
         const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
         if (instancePlanDue(*configuration.catalog(), self.name, now)) {
             beginLeaving();
         }
         ownership.refresh();
-        plans.look();
+        plans.check();
     }
     return maintenancePeriod;
 }
--- a/src/peer/client.cpp
+++ b/src/peer/client.cpp
@@ -34,10 +34,10 @@
 
     /// Makes one call by \a call(stub, context); connects first, so that a failure to connect is known as not sent.
     template<typename T, typename Call>
-    PeerResult<T> run(const Address &peer, Microseconds timeout, Microseconds connectWithin, Call call)
+    PeerResult<T> run(const Address &peer, Microseconds timeout, Microseconds connectTimeout, Call call)
     {
         const auto channel = channels.to(peer);
-        if (!channel->WaitForConnected(deadlineAfter(std::min(timeout, connectWithin)))) {
+        if (!channel->WaitForConnected(deadlineAfter(std::min(timeout, connectTimeout)))) {
             const bool refused = channel->GetState(false) == GRPC_CHANNEL_TRANSIENT_FAILURE;
             return Failure{true, refused, "cannot connect to " + peer.text()};
         }
@@ -57,10 +57,10 @@
 
 Client::~Client() = default;
 
-PeerResult<Answer> Client::execute(const Address &peer, const Statement &statement, Microseconds remaining, Milliseconds connectWithin)
+PeerResult<Answer> Client::execute(const Address &peer, const Statement &statement, Microseconds remaining, Milliseconds connectTimeout)
 {
     const auto request = impl::encode(statement, remaining);
-    return impl_->run<Answer>(peer, remaining, connectWithin, [&request](auto &stub, auto &context) -> PeerResult<Answer> {
+    return impl_->run<Answer>(peer, remaining, connectTimeout, [&request](auto &stub, auto &context) -> PeerResult<Answer> {
         impl::wire::StatementReply reply;
         const auto status = stub.Execute(&context, request, &reply);
         if (!status.ok()) {
@@ -96,7 +96,7 @@
         });
 }
 
-PeerResult<SpreadMessage> Client::spread(const Address &peer, const SpreadMessage &message, Milliseconds timeout)
+PeerResult<SpreadMessage> Client::gossip(const Address &peer, const SpreadMessage &message, Milliseconds timeout)
 {
     const auto request = impl::encode(message);
     return impl_->run<SpreadMessage>(peer, timeout, timeout, [&request](auto &stub, auto &context) -> PeerResult<SpreadMessage> {
@@ -109,10 +109,10 @@
     });
 }
 
-PeerResult<Sighting> Client::sight(const Address &peer, const Sighting &sighting, Milliseconds timeout)
+PeerResult<GroupObservation> Client::exchangeObservations(const Address &peer, const GroupObservation &observation, Milliseconds timeout)
 {
-    const auto request = impl::encode(sighting);
-    return impl_->run<Sighting>(peer, timeout, timeout, [&request](auto &stub, auto &context) -> PeerResult<Sighting> {
+    const auto request = impl::encode(observation);
+    return impl_->run<GroupObservation>(peer, timeout, timeout, [&request](auto &stub, auto &context) -> PeerResult<GroupObservation> {
         impl::wire::SightingMessage reply;
         const auto status = stub.Sight(&context, request, &reply);
         if (!status.ok()) {
--- a/src/peer/client.h
+++ b/src/peer/client.h
@@ -45,7 +45,7 @@
 
     /// Runs \a statement at the peer; \a remaining is the time left, of which \a connectWithin may go into connecting.
     [[nodiscard]] PeerResult<Answer>
-    execute(const Address &peer, const Statement &statement, Microseconds remaining, Milliseconds connectWithin);
+    execute(const Address &peer, const Statement &statement, Microseconds remaining, Milliseconds connectTimeout);
 
     /// Sends a probe.
     [[nodiscard]] PeerResult<Ping> ping(const Address &peer, const Ping &ping, Milliseconds timeout);
@@ -54,10 +54,11 @@
     [[nodiscard]] PeerResult<std::vector<SharedUpdate>> snapshot(const Address &peer, Milliseconds timeout);
 
     /// Compares the configuration.
-    [[nodiscard]] PeerResult<SpreadMessage> spread(const Address &peer, const SpreadMessage &message, Milliseconds timeout);
+    [[nodiscard]] PeerResult<SpreadMessage> gossip(const Address &peer, const SpreadMessage &message, Milliseconds timeout);
 
     /// Tells and asks about a group's primary.
-    [[nodiscard]] PeerResult<Sighting> sight(const Address &peer, const Sighting &sighting, Milliseconds timeout);
+    [[nodiscard]] PeerResult<GroupObservation>
+    exchangeObservations(const Address &peer, const GroupObservation &observation, Milliseconds timeout);
 
     /// Drops the channel to \a peer, for one that went away for good.
     void forget(const Address &peer);
--- a/src/peer/fwd.h
+++ b/src/peer/fwd.h
@@ -7,7 +7,7 @@
 struct Ping;
 struct Handlers;
 struct Credentials;
-struct Sighting;
+struct GroupObservation;
 class Client;
 class Server;
 
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -223,22 +223,22 @@
     return decodeUpdates(message.updates());
 }
 
-wire::SpreadMessage encode(const SpreadMessage &spread)
+wire::SpreadMessage encode(const SpreadMessage &gossip)
 {
     wire::SpreadMessage message;
-    message.set_from(spread.from.text());
-    message.set_domain(spread.domain.text());
-    message.mutable_digest()->set_complete(spread.digest.complete.value);
-    message.mutable_digest()->set_highest(spread.digest.highest.value);
-    message.mutable_digest()->set_hash(spread.digest.hash);
-    if (spread.delta) {
-        *message.mutable_delta() = encodeDelta(*spread.delta);
+    message.set_from(gossip.from.text());
+    message.set_domain(gossip.domain.text());
+    message.mutable_digest()->set_complete(gossip.digest.complete.value);
+    message.mutable_digest()->set_highest(gossip.digest.highest.value);
+    message.mutable_digest()->set_hash(gossip.digest.hash);
+    if (gossip.delta) {
+        *message.mutable_delta() = encodeDelta(*gossip.delta);
     }
-    if (spread.confirmation) {
-        message.mutable_confirmation()->set_revision(spread.confirmation->revision.value);
-        message.mutable_confirmation()->set_age_ms(spread.confirmation->age.count());
+    if (gossip.confirmation) {
+        message.mutable_confirmation()->set_revision(gossip.confirmation->revision.value);
+        message.mutable_confirmation()->set_age_ms(gossip.confirmation->age.count());
     }
-    for (const auto &heard : spread.heard) {
+    for (const auto &heard : gossip.heard) {
         auto *entry = message.add_heard();
         entry->set_domain(heard.domain.text());
         entry->set_age_ms(heard.age.count());
@@ -248,61 +248,61 @@
 
 SpreadMessage decode(const wire::SpreadMessage &message)
 {
-    SpreadMessage spread;
-    spread.from = InstanceName{message.from()};
-    spread.domain = FailureDomain{message.domain()};
+    SpreadMessage gossip;
+    gossip.from = InstanceName{message.from()};
+    gossip.domain = FailureDomain{message.domain()};
     const auto &digest = message.digest();
-    spread.digest = {Revision{digest.complete()}, Revision{digest.highest()}, digest.hash()};
+    gossip.digest = {Revision{digest.complete()}, Revision{digest.highest()}, digest.hash()};
     if (message.has_delta()) {
-        spread.delta = decodeDelta(message.delta());
+        gossip.delta = decodeDelta(message.delta());
     }
     if (message.has_confirmation()) {
-        spread.confirmation = StoreConfirmation{Revision{message.confirmation().revision()}, Milliseconds{message.confirmation().age_ms()}};
+        gossip.confirmation = StoreConfirmation{Revision{message.confirmation().revision()}, Milliseconds{message.confirmation().age_ms()}};
     }
     for (const auto &heard : message.heard()) {
-        spread.heard.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
+        gossip.heard.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
     }
-    return spread;
+    return gossip;
 }
 
-wire::SightingMessage encode(const Sighting &sighting)
+wire::SightingMessage encode(const GroupObservation &observation)
 {
     wire::SightingMessage message;
-    message.set_from(sighting.from.text());
-    message.set_group(sighting.group.text());
-    message.set_primary(sighting.seen.primary.text());
-    message.set_term(toText(sighting.seen.term));
-    message.set_highest(toText(sighting.seen.highest));
-    message.set_log(toText(sighting.seen.log));
-    message.set_age_ms(sighting.seen.age.count());
-    message.set_hold_ms(sighting.hold ? sighting.hold->count() : absent);
-    message.set_revision(sighting.revision.value);
-    message.set_transactions(sighting.transactions);
-    for (const auto &member : sighting.busy) {
+    message.set_from(observation.from.text());
+    message.set_group(observation.group.text());
+    message.set_primary(observation.observation.primary.text());
+    message.set_term(toText(observation.observation.term));
+    message.set_highest(toText(observation.observation.highest));
+    message.set_log(toText(observation.observation.log));
+    message.set_age_ms(observation.observation.age.count());
+    message.set_hold_ms(observation.writePause ? observation.writePause->count() : absent);
+    message.set_revision(observation.revision.value);
+    message.set_transactions(observation.openTransactions);
+    for (const auto &member : observation.busyMembers) {
         message.add_busy(member.text());
     }
     return message;
 }
 
-Sighting decode(const wire::SightingMessage &message)
+GroupObservation decode(const wire::SightingMessage &message)
 {
-    Sighting sighting;
-    sighting.from = InstanceName{message.from()};
-    sighting.group = GroupName{message.group()};
-    sighting.seen.primary = MemberName{message.primary()};
-    sighting.seen.term = termOrNone(message.term());
-    sighting.seen.highest = termOrNone(message.highest());
-    sighting.seen.log = markOrNone(message.log());
-    sighting.seen.age = Milliseconds{message.age_ms()};
+    GroupObservation observation;
+    observation.from = InstanceName{message.from()};
+    observation.group = GroupName{message.group()};
+    observation.observation.primary = MemberName{message.primary()};
+    observation.observation.term = termOrNone(message.term());
+    observation.observation.highest = termOrNone(message.highest());
+    observation.observation.log = markOrNone(message.log());
+    observation.observation.age = Milliseconds{message.age_ms()};
     if (message.hold_ms() >= 0) {
-        sighting.hold = Milliseconds{message.hold_ms()};
+        observation.writePause = Milliseconds{message.hold_ms()};
     }
-    sighting.revision = Revision{message.revision()};
-    sighting.transactions = message.transactions();
+    observation.revision = Revision{message.revision()};
+    observation.openTransactions = message.transactions();
     for (const auto &member : message.busy()) {
-        sighting.busy.emplace_back(member);
+        observation.busyMembers.emplace_back(member);
     }
-    return sighting;
+    return observation;
 }
 
 } // namespace cardamomstep::peer::impl
--- a/src/peer/impl/peercodec.h
+++ b/src/peer/impl/peercodec.h
@@ -17,9 +17,9 @@
 [[nodiscard]] Ping decode(const wire::PingMessage &message);
 [[nodiscard]] wire::SnapshotReply encode(const std::vector<SharedUpdate> &updates);
 [[nodiscard]] std::vector<SharedUpdate> decode(const wire::SnapshotReply &message);
-[[nodiscard]] wire::SpreadMessage encode(const SpreadMessage &spread);
+[[nodiscard]] wire::SpreadMessage encode(const SpreadMessage &gossip);
 [[nodiscard]] SpreadMessage decode(const wire::SpreadMessage &message);
-[[nodiscard]] wire::SightingMessage encode(const Sighting &sighting);
-[[nodiscard]] Sighting decode(const wire::SightingMessage &message);
+[[nodiscard]] wire::SightingMessage encode(const GroupObservation &observation);
+[[nodiscard]] GroupObservation decode(const wire::SightingMessage &message);
 
 } // namespace cardamomstep::peer::impl
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -23,18 +23,18 @@
 };
 
 /// What a proxy knows of a group's primary, and whether writes to it are to be held.
-struct Sighting {
+struct GroupObservation {
     InstanceName from;
     GroupName group;
-    PeerSighting seen;
+    PeerSighting observation;
     /// Hold writes for this long; zero releases them; absent says nothing about it.
-    std::optional<Milliseconds> hold;
+    std::optional<Milliseconds> writePause;
     /// Members at which the sender has statements or transactions.
-    std::vector<MemberName> busy;
+    std::vector<MemberName> busyMembers;
     /// Configuration revision in force at the sender.
     Revision revision;
     /// Transactions of the group that are open at the sender.
-    std::uint32_t transactions = 0;
+    std::uint32_t openTransactions = 0;
 };
 
 } // namespace cardamomstep::peer
--- a/src/peer/server.cpp
+++ b/src/peer/server.cpp
@@ -47,14 +47,14 @@
     grpc::Status
     Spread(grpc::ServerContext * /*context*/, const impl::wire::SpreadMessage *request, impl::wire::SpreadMessage *reply) override
     {
-        *reply = impl::encode(handlers_.spread(impl::decode(*request)));
+        *reply = impl::encode(handlers_.gossip(impl::decode(*request)));
         return grpc::Status::OK;
     }
 
     grpc::Status
     Sight(grpc::ServerContext * /*context*/, const impl::wire::SightingMessage *request, impl::wire::SightingMessage *reply) override
     {
-        *reply = impl::encode(handlers_.sight(impl::decode(*request)));
+        *reply = impl::encode(handlers_.exchangeObservations(impl::decode(*request)));
         return grpc::Status::OK;
     }
 
--- a/src/peer/server.h
+++ b/src/peer/server.h
@@ -18,8 +18,8 @@
     std::function<Answer(const Statement &, Microseconds remaining)> execute;
     std::function<Ping(const Ping &)> ping;
     std::function<std::vector<SharedUpdate>()> snapshot;
-    std::function<SpreadMessage(const SpreadMessage &)> spread;
-    std::function<Sighting(const Sighting &)> sight;
+    std::function<SpreadMessage(const SpreadMessage &)> gossip;
+    std::function<GroupObservation(const GroupObservation &)> exchangeObservations;
 };
 
 /// Listens for other proxies.
