--- a/src/app/operatorenvironment.cpp
+++ b/src/app/operatorenvironment.cpp
@@ -52,15 +52,15 @@
     configuration_.awaitRevision(Revision{revision}, wait);
 }
 
-std::vector<operators::ProxyView> FleetEnvironment::proxies() const
+std::vector<operators::ProxyInfo> FleetEnvironment::proxies() const
 {
-    std::vector<operators::ProxyView> infos;
+    std::vector<operators::ProxyInfo> infos;
     for (const auto &proxy : membership_.proxies()) {
         const auto &update = *proxy.update;
         if (update.state == ProxyState::Dead) {
             continue;
         }
-        operators::ProxyView info;
+        operators::ProxyInfo info;
         info.instance = update.instance.name;
         info.failureDomain = update.instance.domain;
         info.state = update.state == ProxyState::Leaving ? InstanceState::Draining : InstanceState::Ready;
--- a/src/app/operatorenvironment.h
+++ b/src/app/operatorenvironment.h
@@ -19,7 +19,7 @@
     [[nodiscard]] InstanceName self() const;
     [[nodiscard]] std::shared_ptr<const Catalog> catalog() const;
     void awaitRevision(std::uint64_t revision, Milliseconds wait);
-    [[nodiscard]] std::vector<operators::ProxyView> proxies() const;
+    [[nodiscard]] std::vector<operators::ProxyInfo> proxies() const;
     [[nodiscard]] WallTime now() const;
 
 private:
--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -56,7 +56,7 @@
 {
 }
 
-void Ownership::reconcile(const entry::FleetView &fleet)
+void Ownership::reconcile(const entry::FleetSnapshot &fleet)
 {
     const std::unique_lock lock(mutex_);
     std::map<GroupName, Owned> next;
@@ -160,7 +160,7 @@
     return plans;
 }
 
-std::shared_ptr<GroupOwner> Ownership::makeOwner(const entry::FleetView &fleet,
+std::shared_ptr<GroupOwner> Ownership::makeOwner(const entry::FleetSnapshot &fleet,
                                                  const GroupName &name,
                                                  const DatabaseGroup &record,
                                                  const std::vector<LiveInstance> &owners,
--- a/src/app/ownership.h
+++ b/src/app/ownership.h
@@ -23,7 +23,7 @@
     Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers handlers, Transactions &transactions, std::uint64_t seed);
 
     /// Begins, changes and ends owners as \a view says; ended ones finish their statements.
-    void reconcile(const entry::FleetView &fleet);
+    void reconcile(const entry::FleetSnapshot &fleet);
 
     /// Takes in the members that the platform's list says are leaving.
     void setListedLeaving(std::vector<MemberName> leaving);
@@ -67,7 +67,7 @@
         TimePoint since;
     };
 
-    [[nodiscard]] std::shared_ptr<GroupOwner> makeOwner(const entry::FleetView &fleet,
+    [[nodiscard]] std::shared_ptr<GroupOwner> makeOwner(const entry::FleetSnapshot &fleet,
                                                         const GroupName &name,
                                                         const DatabaseGroup &record,
                                                         const std::vector<LiveInstance> &owners,
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -79,7 +79,7 @@
     [[nodiscard]] entry::Dispatcher::Sources dispatcherSources();
 
     void addTask(TaskPool::Task task);
-    [[nodiscard]] entry::FleetView view() const;
+    [[nodiscard]] entry::FleetSnapshot fleet() const;
     [[nodiscard]] bool isReady() const;
     void onFleetChanged();
     void onListed(const std::vector<ListedInstance> &listed);
@@ -284,7 +284,7 @@
 
 entry::Dispatcher::Sources Proxy::Impl::dispatcherSources()
 {
-    return {[this] { return view(); },
+    return {[this] { return fleet(); },
             [this](const GroupName &group) {
                 return ownership.find(group);
             }};
@@ -330,7 +330,7 @@
     }
 }
 
-entry::FleetView Proxy::Impl::view() const
+entry::FleetSnapshot Proxy::Impl::fleet() const
 {
     const auto currency = configuration.configurationFreshness();
     const bool mayServe = currency == CurrencyState::Current || currency == CurrencyState::StoreSilent;
@@ -339,7 +339,7 @@
 
 bool Proxy::Impl::isReady() const
 {
-    return view().ready && !membership.isLeaving();
+    return fleet().ready && !membership.isLeaving();
 }
 
 void Proxy::Impl::onFleetChanged()
--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Milliseconds comeBackSoon{100};
+constexpr Milliseconds defaultRetryAfter{100};
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
 
@@ -93,7 +93,7 @@
     if (needsRequestId(*statement) && statement->requestId.empty()) {
         statement->requestId = services_.drawRequestId();
     }
-    auto answer = admitted(*statement, arrived);
+    auto answer = runAdmitted(*statement, arrived);
     if (answer.session.empty()) {
         answer.session = statement->session;
     }
@@ -101,7 +101,7 @@
     return writeAnswer(answer, statement->requestId);
 }
 
-Answer CallerApi::admitted(Statement &statement, TimePoint arrived)
+Answer CallerApi::runAdmitted(Statement &statement, TimePoint arrived)
 {
     const InFlight mine(inFlight_);
     const bool opensNothing = !statement.transaction.empty();
@@ -109,7 +109,7 @@
         return failedAnswer(Error{ErrorKind::Draining, "this proxy is stopping"}.comingBackAfter(Milliseconds{0}));
     }
     if (mine.before() >= maxInFlight_) {
-        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements at this proxy"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements at this proxy"}.comingBackAfter(defaultRetryAfter));
     }
     return services_.run(statement, arrived + statement.window);
 }
--- a/src/entry/callerapi.h
+++ b/src/entry/callerapi.h
@@ -61,7 +61,7 @@
 
 private:
     [[nodiscard]] http::Response runStatement(const http::Request &request);
-    [[nodiscard]] Answer admitted(Statement &statement, TimePoint arrived);
+    [[nodiscard]] Answer runAdmitted(Statement &statement, TimePoint arrived);
 
     CallerServices services_;
     CallerLimits limits_;
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Milliseconds connectWithin{150};
-constexpr Milliseconds comeBackSoon{100};
+constexpr Milliseconds defaultRetryAfter{100};
 /// Kept back from the window for the way back to the caller.
 constexpr Microseconds answerMargin{2'000};
 
@@ -19,9 +19,9 @@
 Answer lostAtPeer(const Statement &statement, const std::string &why)
 {
     if (statement.access == Access::Read && statement.verb == Verb::Execute) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.comingBackAfter(defaultRetryAfter));
     }
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(defaultRetryAfter));
 }
 
 /// True when the statement may be given to another owner after one took it and fell silent.
@@ -50,23 +50,23 @@
 
 Answer Dispatcher::run(Statement statement, TimePoint deadline)
 {
-    const auto view = sources_.view();
-    if (!view.ready) {
-        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(comeBackSoon));
+    const auto fleet = sources_.fleet();
+    if (!fleet.ready) {
+        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(defaultRetryAfter));
     }
     if (!statement.transaction.empty()) {
-        return runInTransaction(statement, view, deadline);
+        return runInTransaction(statement, fleet, deadline);
     }
-    const auto group = groupOf(statement, view);
+    const auto group = groupOf(statement, fleet);
     if (!group) {
         return failedAnswer(group.error());
     }
     statement.group = *group;
     if (!statement.acceptedAge) {
-        const auto *intent = view.catalog->intent(statement.service);
+        const auto *intent = fleet.catalog->intent(statement.service);
         statement.acceptedAge = intent == nullptr ? std::nullopt : intent->acceptedAge;
     }
-    return runAtOwners(statement, view, deadline);
+    return runAtOwners(statement, fleet, deadline);
 }
 
 Answer Dispatcher::runForwarded(const Statement &statement, TimePoint deadline)
@@ -74,16 +74,16 @@
     return runLocally(statement, deadline);
 }
 
-Result<GroupName> Dispatcher::groupOf(const Statement &statement, const FleetView &view) const
+Result<GroupName> Dispatcher::groupOf(const Statement &statement, const FleetSnapshot &fleet) const
 {
-    auto group = view.catalog->groupFor(statement.service, statement.key);
-    if (group && view.catalog->group(*group) == nullptr) {
+    auto group = fleet.catalog->groupFor(statement.service, statement.key);
+    if (group && fleet.catalog->group(*group) == nullptr) {
         return Error{ErrorKind::UnknownGroup, "no record describes the group " + group->text()};
     }
     return group;
 }
 
-Answer Dispatcher::runInTransaction(const Statement &statement, const FleetView &view, TimePoint deadline)
+Answer Dispatcher::runInTransaction(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline)
 {
     const auto owner = TransactionRegistry::ownerOf(statement.transaction);
     if (!owner) {
@@ -91,7 +91,7 @@
     }
     auto routed = statement;
     if (!statement.key.empty()) {
-        const auto group = groupOf(statement, view);
+        const auto group = groupOf(statement, fleet);
         if (!group) {
             return failedAnswer(group.error());
         }
@@ -100,11 +100,11 @@
     if (*owner == self_.name) {
         return runLocally(routed, deadline);
     }
-    const auto &instances = view.instances->instances();
+    const auto &instances = fleet.instances->instances();
     const auto found = std::find_if(instances.begin(), instances.end(), [&owner](const auto &instance) { return instance.name == *owner; });
     if (found == instances.end()) {
         const auto kind = statement.verb == Verb::Commit ? ErrorKind::OutcomeUnknown : ErrorKind::TransactionAborted;
-        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.comingBackAfter(defaultRetryAfter));
     }
     const auto result = peers_.execute(found->address, routed, deadline - steadyNow() - answerMargin, connectWithin);
     if (const auto *answer = std::get_if<Answer>(&result)) {
@@ -112,16 +112,16 @@
     }
     const auto &failure = std::get<peer::Failure>(result);
     if (failure.notSent || statement.verb != Verb::Commit) {
-        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.comingBackAfter(defaultRetryAfter));
     }
     return lostAtPeer(statement, failure.description);
 }
 
-Answer Dispatcher::runAtOwners(const Statement &statement, const FleetView &view, TimePoint deadline)
+Answer Dispatcher::runAtOwners(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline)
 {
-    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.comingBackAfter(comeBackSoon));
+    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.comingBackAfter(defaultRetryAfter));
     bool taken = false;
-    for (const auto *owner : ownersNearFirst(view, statement.group)) {
+    for (const auto *owner : ownersByProximity(fleet, statement.group)) {
         const auto remaining = deadline - steadyNow() - answerMargin;
         if (remaining <= Microseconds{0}) {
             break;
@@ -144,7 +144,7 @@
         const auto &failure = std::get<peer::Failure>(result);
         taken = taken || !failure.notSent;
         last = taken ? lostAtPeer(statement, failure.description)
-                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.comingBackAfter(comeBackSoon));
+                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.comingBackAfter(defaultRetryAfter));
         if (taken && !mayGoToAnotherOwner(statement)) {
             break;
         }
@@ -167,15 +167,15 @@
         return failedAnswer(Error{ErrorKind::TransactionUnknown, "the transaction is not open here"});
     }
     if (!owner) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.comingBackAfter(defaultRetryAfter));
     }
     return owner->run(statement, deadline);
 }
 
-std::vector<const LiveInstance *> Dispatcher::ownersNearFirst(const FleetView &view, const GroupName &group) const
+std::vector<const LiveInstance *> Dispatcher::ownersByProximity(const FleetSnapshot &fleet, const GroupName &group) const
 {
-    const auto *record = view.catalog->group(group);
-    auto owners = view.instances->owners(group, domainsOf(*record));
+    const auto *record = fleet.catalog->group(group);
+    auto owners = fleet.instances->owners(group, domainsOf(*record));
     std::stable_partition(owners.begin(), owners.end(), [this](const auto *owner) { return owner->domain == self_.domain; });
     std::stable_partition(owners.begin(), owners.end(), [this](const auto *owner) { return owner->name == self_.name; });
     return owners;
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -16,7 +16,7 @@
 namespace cardamomstep::entry {
 
 /// What the dispatcher sees of the fleet and its configuration at one moment.
-struct FleetView {
+struct FleetSnapshot {
     std::shared_ptr<const Catalog> catalog;
     std::shared_ptr<const InstanceSet> instances;
     /// True once the configuration is known.
@@ -30,7 +30,7 @@
     /// Where the dispatcher takes its knowledge from.
     struct Sources {
         /// The fleet now.
-        std::function<FleetView()> view;
+        std::function<FleetSnapshot()> fleet;
         /// The owner of a group in this process; null when it does not own the group.
         std::function<std::shared_ptr<GroupOwner>(const GroupName &)> localOwner;
     };
@@ -44,11 +44,11 @@
     [[nodiscard]] Answer runForwarded(const Statement &statement, TimePoint deadline);
 
 private:
-    [[nodiscard]] Answer runInTransaction(const Statement &statement, const FleetView &view, TimePoint deadline);
-    [[nodiscard]] Answer runAtOwners(const Statement &statement, const FleetView &view, TimePoint deadline);
+    [[nodiscard]] Answer runInTransaction(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline);
+    [[nodiscard]] Answer runAtOwners(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline);
     [[nodiscard]] Answer runLocally(const Statement &statement, TimePoint deadline);
-    [[nodiscard]] std::vector<const LiveInstance *> ownersNearFirst(const FleetView &view, const GroupName &group) const;
-    [[nodiscard]] Result<GroupName> groupOf(const Statement &statement, const FleetView &view) const;
+    [[nodiscard]] std::vector<const LiveInstance *> ownersByProximity(const FleetSnapshot &fleet, const GroupName &group) const;
+    [[nodiscard]] Result<GroupName> groupOf(const Statement &statement, const FleetSnapshot &fleet) const;
 
     LiveInstance self_;
     Sources sources_;
--- a/src/entry/fwd.h
+++ b/src/entry/fwd.h
@@ -4,7 +4,7 @@
 namespace cardamomstep::entry {
 
 struct CallerLimits;
-struct FleetView;
+struct FleetSnapshot;
 class CallerApi;
 class Dispatcher;
 
--- a/src/operators/answers.cpp
+++ b/src/operators/answers.cpp
@@ -80,7 +80,7 @@
     return "draining";
 }
 
-Json toJson(const ProxyView &proxy)
+Json toJson(const ProxyInfo &proxy)
 {
     auto forms = Json::array();
     for (const auto &form : proxy.forms) {
@@ -90,7 +90,7 @@
             {"failureDomain", proxy.failureDomain.text()},
             {"state", toText(proxy.state)},
             {"revision", proxy.revision},
-            {"silenceMs", proxy.silence.count()},
+            {"silenceMs", proxy.timeSinceContact.count()},
             {"forms", std::move(forms)}};
 }
 
@@ -202,7 +202,7 @@
 
 http::Response listAnswer(const Catalog &catalog, RecordKind kind, const http::Request &request)
 {
-    const auto limit = numberParameter(request, "limit", maxPage, maxPage);
+    const auto limit = numberParameter(request, "limit", maxPageRecords, maxPageRecords);
     if (!limit) {
         return failureAnswer({limit.error()});
     }
@@ -222,7 +222,7 @@
 }
 
 http::Response
-statusAnswer(const InstanceName &self, const Catalog &catalog, const std::vector<ProxyView> &proxies, const http::Request &request)
+statusAnswer(const InstanceName &self, const Catalog &catalog, const std::vector<ProxyInfo> &proxies, const http::Request &request)
 {
     const auto behind = numberParameter(request, "behind", UINT64_MAX, UINT64_MAX);
     if (!behind) {
@@ -249,8 +249,8 @@
     const bool reset = after == 0 || after < catalog.deletionFloor();
     auto changes = reset ? std::vector<WatchedChange>{} : changesAfter(catalog, after);
     auto revision = catalog.revision();
-    if (changes.size() > maxPage) {
-        changes.resize(maxPage);
+    if (changes.size() > maxPageRecords) {
+        changes.resize(maxPageRecords);
         revision = changes.back().version;
     }
     auto list = Json::array();
--- a/src/operators/answers.h
+++ b/src/operators/answers.h
@@ -16,7 +16,7 @@
 namespace cardamomstep::operators {
 
 /// Most records of one page of a list.
-inline constexpr std::uint64_t maxPage = 1000;
+inline constexpr std::uint64_t maxPageRecords = 1000;
 /// Longest wait of a watch.
 inline constexpr std::uint64_t maxWatchMs = 30'000;
 
@@ -50,7 +50,7 @@
 
 /// State of the fleet; only the proxies whose configuration has not come up to the query's `behind`, when that is given.
 [[nodiscard]] http::Response
-statusAnswer(const InstanceName &self, const Catalog &catalog, const std::vector<ProxyView> &proxies, const http::Request &request);
+statusAnswer(const InstanceName &self, const Catalog &catalog, const std::vector<ProxyInfo> &proxies, const http::Request &request);
 
 /// Changes of records after \a after, at most maxPage of them; the answer's revision is what to ask after next.
 ///
--- a/src/operators/api.h
+++ b/src/operators/api.h
@@ -20,9 +20,9 @@
     /// Bearer token that every request must carry.
     std::string token;
     /// Longest wait for a revision that a request needs to be in force here.
-    Milliseconds revisionWait{2000};
+    Milliseconds maxRevisionWait{2000};
     /// Attempts at a change without an expected version, when others change the same record.
-    unsigned attempts = 4;
+    unsigned maxAttempts = 4;
 };
 
 /// Answers operators' requests; safe for use by many threads when the store and the environment are.
@@ -60,7 +60,7 @@
         if (!isInForce(route->minRevision)) {
             return failureAnswer(
                 {Error{ErrorKind::NotReady, "revision " + std::to_string(route->minRevision) + " is not in force here yet"}.comingBackAfter(
-                    options_.revisionWait)});
+                    options_.maxRevisionWait)});
         }
         return dispatch(*route, request);
     }
@@ -90,7 +90,7 @@
     [[nodiscard]] bool isInForce(std::uint64_t revision)
     {
         if (environment_.catalog()->revision() < revision) {
-            environment_.awaitRevision(revision, options_.revisionWait);
+            environment_.awaitRevision(revision, options_.maxRevisionWait);
         }
         return environment_.catalog()->revision() >= revision;
     }
@@ -121,7 +121,7 @@
                 return changeAnswer(*answer);
             }
             const bool moved = answer.faults().front().kind == ErrorKind::Conflict && !route.expected;
-            if (!moved || attempt >= options_.attempts) {
+            if (!moved || attempt >= options_.maxAttempts) {
                 return failureAnswer(answer.faults());
             }
         }
@@ -138,9 +138,9 @@
         if (const auto conflict = checkExpected(route, answer.fromVersion)) {
             return std::vector<Error>{*conflict};
         }
-        const ChangeMark mark{route.who, environment_.now()};
+        const ChangeMark stamp{route.who, environment_.now()};
         const auto *replaced = current ? &*current : nullptr;
-        auto proposed = proposeChange(candidate, replaced, *environment_.catalog(), environment_.proxies(), mark);
+        auto proposed = proposeChange(candidate, replaced, *environment_.catalog(), environment_.proxies(), stamp);
         if (!proposed) {
             return proposed.faults();
         }
@@ -156,7 +156,7 @@
         }
         answer.written = true;
         answer.toVersion = *version;
-        answer.audited = audit(auditRecord(route.key, mark, answer.fromVersion, answer.toVersion, answer.changes, false));
+        answer.audited = audit(auditRecord(route.key, stamp, answer.fromVersion, answer.toVersion, answer.changes, false));
         return answer;
     }
 
@@ -189,8 +189,8 @@
         }
         answer.written = true;
         answer.toVersion = *revision;
-        const ChangeMark mark{route.who, environment_.now()};
-        answer.audited = audit(auditRecord(route.key, mark, answer.fromVersion, answer.toVersion, answer.changes, true));
+        const ChangeMark stamp{route.who, environment_.now()};
+        answer.audited = audit(auditRecord(route.key, stamp, answer.fromVersion, answer.toVersion, answer.changes, true));
         return changeAnswer(answer);
     }
 
--- a/src/operators/change.cpp
+++ b/src/operators/change.cpp
@@ -18,7 +18,7 @@
 /// Digits of the largest version.
 constexpr std::size_t versionDigits = 20;
 
-std::vector<ReadableForms> readableForms(const std::vector<ProxyView> &proxies)
+std::vector<ReadableForms> readableForms(const std::vector<ProxyInfo> &proxies)
 {
     std::vector<ReadableForms> forms;
     forms.reserve(proxies.size());
@@ -69,7 +69,7 @@
 Checked<ProposedChange> proposeChange(const Record &candidate,
                                       const StoredText *current,
                                       const Catalog &catalog,
-                                      const std::vector<ProxyView> &proxies,
+                                      const std::vector<ProxyInfo> &proxies,
                                       const ChangeMark &change)
 {
     std::optional<Record> before;
@@ -132,11 +132,11 @@
 
 std::vector<StoredText> entriesToDrop(std::vector<StoredText> entries)
 {
-    if (entries.size() <= auditEntriesKept) {
+    if (entries.size() <= maxAuditEntries) {
         return {};
     }
     std::sort(entries.begin(), entries.end(), [](const StoredText &left, const StoredText &right) { return left.version < right.version; });
-    entries.resize(std::min(entries.size() - auditEntriesKept, auditEntriesDroppedAtOnce));
+    entries.resize(std::min(entries.size() - maxAuditEntries, maxAuditEntriesDroppedAtOnce));
     return entries;
 }
 
--- a/src/operators/change.h
+++ b/src/operators/change.h
@@ -22,9 +22,9 @@
 inline constexpr std::size_t maxAuditChanges = 32;
 inline constexpr std::size_t maxAuditValueBytes = 128;
 /// Audit entries that are kept; above, the oldest go.
-inline constexpr std::size_t auditEntriesKept = 4096;
+inline constexpr std::size_t maxAuditEntries = 4096;
 /// Most entries that one pass of cleaning up removes.
-inline constexpr std::size_t auditEntriesDroppedAtOnce = 256;
+inline constexpr std::size_t maxAuditEntriesDroppedAtOnce = 256;
 
 /// A change that passed all checks.
 struct ProposedChange {
@@ -43,7 +43,7 @@
 [[nodiscard]] Checked<ProposedChange> proposeChange(const Record &candidate,
                                                     const StoredText *current,
                                                     const Catalog &catalog,
-                                                    const std::vector<ProxyView> &proxies,
+                                                    const std::vector<ProxyInfo> &proxies,
                                                     const ChangeMark &change);
 
 /// The conflict of \a route's expected version with \a current (0 when there is none); none when they agree.
--- a/src/operators/environment.h
+++ b/src/operators/environment.h
@@ -15,7 +15,7 @@
 namespace cardamomstep::operators {
 
 /// What is known of one live proxy.
-struct ProxyView {
+struct ProxyInfo {
     InstanceName instance;
     FailureDomain failureDomain;
     InstanceState state = InstanceState::Ready;
@@ -24,7 +24,7 @@
     /// Forms of records that it reads.
     std::vector<RecordForm> forms;
     /// Time since it was last heard.
-    Milliseconds silence{0};
+    Milliseconds timeSinceContact{0};
 };
 
 /// The proxy and its fleet, as the operators' interface sees them; called by many threads at once.
@@ -46,7 +46,7 @@
     environment.awaitRevision(revision, wait);
     {
         environment.proxies()
-        } -> std::same_as<std::vector<ProxyView>>;
+        } -> std::same_as<std::vector<ProxyInfo>>;
     {
         environment.now()
         } -> std::same_as<WallTime>;
--- a/src/operators/fwd.h
+++ b/src/operators/fwd.h
@@ -4,7 +4,7 @@
 namespace cardamomstep::operators {
 
 struct StoredText;
-struct ProxyView;
+struct ProxyInfo;
 struct Route;
 struct ProposedChange;
 struct HistoryFilter;
--- a/src/operators/route.cpp
+++ b/src/operators/route.cpp
@@ -108,7 +108,7 @@
         return route;
     }
     route->who = request.header("x-operator");
-    if (route->who.size() > maxOperatorName || !isPrintable(route->who)) {
+    if (route->who.size() > maxOperatorNameBytes || !isPrintable(route->who)) {
         return malformed("x-operator: expected at most 128 printable characters");
     }
     const auto expected = request.header("if-match");
--- a/src/operators/route.h
+++ b/src/operators/route.h
@@ -25,7 +25,7 @@
 };
 
 /// Longest name of an operator.
-inline constexpr std::size_t maxOperatorName = 128;
+inline constexpr std::size_t maxOperatorNameBytes = 128;
 
 /// A request, taken apart.
 struct Route {
--- a/tests/operators/fakes.h
+++ b/tests/operators/fakes.h
@@ -141,7 +141,7 @@
 struct FakeProxy {
     MemoryStore &store;
     /// Other proxies; what they have in force is set by the test.
-    std::vector<operators::ProxyView> others;
+    std::vector<operators::ProxyInfo> others;
     std::atomic<std::int64_t> clockMs{1000};
 
     InstanceName self() const
@@ -156,7 +156,7 @@
     {
         store.awaitRevision(revision, wait);
     }
-    std::vector<operators::ProxyView> proxies()
+    std::vector<operators::ProxyInfo> proxies()
     {
         auto all = others;
         all.push_back({self(), FailureDomain{"d1"}, InstanceState::Ready, store.catalog()->revision(), ownForms(), Milliseconds{0}});
--- a/tests/operators/test_operators.cpp
+++ b/tests/operators/test_operators.cpp
@@ -203,13 +203,13 @@
     cr_assert(std::get<AuditEntry>(record.spec).truncated);
     cr_assert(writeRecord(record).size() < 8192);
     std::vector<StoredText> entries;
-    for (std::uint64_t version = 1; version <= auditEntriesKept + 10; ++version) {
+    for (std::uint64_t version = 1; version <= maxAuditEntries + 10; ++version) {
         entries.push_back({{RecordKind::AuditEntry, RecordName{std::to_string(version)}}, version, {}});
     }
     std::reverse(entries.begin(), entries.end());
     const auto dropped = entriesToDrop(entries);
     cr_assert(dropped.size() == 10 && dropped.front().version == 1 && dropped.back().version == 10);
-    entries.resize(auditEntriesKept);
+    entries.resize(maxAuditEntries);
     cr_assert(entriesToDrop(entries).empty());
 }
 
