--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -167,25 +167,25 @@
 {
 }
 
-Checked<nlohmann::json> OperatorClient::ask(const Question &question)
+Checked<nlohmann::json> OperatorClient::send(const ApiRequest &apiRequest)
 {
-    http::Request request{question.method, question.path, question.query, {}, question.body};
+    http::Request request{apiRequest.method, apiRequest.path, apiRequest.query, {}, apiRequest.body};
     request.headers["authorization"] = "Bearer " + options_.token;
     request.headers["x-operator"] = options_.who;
-    if (question.expected) {
-        request.headers["if-match"] = std::to_string(*question.expected);
+    if (apiRequest.expected) {
+        request.headers["if-match"] = std::to_string(*apiRequest.expected);
     }
-    if (question.minRevision > 0) {
-        request.headers["x-min-revision"] = std::to_string(question.minRevision);
+    if (apiRequest.minRevision > 0) {
+        request.headers["x-min-revision"] = std::to_string(apiRequest.minRevision);
     }
-    const auto timeout = options_.timeout + question.wait;
+    const auto timeout = options_.timeout + apiRequest.extraWait;
     const bool wasOpen = connection_.isOpen();
-    auto answer = askOnce(request, timeout);
+    auto answer = sendOnce(request, timeout);
     const bool staleConnection = !answer && wasOpen && isRead(request) && answer.faults().front().kind == ErrorKind::EndpointUnreachable;
-    return staleConnection ? askOnce(request, timeout) : answer;
+    return staleConnection ? sendOnce(request, timeout) : answer;
 }
 
-Checked<nlohmann::json> OperatorClient::askOnce(const http::Request &request, Milliseconds timeout)
+Checked<nlohmann::json> OperatorClient::sendOnce(const http::Request &request, Milliseconds timeout)
 {
     const auto result = connection_.exchange(request, timeout);
     if (!result.response) {
--- a/src/cli/client.h
+++ b/src/cli/client.h
@@ -36,7 +36,7 @@
 [[nodiscard]] Checked<ClientOptions> readClientOptions(const CommandLine &line);
 
 /// A request of a command.
-struct Question {
+struct ApiRequest {
     std::string method = "GET";
     std::string path;
     std::map<std::string, std::string> query;
@@ -46,7 +46,7 @@
     /// Revision that must be in force at the proxy first.
     std::uint64_t minRevision = 0;
     /// Time that the proxy may take on purpose, on top of the timeout.
-    Milliseconds wait{0};
+    Milliseconds extraWait{0};
 };
 
 /// Asks one proxy.
@@ -59,10 +59,10 @@
     ///
     /// The faults are those of the proxy's answer. Without an answer: ErrorKind::EndpointUnreachable for a read or where nothing was
     /// sent, ErrorKind::OutcomeUnknown for a change that may have arrived. Reads are asked again once.
-    [[nodiscard]] Checked<nlohmann::json> ask(const Question &question);
+    [[nodiscard]] Checked<nlohmann::json> send(const ApiRequest &apiRequest);
 
 private:
-    [[nodiscard]] Checked<nlohmann::json> askOnce(const http::Request &request, Milliseconds timeout);
+    [[nodiscard]] Checked<nlohmann::json> sendOnce(const http::Request &request, Milliseconds timeout);
 
     ClientOptions options_;
     http::Connection connection_;
--- a/src/cli/impl/apply.cpp
+++ b/src/cli/impl/apply.cpp
@@ -35,9 +35,9 @@
     bool anyDifference = false;
 };
 
-Question questionFor(const Record &record, const ApplyOptions &options, std::uint64_t minRevision)
+ApiRequest questionFor(const Record &record, const ApplyOptions &options, std::uint64_t minRevision)
 {
-    Question question;
+    ApiRequest question;
     question.method = "PUT";
     question.path = "/v1/records/" + toText(record.key());
     question.body = writeRecord(record);
@@ -88,9 +88,9 @@
     }
 }
 
-Checked<ChangeResult> applyOne(OperatorClient &client, const Question &question)
+Checked<ChangeResult> applyOne(OperatorClient &client, const ApiRequest &question)
 {
-    const auto answer = client.ask(question);
+    const auto answer = client.send(question);
     if (!answer) {
         return answer.faults();
     }
--- a/src/cli/impl/explain.cpp
+++ b/src/cli/impl/explain.cpp
@@ -2,7 +2,7 @@
 #include "cli/commandline.h"
 #include "cli/exitcode.h"
 #include "cli/impl/commands.h"
-#include "cli/story.h"
+#include "cli/requesttimeline.h"
 
 #include <fstream>
 
@@ -37,7 +37,7 @@
     if (line.text("id").empty()) {
         return line.usageError(err, "--id ID is required");
     }
-    RequestStory story(line.text("id"));
+    RequestTimeline story(line.text("id"));
     for (const auto &file : line.arguments()) {
         std::ifstream log(file);
         if (!log) {
@@ -52,7 +52,7 @@
         return toInt(ExitCode::Failed);
     }
     out << "What was believed:\n";
-    print(out, story.beliefs());
+    print(out, story.stateChanges());
     out << "What happened:\n";
     print(out, lines);
     return toInt(ExitCode::Ok);
--- a/src/cli/impl/follow.cpp
+++ b/src/cli/impl/follow.cpp
@@ -117,22 +117,22 @@
     if (given) {
         return *given;
     }
-    Question question;
+    ApiRequest question;
     question.path = "/v1/status";
     question.query = {{"behind", "0"}};
-    const auto status = client.ask(question);
+    const auto status = client.send(question);
     if (!status) {
         return status.faults().front();
     }
     return status->value("revision", std::uint64_t{0});
 }
 
-Question watchQuestion(std::uint64_t after)
+ApiRequest watchQuestion(std::uint64_t after)
 {
-    Question question;
+    ApiRequest question;
     question.path = "/v1/watch";
     question.query = {{"after", std::to_string(after)}, {"waitMs", std::to_string(watchWait.count())}};
-    question.wait = watchWait;
+    question.extraWait = watchWait;
     return question;
 }
 
@@ -141,7 +141,7 @@
 {
     std::uint64_t written = 0;
     while (out && written < count) {
-        const auto answer = client.ask(watchQuestion(after));
+        const auto answer = client.send(watchQuestion(after));
         if (!answer) {
             return reportFaults(err, "watch ended; go on with --after " + std::to_string(after), answer.faults());
         }
@@ -190,12 +190,12 @@
         return reportFaults(err, "", options.faults());
     }
     OperatorClient client(std::move(*options));
-    Question question;
+    ApiRequest question;
     question.path = "/v1/status";
     if (*behind) {
         question.query["behind"] = std::to_string(**behind);
     }
-    const auto status = client.ask(question);
+    const auto status = client.send(question);
     if (!status) {
         return reportFaults(err, "", status.faults());
     }
@@ -250,7 +250,7 @@
     if (const auto done = line.parse(argc, argv, {}, out, err)) {
         return *done;
     }
-    Question question;
+    ApiRequest question;
     question.path = "/v1/history";
     for (const char *name : {"kind", "name", "who", "limit"}) {
         question.query[name] = line.text(name);
@@ -267,7 +267,7 @@
     if (!options) {
         return reportFaults(err, "", options.faults());
     }
-    const auto history = OperatorClient(std::move(*options)).ask(question);
+    const auto history = OperatorClient(std::move(*options)).send(question);
     if (!history) {
         return reportFaults(err, "", history.faults());
     }
--- a/src/cli/impl/read.cpp
+++ b/src/cli/impl/read.cpp
@@ -74,11 +74,11 @@
 /// All pages of the list of \a kind.
 Checked<Json> readList(OperatorClient &client, RecordKind kind)
 {
-    Question question;
+    ApiRequest question;
     question.path = "/v1/records/" + std::string(toText(kind));
     auto items = Json::array();
     for (;;) {
-        const auto page = client.ask(question);
+        const auto page = client.send(question);
         if (!page) {
             return page.faults();
         }
@@ -95,9 +95,9 @@
 
 Checked<Json> readOne(OperatorClient &client, const RecordKey &key, std::ostream &err)
 {
-    Question question;
+    ApiRequest question;
     question.path = "/v1/records/" + toText(key);
-    auto answer = client.ask(question);
+    auto answer = client.send(question);
     if (!answer) {
         return answer.faults();
     }
@@ -161,14 +161,14 @@
     }
     OperatorClient client(std::move(*options));
     const RecordKey key{*kind, RecordName{line.arguments()[1]}};
-    Question question;
+    ApiRequest question;
     question.method = "DELETE";
     question.path = "/v1/records/" + toText(key);
     question.expected = *expected;
     if (line.has("dry-run")) {
         question.query["dryRun"] = "1";
     }
-    const auto answer = client.ask(question);
+    const auto answer = client.send(question);
     if (!answer) {
         return reportFaults(err, toText(key), answer.faults());
     }
--- a/src/cli/impl/wait.cpp
+++ b/src/cli/impl/wait.cpp
@@ -27,11 +27,11 @@
 ExitCode waitInForce(OperatorClient &client, std::uint64_t revision, Milliseconds timeout, std::ostream &err)
 {
     const auto deadline = steadyNow() + timeout;
-    Question question;
+    ApiRequest question;
     question.path = "/v1/status";
     question.query = {{"behind", std::to_string(revision)}};
     for (;;) {
-        const auto status = client.ask(question);
+        const auto status = client.send(question);
         if (status && status->contains("proxies") && (*status)["proxies"].empty()) {
             return ExitCode::Ok;
         }
--- a/src/cli/story.cpp
+++ b/src/cli/requesttimeline.cpp
@@ -1,5 +1,5 @@
 // Finds a request's lines in logs.
-#include "cli/story.h"
+#include "cli/requesttimeline.h"
 
 #include <algorithm>
 #include <set>
@@ -8,10 +8,10 @@
 
 namespace {
 
-const std::set<std::string, std::less<>> beliefEvents{"primary", "configuration", "member_entry", "dependency_lost", "dependency_regained"};
+const std::set<std::string, std::less<>> stateEvents{"primary", "configuration", "member_entry", "dependency_lost", "dependency_regained"};
 
 /// Reads a value that begins at \a from; quoted values end at their quote. Sets \a from behind it.
-std::string takeValue(std::string_view text, std::size_t &from)
+std::string parseValue(std::string_view text, std::size_t &from)
 {
     std::string value;
     if (from >= text.size() || text[from] != '"') {
@@ -48,7 +48,7 @@
         }
         const std::string key(text.substr(from, equals - from));
         from = equals + 1;
-        auto value = takeValue(text, from);
+        auto value = parseValue(text, from);
         from = text.find_first_not_of(' ', from);
         if (key == "time") {
             line.time = std::move(value);
@@ -63,47 +63,47 @@
     return line;
 }
 
-bool RequestStory::tellsOf(const LogLine &line, const std::string &field) const
+bool RequestTimeline::mentionsRequest(const LogLine &line, const std::string &field) const
 {
     const auto found = line.fields.find(field);
     return found != line.fields.end() && found->second == id_;
 }
 
-void RequestStory::read(std::istream &log)
+void RequestTimeline::read(std::istream &log)
 {
     std::string text;
     while (std::getline(log, text)) {
         auto line = parseLogLine(text);
-        if (tellsOf(line, "id") || tellsOf(line, "transaction") || tellsOf(line, "prelude")) {
+        if (mentionsRequest(line, "id") || mentionsRequest(line, "transaction") || mentionsRequest(line, "prelude")) {
             lines_.push_back(std::move(line));
-        } else if (beliefEvents.contains(line.event)) {
-            beliefs_.push_back(std::move(line));
+        } else if (stateEvents.contains(line.event)) {
+            stateChanges_.push_back(std::move(line));
         }
     }
 }
 
-std::vector<LogLine> RequestStory::lines() const
+std::vector<LogLine> RequestTimeline::lines() const
 {
     auto lines = lines_;
     sortByTime(lines);
     return lines;
 }
 
-std::vector<LogLine> RequestStory::beliefs() const
+std::vector<LogLine> RequestTimeline::stateChanges() const
 {
     std::vector<LogLine> found;
     for (const auto &own : lines_) {
         std::map<std::string, LogLine> last;
-        for (const auto &belief : beliefs_) {
-            const auto group = belief.fields.find("group");
+        for (const auto &change : stateChanges_) {
+            const auto group = change.fields.find("group");
             const auto ownGroup = own.fields.find("group");
-            const bool otherGroup = group != belief.fields.end() && ownGroup != own.fields.end() && group->second != ownGroup->second;
-            if (belief.instance != own.instance || belief.time > own.time || otherGroup) {
+            const bool otherGroup = group != change.fields.end() && ownGroup != own.fields.end() && group->second != ownGroup->second;
+            if (change.instance != own.instance || change.time > own.time || otherGroup) {
                 continue;
             }
-            auto &newest = last[belief.event];
-            if (newest.time <= belief.time) {
-                newest = belief;
+            auto &newest = last[change.event];
+            if (newest.time <= change.time) {
+                newest = change;
             }
         }
         for (const auto &entry : last) {
--- a/src/cli/story.h
+++ b/src/cli/requesttimeline.h
@@ -23,10 +23,10 @@
 
 /// The lines that tell of the request \a id, and those on the beliefs that decided it: changes of the group's primary and of the
 /// configuration on the same process up to the last of them.
-class RequestStory
+class RequestTimeline
 {
 public:
-    explicit RequestStory(std::string id)
+    explicit RequestTimeline(std::string id)
         : id_(std::move(id))
     {
     }
@@ -38,15 +38,15 @@
     [[nodiscard]] std::vector<LogLine> lines() const;
 
     /// The last beliefs before the request's end on the processes that handled it, by time.
-    [[nodiscard]] std::vector<LogLine> beliefs() const;
+    [[nodiscard]] std::vector<LogLine> stateChanges() const;
 
 private:
-    [[nodiscard]] bool tellsOf(const LogLine &line, const std::string &field) const;
+    [[nodiscard]] bool mentionsRequest(const LogLine &line, const std::string &field) const;
 
     /// Of a statement, of the one that began its transaction, or of the first that set the session up for it.
     std::string id_;
     std::vector<LogLine> lines_;
-    std::vector<LogLine> beliefs_;
+    std::vector<LogLine> stateChanges_;
 };
 
 } // namespace cardamomstep::cli
--- a/src/logging/boundedlog.cpp
+++ b/src/logging/boundedlog.cpp
@@ -34,9 +34,9 @@
     if (now - second_ >= rateWindow) {
         second_ = now;
         linesInSecond_ = 0;
-        if (dropped_ != droppedTold_) {
-            append(LogLevel::Warning, "log_dropped", {{"lines", static_cast<std::int64_t>(dropped_ - droppedTold_)}});
-            droppedTold_ = dropped_;
+        if (dropped_ != lastReportedDropped_) {
+            append(LogLevel::Warning, "log_dropped", {{"lines", static_cast<std::int64_t>(dropped_ - lastReportedDropped_)}});
+            lastReportedDropped_ = dropped_;
         }
     }
     const bool overRate = level < LogLevel::Warning && ++linesInSecond_ > limits_.linesPerSecond;
--- a/src/logging/boundedlog.h
+++ b/src/logging/boundedlog.h
@@ -53,7 +53,7 @@
     TimePoint second_;
     std::uint32_t linesInSecond_ = 0;
     std::uint64_t dropped_ = 0;
-    std::uint64_t droppedTold_ = 0;
+    std::uint64_t lastReportedDropped_ = 0;
 };
 
 } // namespace cardamomstep
