--- a/standins/faults.cpp
+++ b/standins/faults.cpp
@@ -160,7 +160,7 @@
     return refusesWork_;
 }
 
-bool Faults::take(const char *name)
+bool Faults::consume(const char *name)
 {
     const auto found = answers_.find(name);
     if (found == answers_.end() || found->second == 0) {
@@ -170,22 +170,22 @@
     return true;
 }
 
-AnswerFault Faults::takeAnswerFault(bool isChange)
+AnswerFault Faults::consumeAnswerFault(bool isChange)
 {
     const std::lock_guard lock(mutex_);
-    if (isChange && take("loseAnswers")) {
+    if (isChange && consume("loseAnswers")) {
         return AnswerFault::Lost;
     }
-    if (take("truncateAnswers")) {
+    if (consume("truncateAnswers")) {
         return AnswerFault::Truncated;
     }
-    if (take("swapAnswers")) {
+    if (consume("swapAnswers")) {
         return AnswerFault::Swapped;
     }
-    if (take("duplicateAnswers")) {
+    if (consume("duplicateAnswers")) {
         return AnswerFault::Duplicated;
     }
-    return take("dropRows") ? AnswerFault::RowMissing : AnswerFault::None;
+    return consume("dropRows") ? AnswerFault::RowMissing : AnswerFault::None;
 }
 
 } // namespace cardamomstep::standins
--- a/standins/faults.h
+++ b/standins/faults.h
@@ -79,10 +79,10 @@
     [[nodiscard]] bool refusesWork() const;
 
     /// Uses up one ordered answer fault; losses hit only answers to changes.
-    [[nodiscard]] AnswerFault takeAnswerFault(bool isChange);
+    [[nodiscard]] AnswerFault consumeAnswerFault(bool isChange);
 
 private:
-    bool take(const char *name);
+    bool consume(const char *name);
 
     mutable std::mutex mutex_;
     std::condition_variable thawed_;
--- a/standins/member.cpp
+++ b/standins/member.cpp
@@ -170,7 +170,7 @@
     Json answer{{"found", position != 0}, {"rows", Json::array()}, {"rowCount", 0}, {"report", reportLocked()}};
     if (position != 0) {
         const auto &entry = state_.log().at(position);
-        answer["mark"] = toText(state_.log().markAt(position));
+        answer["mark"] = toText(state_.log().positionAt(position));
         answer["fingerprint"] = std::to_string(entry.fingerprint);
         answer["rows"] = entry.rows;
         answer["rowCount"] = entry.rows.size();
@@ -185,7 +185,7 @@
         if (open_.count(connection) > 0) {
             return jsonReply(ok, Json::object());
         }
-        if (!connections_.tryTake()) {
+        if (!connections_.tryAcquire()) {
             ++refusedOpens_;
             return jsonReply(tooMany, {{"error", "connection limit"}});
         }
@@ -204,7 +204,7 @@
             return jsonReply(badRequest, {{"error", "this is not a database connection"}});
         }
     }
-    const PlaceGuard slot(slots_);
+    const SlotGuard slot(slots_);
     std::this_thread::sleep_for(options_.serviceTime + faults_.slow());
     faults_.waitWhileFrozen();
     const std::lock_guard lock(mutex_);
@@ -212,7 +212,7 @@
     Json answer{{"exchange", call.exchange},
                 {"rows", result.rows},
                 {"rowCount", result.rows.size()},
-                {"mark", toText(result.mark.value_or(state_.log().last()))},
+                {"mark", toText(result.position.value_or(state_.log().last()))},
                 {"adopted", toText(state_.adopted())}};
     if (!result.refusal.empty()) {
         answer["refusal"] = result.refusal;
@@ -225,8 +225,8 @@
         answer["repeated"] = true;
     }
     auto reply = jsonReply(result.refusal.empty() ? ok : refused, answer);
-    reply.faulty = true;
-    reply.change = result.changed;
+    reply.allowsAnswerFaults = true;
+    reply.isChange = result.changed;
     return reply;
 }
 
@@ -234,7 +234,7 @@
 {
     const bool isNewWork = call.transaction.empty();
     if (isNewWork && faults_.leaving()) {
-        noteWork();
+        recordWork();
     }
     if (isNewWork && faults_.refusesWork()) {
         return {"leaving", "this member takes no new work", Json::array(), {}, {}, false, false};
@@ -255,7 +255,7 @@
     return result;
 }
 
-void Member::noteWork()
+void Member::recordWork()
 {
     ++workWhileLeaving_;
     lastWorkWhileLeaving_ = steadyMicroseconds();
@@ -278,7 +278,7 @@
     };
     const auto wait = Milliseconds(milliseconds(request.parameter("waitMs")));
     const auto &log = state_.log();
-    const bool matches = after->position <= log.size() && log.markAt(after->position) == *after;
+    const bool matches = after->position <= log.size() && log.positionAt(after->position) == *after;
     changed_.wait_for(lock, wait, [&] { return !leads() || !matches || log.size() > after->position; });
     Json answer{{"adopted", toText(state_.adopted())}, {"last", toText(log.last())}, {"domain", options_.domain}};
     if (!leads()) {
@@ -289,7 +289,7 @@
     answer["entries"] = Json::array();
     if (!matches) {
         const auto limit = after->position == 0 ? 0 : after->position - 1;
-        answer["try"] = toText(log.markAt(log.lastPositionUpTo(limit, after->term)));
+        answer["try"] = toText(log.positionAt(log.lastPositionUpTo(limit, after->term)));
         return jsonReply(ok, answer);
     }
     const auto end = std::min<std::uint64_t>(log.size(), after->position + maxEntriesPerPull);
@@ -304,7 +304,7 @@
     const std::lock_guard lock(mutex_);
     state_.closed(connection);
     if (open_.erase(connection) > 0) {
-        connections_.giveBack();
+        connections_.release();
     }
 }
 
@@ -314,12 +314,12 @@
     state["report"] = reportLocked();
     state["logLength"] = state_.log().size();
     state["rows"] = state_.log().rows();
-    state["connections"] = connections_.taken();
-    state["mostConnections"] = connections_.mostTaken();
+    state["connections"] = connections_.inUse();
+    state["mostConnections"] = connections_.peakInUse();
     state["refusedOpens"] = refusedOpens_;
-    state["slots"] = slots_.taken();
-    state["mostSlots"] = slots_.mostTaken();
-    state["mostWaitingForSlots"] = slots_.mostWaiting();
+    state["slots"] = slots_.inUse();
+    state["mostSlots"] = slots_.peakInUse();
+    state["mostWaitingForSlots"] = slots_.peakWaiting();
     state["openTransactions"] = state_.openTransactions();
     state["mixedStatements"] = state_.mixedStatements();
     state["primary"] = state_.primary() ? state_.primary()->name : "";
--- a/standins/member.h
+++ b/standins/member.h
@@ -6,7 +6,7 @@
 #include "http/fwd.h"
 #include "memberstate.h"
 #include "server.h"
-#include "slots.h"
+#include "slotpool.h"
 
 #include <condition_variable>
 #include <map>
@@ -52,7 +52,7 @@
     [[nodiscard]] Reply pullLog(const http::Request &request);
     void closed(ConnectionNumber connection);
     void addState(nlohmann::json &state);
-    void noteWork();
+    void recordWork();
 
     [[nodiscard]] nlohmann::json reportLocked() const;
     [[nodiscard]] bool differsLocked(const http::Request &request) const;
@@ -61,13 +61,13 @@
     void follow(const Primary &primary, const Term &term);
     [[nodiscard]] bool follows(const Primary &primary, const Term &term) const;
     void pullOnce(http::Connection &connection, const Primary &primary, const Term &term, std::uint64_t &cursor);
-    void take(const nlohmann::json &answer, const Term &term, std::uint64_t &cursor);
+    void applyEntries(const nlohmann::json &answer, const Term &term, std::uint64_t &cursor);
     [[nodiscard]] bool waitUntilDue(std::int64_t due, const Term &term);
 
     MemberOptions options_;
     Faults faults_;
-    Places slots_;
-    Places connections_;
+    SlotPool slots_;
+    SlotPool connections_;
     std::mutex mutex_;
     /// Told at each change of the state or the faults.
     std::condition_variable changed_;
--- a/standins/memberlog.cpp
+++ b/standins/memberlog.cpp
@@ -37,7 +37,7 @@
 
 Mark MemberLog::last() const
 {
-    return markAt(entries_.size());
+    return positionAt(entries_.size());
 }
 
 Term MemberLog::termAt(std::uint64_t position) const
@@ -45,7 +45,7 @@
     return position == 0 ? Term{} : entries_[position - 1].term;
 }
 
-Mark MemberLog::markAt(std::uint64_t position) const
+Mark MemberLog::positionAt(std::uint64_t position) const
 {
     return {termAt(position), position};
 }
@@ -91,7 +91,7 @@
 void MemberLog::apply(const Entry &entry, std::uint64_t position)
 {
     std::map<std::string, std::optional<Json>> changes;
-    RowView view(rows_, changes);
+    RowOverlay view(rows_, changes);
     for (const auto &operation : entry.operations) {
         (void)run(operation, view);
     }
--- a/standins/memberlog.h
+++ b/standins/memberlog.h
@@ -41,7 +41,7 @@
 
     /// Term of the entry at \a position; the lowest term for position 0.
     [[nodiscard]] Term termAt(std::uint64_t position) const;
-    [[nodiscard]] Mark markAt(std::uint64_t position) const;
+    [[nodiscard]] Mark positionAt(std::uint64_t position) const;
 
     /// The entry at \a position, from 1 to size().
     [[nodiscard]] const Entry &at(std::uint64_t position) const
--- a/standins/memberreplication.cpp
+++ b/standins/memberreplication.cpp
@@ -73,7 +73,7 @@
     {
         const std::lock_guard lock(mutex_);
         cursor = std::min(cursor, state_.log().size());
-        request.query["afterMark"] = toText(state_.log().markAt(cursor));
+        request.query["afterMark"] = toText(state_.log().positionAt(cursor));
     }
     if (faults_.isCut(primary.name)) {
         connection.close();
@@ -88,7 +88,7 @@
     }
     const auto answer = Json::parse(result.response->body, nullptr, false);
     if (!answer.is_discarded() && answer.value("matches", false)) {
-        take(answer, term, cursor);
+        applyEntries(answer, term, cursor);
     } else if (!answer.is_discarded() && answer.contains("try")) {
         const auto hint = parseMark(answer["try"].get<std::string>());
         const std::lock_guard lock(mutex_);
@@ -96,7 +96,7 @@
     }
 }
 
-void Member::take(const Json &answer, const Term &term, std::uint64_t &cursor)
+void Member::applyEntries(const Json &answer, const Term &term, std::uint64_t &cursor)
 {
     const auto primaryDomain = answer.value("domain", std::string());
     for (const auto &json : answer["entries"]) {
--- a/standins/memberstate.cpp
+++ b/standins/memberstate.cpp
@@ -73,7 +73,7 @@
         return *refused;
     }
     if (!call.transaction.empty()) {
-        return executeInside(call, connection);
+        return executeInTransaction(call, connection);
     }
     if (hasTransaction(connection)) {
         ++mixedStatements_;
@@ -87,7 +87,7 @@
         return refusal("statement-failed", "the operation changes rows, but the call is a read");
     }
     std::map<std::string, std::optional<Json>> changes;
-    RowView view(log_.rows(), changes);
+    RowOverlay view(log_.rows(), changes);
     auto outcome = run(call.operation, view);
     if (outcome.failure) {
         return refusal("statement-failed", *outcome.failure);
@@ -95,13 +95,13 @@
     CallResult result;
     result.rows = outcome.rows;
     if (call.write) {
-        result.mark = write(call, {call.operation}, outcome.rows, now);
+        result.position = write(call, {call.operation}, outcome.rows, now);
         result.changed = true;
     }
     return result;
 }
 
-CallResult MemberState::executeInside(const Call &call, std::uint64_t connection)
+CallResult MemberState::executeInTransaction(const Call &call, std::uint64_t connection)
 {
     auto *transaction = findTransaction(call.transaction, connection);
     if (transaction == nullptr) {
@@ -110,12 +110,12 @@
     if (!call.write && !isReading(call.operation)) {
         return refusal("statement-failed", "the operation changes rows, but the call is a read");
     }
-    RowView view(log_.rows(), transaction->changes);
+    RowOverlay view(log_.rows(), transaction->changes);
     auto outcome = run(call.operation, view);
     if (outcome.failure) {
         return refusal("statement-failed", *outcome.failure);
     }
-    transaction->seen.emplace(call.operation.key, log_.lastChangeOf(call.operation.key));
+    transaction->lastChangeSeen.emplace(call.operation.key, log_.lastChangeOf(call.operation.key));
     if (!isReading(call.operation)) {
         transaction->operations.push_back(call.operation);
     }
@@ -160,7 +160,7 @@
         return refusal("statement-failed", "another entry changed a row of this transaction; it is rolled back");
     }
     CallResult result;
-    result.mark = write(call, std::move(done.operations), Json::array(), now);
+    result.position = write(call, std::move(done.operations), Json::array(), now);
     result.changed = true;
     return result;
 }
@@ -230,7 +230,7 @@
     }
     CallResult result;
     result.rows = entry.rows;
-    result.mark = log_.markAt(position);
+    result.position = log_.positionAt(position);
     result.repeated = true;
     return result;
 }
@@ -253,7 +253,7 @@
 
 bool MemberState::isStillCurrent(const Transaction &transaction) const
 {
-    for (const auto &[key, change] : transaction.seen) {
+    for (const auto &[key, change] : transaction.lastChangeSeen) {
         if (log_.lastChangeOf(key) != change) {
             return false;
         }
@@ -269,13 +269,13 @@
 
 void MemberState::append(Entry entry)
 {
-    keep({{"entry", toJson(entry)}});
+    persist({{"entry", toJson(entry)}});
     log_.append(std::move(entry));
 }
 
 void MemberState::truncate(std::uint64_t position)
 {
-    keep({{"truncate", position}});
+    persist({{"truncate", position}});
     log_.truncate(position);
 }
 
@@ -284,13 +284,13 @@
     adopted_ = term;
     isPrimary_ = false;
     transactions_.clear();
-    keep({{"adopted", toText(term)}});
+    persist({{"adopted", toText(term)}});
 }
 
 void MemberState::setPrimary(std::optional<Primary> primary)
 {
     primary_ = std::move(primary);
-    keep({{"primary", primary_ ? primary_->name : ""}, {"address", primary_ ? primary_->address : ""}});
+    persist({{"primary", primary_ ? primary_->name : ""}, {"address", primary_ ? primary_->address : ""}});
 }
 
 void MemberState::readState(const std::string &stateFile)
@@ -317,7 +317,7 @@
     }
 }
 
-void MemberState::keep(const Json &line)
+void MemberState::persist(const Json &line)
 {
     if (file_.is_open()) {
         file_ << line.dump() << std::endl;
--- a/standins/memberstate.h
+++ b/standins/memberstate.h
@@ -30,7 +30,7 @@
     std::string refusal;
     std::string description;
     nlohmann::json rows = nlohmann::json::array();
-    std::optional<Mark> mark;
+    std::optional<Mark> position;
     std::string transaction;
     bool repeated = false;
     bool changed = false;
@@ -108,13 +108,13 @@
         std::vector<Operation> operations;
         std::map<std::string, std::optional<nlohmann::json>> changes;
         /// For each key seen, the last entry that had changed it.
-        std::map<std::string, std::uint64_t> seen;
+        std::map<std::string, std::uint64_t> lastChangeSeen;
         nlohmann::json rows = nlohmann::json::array();
     };
 
     [[nodiscard]] std::optional<CallResult> refusedByTerm(const Call &call) const;
     [[nodiscard]] std::optional<CallResult> repeated(const Call &call) const;
-    [[nodiscard]] CallResult executeInside(const Call &call, std::uint64_t connection);
+    [[nodiscard]] CallResult executeInTransaction(const Call &call, std::uint64_t connection);
     [[nodiscard]] Transaction *findTransaction(const std::string &id, std::uint64_t connection);
     [[nodiscard]] bool hasTransaction(std::uint64_t connection) const;
     [[nodiscard]] bool isStillCurrent(const Transaction &transaction) const;
@@ -124,7 +124,7 @@
     void setAdopted(const Term &term);
     void setPrimary(std::optional<Primary> primary);
     void readState(const std::string &stateFile);
-    void keep(const nlohmann::json &line);
+    void persist(const nlohmann::json &line);
 
     std::string name_;
     std::ofstream file_;
--- a/standins/rows.cpp
+++ b/standins/rows.cpp
@@ -12,64 +12,64 @@
     return {std::move(text), Json::array()};
 }
 
-OperationResult get(const Operation &operation, const RowView &view)
+OperationResult get(const Operation &operation, const RowOverlay &overlay)
 {
     OperationResult result;
-    if (const auto value = view.find(operation.key)) {
+    if (const auto value = overlay.find(operation.key)) {
         result.rows.push_back({{"key", operation.key}, {"value", *value}});
     }
     return result;
 }
 
-OperationResult list(const Operation &operation, const RowView &view)
+OperationResult list(const Operation &operation, const RowOverlay &overlay)
 {
     OperationResult result;
-    for (const auto &[key, value] : view.list(operation.key)) {
+    for (const auto &[key, value] : overlay.list(operation.key)) {
         result.rows.push_back({{"key", key}, {"value", value}});
     }
     return result;
 }
 
-OperationResult put(const Operation &operation, RowView &view)
+OperationResult put(const Operation &operation, RowOverlay &overlay)
 {
     if (!operation.arguments.contains("value")) {
         return failure("put needs a value");
     }
-    view.set(operation.key, operation.arguments["value"]);
+    overlay.set(operation.key, operation.arguments["value"]);
     return {std::nullopt, Json::array({{{"key", operation.key}}})};
 }
 
-OperationResult add(const Operation &operation, RowView &view)
+OperationResult add(const Operation &operation, RowOverlay &overlay)
 {
-    const auto old = view.find(operation.key).value_or(Json(0));
+    const auto old = overlay.find(operation.key).value_or(Json(0));
     const auto by = operation.arguments.value("by", Json());
     if (!old.is_number_integer() || !by.is_number_integer()) {
         return failure("add needs integers");
     }
     const auto sum = old.get<std::int64_t>() + by.get<std::int64_t>();
-    view.set(operation.key, Json(sum));
+    overlay.set(operation.key, Json(sum));
     return {std::nullopt, Json::array({{{"key", operation.key}, {"value", sum}}})};
 }
 
-OperationResult append(const Operation &operation, RowView &view)
+OperationResult append(const Operation &operation, RowOverlay &overlay)
 {
-    auto items = view.find(operation.key).value_or(Json::array());
+    auto items = overlay.find(operation.key).value_or(Json::array());
     if (!items.is_array() || !operation.arguments.contains("item")) {
         return failure("append needs an array and an item");
     }
     items.push_back(operation.arguments["item"]);
     const auto length = items.size();
-    view.set(operation.key, std::move(items));
+    overlay.set(operation.key, std::move(items));
     return {std::nullopt, Json::array({{{"key", operation.key}, {"length", length}}})};
 }
 
-OperationResult erase(const Operation &operation, RowView &view)
+OperationResult erase(const Operation &operation, RowOverlay &overlay)
 {
     OperationResult result;
-    if (view.find(operation.key)) {
+    if (overlay.find(operation.key)) {
         result.rows.push_back({{"key", operation.key}});
     }
-    view.set(operation.key, std::nullopt);
+    overlay.set(operation.key, std::nullopt);
     return result;
 }
 
@@ -80,7 +80,7 @@
 
 } // namespace
 
-std::optional<Json> RowView::find(const std::string &key) const
+std::optional<Json> RowOverlay::find(const std::string &key) const
 {
     if (const auto changed = changes_.find(key); changed != changes_.end()) {
         return changed->second;
@@ -89,7 +89,7 @@
     return found == base_.end() ? std::nullopt : std::optional<Json>(found->second);
 }
 
-Rows RowView::list(const std::string &prefix) const
+Rows RowOverlay::list(const std::string &prefix) const
 {
     Rows found;
     for (auto row = base_.lower_bound(prefix); row != base_.end() && hasPrefix(row->first, prefix); ++row) {
@@ -107,30 +107,30 @@
     return found;
 }
 
-void RowView::set(const std::string &key, std::optional<Json> value)
+void RowOverlay::set(const std::string &key, std::optional<Json> value)
 {
     changes_[key] = std::move(value);
 }
 
-OperationResult run(const Operation &operation, RowView &view)
+OperationResult run(const Operation &operation, RowOverlay &overlay)
 {
     if (operation.name == "get") {
-        return get(operation, view);
+        return get(operation, overlay);
     }
     if (operation.name == "list") {
-        return list(operation, view);
+        return list(operation, overlay);
     }
     if (operation.name == "put") {
-        return put(operation, view);
+        return put(operation, overlay);
     }
     if (operation.name == "add") {
-        return add(operation, view);
+        return add(operation, overlay);
     }
     if (operation.name == "append") {
-        return append(operation, view);
+        return append(operation, overlay);
     }
     if (operation.name == "delete") {
-        return erase(operation, view);
+        return erase(operation, overlay);
     }
     if (operation.name == "none") {
         return {};
--- a/standins/rows.h
+++ b/standins/rows.h
@@ -19,11 +19,11 @@
 using Rows = std::map<std::string, nlohmann::json>;
 
 /// Rows with changes that are not yet part of them.
-class RowView
+class RowOverlay
 {
 public:
     /// Sees \a base, which outlives the view's use, through \a changes.
-    RowView(const Rows &base, std::map<std::string, std::optional<nlohmann::json>> &changes)
+    RowOverlay(const Rows &base, std::map<std::string, std::optional<nlohmann::json>> &changes)
         : base_(base)
         , changes_(changes)
     {
@@ -51,7 +51,7 @@
 };
 
 /// Runs \a operation on \a view.
-[[nodiscard]] OperationResult run(const Operation &operation, RowView &view);
+[[nodiscard]] OperationResult run(const Operation &operation, RowOverlay &overlay);
 
 /// True for an operation that only reads.
 [[nodiscard]] bool isReading(const Operation &operation);
--- a/standins/server.cpp
+++ b/standins/server.cpp
@@ -206,7 +206,7 @@
 
     bool answer(Reply reply)
     {
-        const auto fault = reply.faulty ? server_.faults_.takeAnswerFault(reply.change) : AnswerFault::None;
+        const auto fault = reply.allowsAnswerFaults ? server_.faults_.consumeAnswerFault(reply.isChange) : AnswerFault::None;
         switch (fault) {
         case AnswerFault::None:
             break;
--- a/standins/server.h
+++ b/standins/server.h
@@ -22,9 +22,9 @@
 struct Reply {
     http::Response response;
     /// True for answers to statements and to store changes, which answer faults may hit.
-    bool faulty = false;
+    bool allowsAnswerFaults = false;
     /// True when the request changed something.
-    bool change = false;
+    bool isChange = false;
 };
 
 /// A reply with the JSON \a body.
--- a/standins/slots.h
+++ b/standins/slotpool.h
@@ -9,90 +9,90 @@
 namespace cardamomstep::standins {
 
 /// A bounded number of places, with the most ever taken.
-class Places
+class SlotPool
 {
 public:
-    explicit Places(unsigned limit) noexcept
+    explicit SlotPool(unsigned limit) noexcept
         : limit_(limit)
     {
     }
 
     /// Takes a place, waiting for one.
-    void take()
+    void acquire()
     {
         std::unique_lock lock(mutex_);
         ++waiting_;
-        mostWaiting_ = std::max(mostWaiting_, taken_ + waiting_ > limit_ ? taken_ + waiting_ - limit_ : 0);
-        free_.wait(lock, [this] { return taken_ < limit_; });
+        peakWaiting_ = std::max(peakWaiting_, inUse_ + waiting_ > limit_ ? inUse_ + waiting_ - limit_ : 0);
+        free_.wait(lock, [this] { return inUse_ < limit_; });
         --waiting_;
-        ++taken_;
-        mostTaken_ = std::max(mostTaken_, taken_);
+        ++inUse_;
+        peakInUse_ = std::max(peakInUse_, inUse_);
     }
 
     /// Takes a place when one is free; false otherwise.
-    [[nodiscard]] bool tryTake()
+    [[nodiscard]] bool tryAcquire()
     {
         const std::lock_guard lock(mutex_);
-        if (taken_ >= limit_) {
+        if (inUse_ >= limit_) {
             return false;
         }
-        ++taken_;
-        mostTaken_ = std::max(mostTaken_, taken_);
+        ++inUse_;
+        peakInUse_ = std::max(peakInUse_, inUse_);
         return true;
     }
 
-    void giveBack()
+    void release()
     {
         const std::lock_guard lock(mutex_);
-        --taken_;
+        --inUse_;
         free_.notify_one();
     }
 
-    [[nodiscard]] unsigned taken() const
+    [[nodiscard]] unsigned inUse() const
     {
         const std::lock_guard lock(mutex_);
-        return taken_;
+        return inUse_;
     }
-    [[nodiscard]] unsigned mostTaken() const
+    [[nodiscard]] unsigned peakInUse() const
     {
         const std::lock_guard lock(mutex_);
-        return mostTaken_;
+        return peakInUse_;
     }
     /// The most that ever waited at once.
-    [[nodiscard]] unsigned mostWaiting() const
+    [[nodiscard]] unsigned peakWaiting() const
     {
         const std::lock_guard lock(mutex_);
-        return mostWaiting_;
+        return peakWaiting_;
     }
 
 private:
     mutable std::mutex mutex_;
     std::condition_variable free_;
     unsigned limit_;
-    unsigned taken_ = 0;
+    unsigned inUse_ = 0;
     unsigned waiting_ = 0;
-    unsigned mostTaken_ = 0;
-    unsigned mostWaiting_ = 0;
+    unsigned peakInUse_ = 0;
+    unsigned peakWaiting_ = 0;
 };
 
 /// Holds a place of \a places for a scope.
-class PlaceGuard
+class SlotGuard
 {
 public:
-    explicit PlaceGuard(Places &places)
-        : places_(places)
+    explicit SlotGuard(SlotPool &slots)
+        : slots_(slots)
     {
-        places_.take();
+        slots_.acquire();
     }
-    PlaceGuard(const PlaceGuard &) = delete;
-    PlaceGuard &operator=(const PlaceGuard &) = delete;
-    ~PlaceGuard()
+    SlotGuard(const SlotGuard &) = delete;
+    SlotGuard &operator=(const SlotGuard &) = delete;
+    ~SlotGuard()
     {
-        places_.giveBack();
+        slots_.release();
     }
 
 private:
-    Places &places_;
+    SlotPool &slots_;
 };
 
 } // namespace cardamomstep::standins
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -35,8 +35,8 @@
 Reply change(int status, std::uint64_t version)
 {
     auto reply = jsonReply(status, {{"version", version}});
-    reply.faulty = true;
-    reply.change = status == ok;
+    reply.allowsAnswerFaults = true;
+    reply.isChange = status == ok;
     return reply;
 }
 
@@ -104,7 +104,7 @@
     if (request.path == "/control/forget" && request.method == "POST") {
         const std::lock_guard lock(mutex_);
         events_.clear();
-        forgotten_ = revision_;
+        compactedUpTo_ = revision_;
         return jsonReply(ok, Json::object());
     }
     return jsonReply(notFound, {{"error", "no such control"}});
@@ -122,7 +122,7 @@
     }
     ++rate.count;
     ++rate.total;
-    rate.most = std::max(rate.most, rate.count);
+    rate.peakPerSecond = std::max(rate.peakPerSecond, rate.count);
     if (limit > 0 && rate.count > limit) {
         ++rate.refused;
         return false;
@@ -205,7 +205,7 @@
 {
     events_.push_back(event);
     if (events_.size() > maxEvents) {
-        forgotten_ = events_.front()["version"].get<std::uint64_t>();
+        compactedUpTo_ = events_.front()["version"].get<std::uint64_t>();
         events_.pop_front();
     }
     changed_.notify_all();
@@ -216,13 +216,13 @@
     const auto after = std::strtoull(request.parameter("after").c_str(), nullptr, 10);
     const auto wait = Milliseconds(std::strtoll(request.parameter("waitMs").c_str(), nullptr, 10));
     std::unique_lock lock(mutex_);
-    if (after < forgotten_ || after > revision_) {
+    if (after < compactedUpTo_ || after > revision_) {
         return jsonReply(gone, {{"revision", revision_}});
     }
-    mostWatches_ = std::max(mostWatches_, ++watches_);
+    peakWatches_ = std::max(peakWatches_, ++watches_);
     changed_.wait_for(lock, wait, [&] { return revision_ > after; });
     --watches_;
-    if (after < forgotten_) {
+    if (after < compactedUpTo_) {
         return jsonReply(gone, {{"revision", revision_}});
     }
     auto events = Json::array();
@@ -255,10 +255,10 @@
     const std::lock_guard lock(mutex_);
     state["revision"] = revision_;
     state["objects"] = objects_.size();
-    state["writes"] = {{"total", writes_.total}, {"mostPerSecond", writes_.most}, {"refused", writes_.refused}};
-    state["reads"] = {{"total", reads_.total}, {"mostPerSecond", reads_.most}, {"refused", reads_.refused}};
+    state["writes"] = {{"total", writes_.total}, {"mostPerSecond", writes_.peakPerSecond}, {"refused", writes_.refused}};
+    state["reads"] = {{"total", reads_.total}, {"mostPerSecond", reads_.peakPerSecond}, {"refused", reads_.refused}};
     state["watches"] = watches_;
-    state["mostWatches"] = mostWatches_;
+    state["mostWatches"] = peakWatches_;
 }
 
 } // namespace cardamomstep::standins
--- a/standins/store.h
+++ b/standins/store.h
@@ -29,7 +29,7 @@
 struct CallRate {
     std::int64_t second = 0;
     std::uint64_t count = 0;
-    std::uint64_t most = 0;
+    std::uint64_t peakPerSecond = 0;
     std::uint64_t total = 0;
     std::uint64_t refused = 0;
 };
@@ -81,12 +81,12 @@
     std::map<ObjectKey, Object> objects_;
     /// The latest changes, oldest first; events at or below forgotten_ are gone.
     std::deque<nlohmann::json> events_;
-    std::uint64_t forgotten_ = 0;
+    std::uint64_t compactedUpTo_ = 0;
     std::deque<InstanceList> instances_{InstanceList{}};
     CallRate writes_;
     CallRate reads_;
     std::uint64_t watches_ = 0;
-    std::uint64_t mostWatches_ = 0;
+    std::uint64_t peakWatches_ = 0;
 };
 
 } // namespace cardamomstep::standins
