--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -135,7 +135,7 @@
     }
 }
 
-std::vector<GroupName> Ownership::firstOwned() const
+std::vector<GroupName> Ownership::groupsOwnedAsFirst() const
 {
     const std::lock_guard lock(mutex_);
     std::vector<GroupName> groups;
--- a/src/app/ownership.h
+++ b/src/app/ownership.h
@@ -38,7 +38,7 @@
     void refresh();
 
     /// The groups where this proxy is the first owner.
-    [[nodiscard]] std::vector<GroupName> firstOwned() const;
+    [[nodiscard]] std::vector<GroupName> groupsOwnedAsFirst() const;
 
     /// The plans for members of groups where this proxy is the first owner.
     [[nodiscard]] std::vector<DuePlan> plansToMonitor() const;
--- a/src/app/planmonitor.cpp
+++ b/src/app/planmonitor.cpp
@@ -28,7 +28,7 @@
 
 void PlanMonitor::replaceLeavingPrimaries()
 {
-    for (const auto &group : ownership_.firstOwned()) {
+    for (const auto &group : ownership_.groupsOwnedAsFirst()) {
         const auto owner = ownership_.find(group);
         if (!owner || !owner->leavingPrimary() || transactions_.countOf(group) > 0) {
             continue;
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -73,7 +73,7 @@
     [[nodiscard]] Result<Success> listen();
     void stop();
 
-    [[nodiscard]] GroupOwnerHandlers groupEvents();
+    [[nodiscard]] GroupOwnerHandlers groupOwnerHandlers();
     [[nodiscard]] peer::Handlers peerHandlers();
     [[nodiscard]] entry::CallerServices callerServices();
     [[nodiscard]] entry::Dispatcher::Sources dispatcherSources();
@@ -134,7 +134,7 @@
     , configuration(self, store, peers, seed, [this] { onFleetChanged(); })
     , membership(
           settings, store, peers, seed, [this] { onFleetChanged(); }, [this](const auto &listed) { onListed(listed); })
-    , ownership(settings, self, groupEvents(), transactions, seed)
+    , ownership(settings, self, groupOwnerHandlers(), transactions, seed)
     , environment(self.name, configuration, membership)
     , records(store, configuration, seed)
     , status(store, self.name, seed)
@@ -204,10 +204,10 @@
 
 // What the slices need from the process
 
-GroupOwnerHandlers Proxy::Impl::groupEvents()
+GroupOwnerHandlers Proxy::Impl::groupOwnerHandlers()
 {
-    GroupOwnerHandlers handlers;
-    handlers.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
+    GroupOwnerHandlers ownerHandlers;
+    ownerHandlers.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
         if (change.reason != PromotionReason::Observed) {
             status.onPromotion(group, change.previous, change.member, change.term, toText(change.reason));
         }
@@ -221,18 +221,18 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    handlers.auditEvent = [](const GroupName &group, const Note &note) {
+    ownerHandlers.auditEvent = [](const GroupName &group, const Note &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
     };
-    handlers.queryPeers = [this](const GroupName &group) {
+    ownerHandlers.queryPeers = [this](const GroupName &group) {
         addTask([this, group] { observations.publish(group, std::nullopt); });
     };
-    handlers.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
+    ownerHandlers.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
         addTask([this, group, span] { observations.publish(group, span); });
     };
-    return handlers;
+    return ownerHandlers;
 }
 
 peer::Handlers Proxy::Impl::peerHandlers()
@@ -332,14 +332,14 @@
 
 entry::FleetSnapshot Proxy::Impl::fleet() const
 {
-    const auto currency = configuration.configurationFreshness();
-    const bool mayServe = currency == CurrencyState::Current || currency == CurrencyState::StoreSilent;
+    const auto freshness = configuration.configurationFreshness();
+    const bool mayServe = freshness == CurrencyState::Current || freshness == CurrencyState::StoreSilent;
     return {configuration.catalog(), membership.owners(), mayServe};
 }
 
 bool Proxy::Impl::isReady() const
 {
-    return fleet().ready && !membership.isLeaving();
+    return fleet().mayServe && !membership.isLeaving();
 }
 
 void Proxy::Impl::onFleetChanged()
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -51,7 +51,7 @@
 Answer Dispatcher::run(Statement statement, TimePoint deadline)
 {
     const auto fleet = sources_.fleet();
-    if (!fleet.ready) {
+    if (!fleet.mayServe) {
         return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(defaultRetryAfter));
     }
     if (!statement.transaction.empty()) {
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -20,7 +20,7 @@
     std::shared_ptr<const Catalog> catalog;
     std::shared_ptr<const InstanceSet> instances;
     /// True once the configuration is known.
-    bool ready = false;
+    bool mayServe = false;
 };
 
 /// Routes statements; safe for use by many threads.
--- a/src/fleet/client.cpp
+++ b/src/fleet/client.cpp
@@ -45,7 +45,7 @@
     const auto call = std::make_shared<Call<impl::wire::RenewRequest, impl::wire::RenewReply>>();
     call->request = impl::encode(request);
     call->context.set_deadline(std::chrono::system_clock::now() + timeout);
-    const std::shared_ptr<impl::wire::Fleet::Stub> stub = impl::wire::Fleet::NewStub(impl_->channels.to(proxy));
+    const std::shared_ptr<impl::wire::Fleet::Stub> stub = impl::wire::Fleet::NewStub(impl_->channels.channelTo(proxy));
     stub->async()->Renew(&call->context, &call->request, &call->reply, [call, stub, done = std::move(done)](const grpc::Status &status) {
         done(status.ok() ? Result<RenewReply>(impl::decode(call->reply)) : Result<RenewReply>(unreachable(status)));
     });
@@ -59,7 +59,7 @@
     const auto call = std::make_shared<Call<impl::wire::AnnounceRequest, impl::wire::AnnounceReply>>();
     call->request = impl::encode(announcement);
     call->context.set_deadline(std::chrono::system_clock::now() + timeout);
-    const std::shared_ptr<impl::wire::Fleet::Stub> stub = impl::wire::Fleet::NewStub(impl_->channels.to(proxy));
+    const std::shared_ptr<impl::wire::Fleet::Stub> stub = impl::wire::Fleet::NewStub(impl_->channels.channelTo(proxy));
     stub->async()->Announce(&call->context, &call->request, &call->reply, [call, stub, done = std::move(done)](const grpc::Status &status) {
         done(status.ok() ? Result<HoldReply>(impl::decode(call->reply)) : Result<HoldReply>(unreachable(status)));
     });
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -398,7 +398,7 @@
     }
 }
 
-void GroupCore::finished(std::uint64_t ticket)
+void GroupCore::releaseSlot(std::uint64_t ticket)
 {
     apply(admission.finished(ticket, steadyNow()));
 }
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -94,7 +94,7 @@
     admit(std::unique_lock<std::mutex> &lock, Lane lane, const ServiceName &service, TimePoint deadline);
 
     /// Gives a slot back.
-    void finished(std::uint64_t ticket);
+    void releaseSlot(std::uint64_t ticket);
 
     /// Waits until writes are not held; false when \a deadline came first.
     [[nodiscard]] bool waitForWrites(std::unique_lock<std::mutex> &lock, TimePoint deadline);
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -92,13 +92,13 @@
     }
     auto *member = core_.find(read.member);
     if (member == nullptr) {
-        core_.finished(*ticket);
+        core_.releaseSlot(*ticket);
         core_.router.failed(plan, read.member);
         return std::nullopt;
     }
     const auto checkout = member->connections.acquire(lock_, deadline_);
     if (!checkout) {
-        core_.finished(*ticket);
+        core_.releaseSlot(*ticket);
         core_.router.failed(plan, read.member);
         return std::nullopt;
     }
@@ -108,7 +108,7 @@
     const auto result = exchange(
         core_, lock_, read.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
     member->connections.release(*checkout, steadyNow());
-    core_.finished(*ticket);
+    core_.releaseSlot(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
         core_.router.failed(plan, read.member);
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -64,14 +64,14 @@
     auto *member = core_.find(primary.member);
     const auto checkout = member->connections.acquire(lock, deadline_);
     if (!checkout) {
-        core_.finished(*ticket);
+        core_.releaseSlot(*ticket);
         return failedAnswer(checkout.error());
     }
     auto call = callFor(core_, statement_, primary.term);
     call.needsPrimary = true;
     const auto result = exchange(
         core_, lock, primary.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.begin(call, timeout); });
-    core_.finished(*ticket);
+    core_.releaseSlot(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr || reply->refusal) {
         member->connections.release(*checkout, steadyNow());
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -96,14 +96,14 @@
     auto *member = core_.find(servedBy_);
     const auto checkout = member->connections.acquire(lock_, deadline_);
     if (!checkout) {
-        core_.finished(*ticket);
+        core_.releaseSlot(*ticket);
         return LinkFailure{LinkFault::NoConnection, true, checkout.error().description};
     }
     const auto call = callFor(core_, statement_, term);
     auto result = exchange(
         core_, lock_, servedBy_, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
     member->connections.release(*checkout, steadyNow());
-    core_.finished(*ticket);
+    core_.releaseSlot(*ticket);
     return result;
 }
 
--- a/src/peer/client.cpp
+++ b/src/peer/client.cpp
@@ -36,7 +36,7 @@
     template<typename T, typename Call>
     PeerResult<T> run(const Address &peer, Microseconds timeout, Microseconds connectTimeout, Call call)
     {
-        const auto channel = channels.to(peer);
+        const auto channel = channels.channelTo(peer);
         if (!channel->WaitForConnected(deadlineAfter(std::min(timeout, connectTimeout)))) {
             const bool refused = channel->GetState(false) == GRPC_CHANNEL_TRANSIENT_FAILURE;
             return Failure{true, refused, "cannot connect to " + peer.text()};
--- a/src/peer/impl/channels.cpp
+++ b/src/peer/impl/channels.cpp
@@ -40,7 +40,7 @@
 {
 }
 
-std::shared_ptr<grpc::Channel> Channels::to(const Address &address)
+std::shared_ptr<grpc::Channel> Channels::channelTo(const Address &address)
 {
     const std::lock_guard lock(mutex_);
     auto &channel = channels_[address];
--- a/src/peer/impl/channels.h
+++ b/src/peer/impl/channels.h
@@ -23,7 +23,7 @@
     explicit Channels(const Credentials &credentials);
 
     /// The channel to \a address, made on first use.
-    [[nodiscard]] std::shared_ptr<grpc::Channel> to(const Address &address);
+    [[nodiscard]] std::shared_ptr<grpc::Channel> channelTo(const Address &address);
 
     /// Drops the channel to \a address; calls in flight keep it until they end.
     void forget(const Address &address);
--- a/standins/member.cpp
+++ b/standins/member.cpp
@@ -212,7 +212,7 @@
     Json answer{{"exchange", call.exchange},
                 {"rows", result.rows},
                 {"rowCount", result.rows.size()},
-                {"mark", toText(result.position.value_or(state_.log().last()))},
+                {"mark", toText(result.logPosition.value_or(state_.log().last()))},
                 {"adopted", toText(state_.adopted())}};
     if (!result.refusal.empty()) {
         answer["refusal"] = result.refusal;
--- a/standins/memberstate.cpp
+++ b/standins/memberstate.cpp
@@ -95,7 +95,7 @@
     CallResult result;
     result.rows = outcome.rows;
     if (call.write) {
-        result.position = write(call, {call.operation}, outcome.rows, now);
+        result.logPosition = write(call, {call.operation}, outcome.rows, now);
         result.changed = true;
     }
     return result;
@@ -160,7 +160,7 @@
         return refusal("statement-failed", "another entry changed a row of this transaction; it is rolled back");
     }
     CallResult result;
-    result.position = write(call, std::move(done.operations), Json::array(), now);
+    result.logPosition = write(call, std::move(done.operations), Json::array(), now);
     result.changed = true;
     return result;
 }
@@ -230,7 +230,7 @@
     }
     CallResult result;
     result.rows = entry.rows;
-    result.position = log_.positionAt(position);
+    result.logPosition = log_.positionAt(position);
     result.repeated = true;
     return result;
 }
--- a/standins/memberstate.h
+++ b/standins/memberstate.h
@@ -30,7 +30,7 @@
     std::string refusal;
     std::string description;
     nlohmann::json rows = nlohmann::json::array();
-    std::optional<Mark> position;
+    std::optional<Mark> logPosition;
     std::string transaction;
     bool repeated = false;
     bool changed = false;
