--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -3,11 +3,11 @@
 
 #include "app/configurationservice.h"
 #include "app/membershipservice.h"
+#include "app/observationexchange.h"
 #include "app/operatorenvironment.h"
 #include "app/ownership.h"
-#include "app/peersightings.h"
 #include "app/periodic.h"
-#include "app/planwatch.h"
+#include "app/planmonitor.h"
 #include "app/statuswriter.h"
 #include "app/taskpool.h"
 #include "entry/callerapi.h"
@@ -73,13 +73,13 @@
     [[nodiscard]] Result<Success> listen();
     void stop();
 
-    [[nodiscard]] GroupEvents groupEvents();
+    [[nodiscard]] GroupOwnerHandlers groupOwnerHandlers();
     [[nodiscard]] peer::Handlers peerHandlers();
     [[nodiscard]] entry::CallerServices callerServices();
     [[nodiscard]] entry::Dispatcher::Sources dispatcherSources();
 
     void addTask(TaskPool::Task task);
-    [[nodiscard]] entry::FleetView view() const;
+    [[nodiscard]] entry::FleetSnapshot fleet() const;
     [[nodiscard]] bool isReady() const;
     void onFleetChanged();
     void onListed(const std::vector<ListedInstance> &listed);
@@ -109,8 +109,8 @@
     FleetEnvironment environment;
     RecordWriter records;
     StatusWriter status;
-    PeerSightings sightings;
-    PlanWatch plans;
+    ObservationExchange observations;
+    PlanMonitor plans;
     operators::OperatorApi<RecordWriter, FleetEnvironment> operatorApi;
     entry::Dispatcher dispatcher;
     entry::CallerApi callers;
@@ -134,12 +134,12 @@
     , configuration(self, store, peers, seed, [this] { onFleetChanged(); })
     , membership(
           settings, store, peers, seed, [this] { onFleetChanged(); }, [this](const auto &listed) { onListed(listed); })
-    , ownership(settings, self, groupEvents(), transactions, seed)
+    , ownership(settings, self, groupOwnerHandlers(), transactions, seed)
     , environment(self.name, configuration, membership)
     , records(store, configuration, seed)
     , status(store, self.name, seed)
-    , sightings(self.name, ownership, configuration, transactions, peers, [this](TaskPool::Task task) { addTask(std::move(task)); })
-    , plans(ownership, transactions, sightings, status)
+    , observations(self.name, ownership, configuration, transactions, peers, [this](TaskPool::Task task) { addTask(std::move(task)); })
+    , plans(ownership, transactions, observations, status)
     , operatorApi(records, environment, {.token = given.operators.token})
     , dispatcher(self, dispatcherSources(), peers, transactions)
     , callers(callerServices(), {.tokenBytes = given.limits.tokenBytes, .maxWindow = given.limits.maxWindow}, given.limits.inFlight)
@@ -204,10 +204,10 @@
 
 // What the slices need from the process
 
-GroupEvents Proxy::Impl::groupEvents()
+GroupOwnerHandlers Proxy::Impl::groupOwnerHandlers()
 {
-    GroupEvents events;
-    events.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
+    GroupOwnerHandlers ownerHandlers;
+    ownerHandlers.primaryChanged = [this](const GroupName &group, const PrimaryChanged &change) {
         if (change.reason != PromotionReason::Observed) {
             status.onPromotion(group, change.previous, change.member, change.term, toText(change.reason));
         }
@@ -221,18 +221,18 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    events.note = [](const GroupName &group, const Note &note) {
+    ownerHandlers.auditEvent = [](const GroupName &group, const Note &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
     };
-    events.askPeers = [this](const GroupName &group) {
-        addTask([this, group] { sightings.tell(group, std::nullopt); });
+    ownerHandlers.queryPeers = [this](const GroupName &group) {
+        addTask([this, group] { observations.publish(group, std::nullopt); });
     };
-    events.holdPeers = [this](const GroupName &group, Milliseconds span) {
-        addTask([this, group, span] { sightings.tell(group, span); });
+    ownerHandlers.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
+        addTask([this, group, span] { observations.publish(group, span); });
     };
-    return events;
+    return ownerHandlers;
 }
 
 peer::Handlers Proxy::Impl::peerHandlers()
@@ -252,11 +252,11 @@
     handlers.snapshot = [this] {
         return membership.snapshot();
     };
-    handlers.spread = [this](const SpreadMessage &message) {
+    handlers.gossip = [this](const SpreadMessage &message) {
         return configuration.onRequest(message);
     };
-    handlers.sight = [this](const peer::Sighting &seen) {
-        return sightings.sighted(seen);
+    handlers.exchangeObservations = [this](const peer::GroupObservation &received) {
+        return observations.onObservation(received);
     };
     return handlers;
 }
@@ -284,7 +284,7 @@
 
 entry::Dispatcher::Sources Proxy::Impl::dispatcherSources()
 {
-    return {[this] { return view(); },
+    return {[this] { return fleet(); },
             [this](const GroupName &group) {
                 return ownership.find(group);
             }};
@@ -330,16 +330,16 @@
     }
 }
 
-entry::FleetView Proxy::Impl::view() const
+entry::FleetSnapshot Proxy::Impl::fleet() const
 {
-    const auto currency = configuration.currency();
-    const bool mayServe = currency == CurrencyState::Current || currency == CurrencyState::StoreSilent;
+    const auto freshness = configuration.configurationFreshness();
+    const bool mayServe = freshness == CurrencyState::Current || freshness == CurrencyState::StoreSilent;
     return {configuration.catalog(), membership.owners(), mayServe};
 }
 
 bool Proxy::Impl::isReady() const
 {
-    return view().ready && !membership.isLeaving();
+    return fleet().mayServe && !membership.isLeaving();
 }
 
 void Proxy::Impl::onFleetChanged()
@@ -365,7 +365,7 @@
     }
     const auto owners = membership.owners();
     configuration.setInstances(owners, membership.listedDomains());
-    membership.setConfiguration(configuration.revision());
+    membership.setConfigurationRevision(configuration.revision());
     store.setBudget(callBudgetFor(owners->instances().size()));
     ownership.reconcile({configuration.catalog(), owners, true});
 }
@@ -377,7 +377,7 @@
             continue;
         }
         const auto group = owner->snapshot().group;
-        if (const auto yielded = transactions.yieldIdle(group)) {
+        if (const auto yielded = transactions.evictIdle(group)) {
             logEvent(LogLevel::Info, "idle-transaction-ended", {{"group", group.text()}, {"transaction", yielded->transaction.id.text()}});
             owner->closeConnection(*yielded);
         }
@@ -393,14 +393,14 @@
     }
     yieldIdleTransactions();
     configuration.setInstances(membership.owners(), membership.listedDomains());
-    membership.setConfiguration(configuration.revision());
+    membership.setConfigurationRevision(configuration.revision());
     if (++maintenanceRound % planRounds == 0) {
         const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
         if (instancePlanDue(*configuration.catalog(), self.name, now)) {
             beginLeaving();
         }
         ownership.refresh();
-        plans.look();
+        plans.check();
     }
     return maintenancePeriod;
 }
