--- a/src/gateway/primarywatch.h
+++ b/src/gateway/primarywatch.h
@@ -38,7 +38,7 @@
             watched.suspicion.registered();
         }
         watched.suspicion.sight(context_.settings.instance, sightingOf(context_.host.engine, record, now), now);
-        const auto answered = context_.host.engine.lastAnswer(record.group, record.primary);
+        const auto answered = context_.host.engine.lastReplyAt(record.group, record.primary);
         const bool quiet = now - answered >= context_.limits.probeAfter && now - watched.probedAt >= context_.limits.probeAfter;
         if (!quiet && now - watched.probedAt < context_.limits.probeInterval) {
             return;
--- a/src/gateway/proxymetrics.h
+++ b/src/gateway/proxymetrics.h
@@ -63,8 +63,8 @@
         for (const auto &group : engine.status()) {
             const auto labels = "{group=\"" + group.group.text() + "\"}";
             metrics_.set("statements_waiting" + labels, static_cast<double>(group.waiting));
-            metrics_.set("member_connections_open" + labels, static_cast<double>(group.links));
-            metrics_.set("member_connections_lent" + labels, static_cast<double>(group.lentLinks));
+            metrics_.set("member_connections_open" + labels, static_cast<double>(group.connections));
+            metrics_.set("member_connections_lent" + labels, static_cast<double>(group.connectionsInUse));
             metrics_.set("primary_generation" + labels, static_cast<double>(group.primary.generation));
         }
         return metrics_.page();
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -323,21 +323,21 @@
         checkStopped();
     }
 
-    void carryOut(relay::OpenLink &action)
+    void carryOut(relay::OpenMemberConnection &action)
     {
-        const auto key = action.link;
+        const auto key = action.connection;
         MemberLinkHandlers handlers;
         handlers.opened = [this, key](const std::optional<Mark> &position) {
-            engine_.linkOpened(key, position, evloop::bootTimeNow());
+            engine_.connectionOpened(key, position, evloop::bootTimeNow());
             perform();
         };
         handlers.replied = [this, key](const relay::MemberReply &reply) {
-            engine_.linkReplied(key, reply, evloop::bootTimeNow());
+            engine_.connectionReplied(key, reply, evloop::bootTimeNow());
             perform();
         };
         handlers.closed = [this, key](std::optional<relay::MemberFault> refusal) {
             memberLinks_.erase(key);
-            engine_.linkClosed(key, refusal, evloop::bootTimeNow());
+            engine_.connectionClosed(key, refusal, evloop::bootTimeNow());
             perform();
         };
         const auto link = std::make_shared<Member>(std::move(handlers));
@@ -348,15 +348,15 @@
 
     void carryOut(relay::SendToMember &action)
     {
-        const auto link = memberLinks_.find(action.link);
+        const auto link = memberLinks_.find(action.connection);
         if (link != memberLinks_.end()) {
             link->second->send(action.requests);
         }
     }
 
-    void carryOut(relay::CloseLink &action)
+    void carryOut(relay::CloseMemberConnection &action)
     {
-        const auto link = memberLinks_.find(action.link);
+        const auto link = memberLinks_.find(action.connection);
         if (link == memberLinks_.end()) {
             return;
         }
@@ -463,7 +463,7 @@
     std::shared_ptr<evloop::HttpServer> readiness_;
     std::shared_ptr<evloop::HttpServer> metricsServer_;
     std::unordered_map<relay::CallerKey, std::shared_ptr<Caller>> callers_;
-    std::unordered_map<relay::LinkKey, std::shared_ptr<Member>> memberLinks_;
+    std::unordered_map<relay::MemberConnectionKey, std::shared_ptr<Member>> memberLinks_;
     relay::CallerKey nextCaller_ = 1;
     boost::asio::steady_timer wakeTimer_;
     boost::asio::steady_timer logTimer_;
--- a/src/gateway/sighting.h
+++ b/src/gateway/sighting.h
@@ -14,7 +14,7 @@
     leadership::PrimarySighting seen;
     seen.group = record.group;
     seen.generation = record.generation;
-    const auto answered = engine.lastAnswer(record.group, record.primary);
+    const auto answered = engine.lastReplyAt(record.group, record.primary);
     if (answered != TimePoint{}) {
         seen.sinceAnswer = wholeMilliseconds(now - answered);
     }
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -11,7 +11,7 @@
 namespace cardamomstep::gateway {
 
 /// One group as the proxy sees it.
-[[nodiscard]] inline nlohmann::json toJson(const relay::GroupStatus &group, TimePoint now)
+[[nodiscard]] inline nlohmann::json toJson(const relay::GroupStats &group, TimePoint now)
 {
     return {{"group", group.group.text()},
             {"primary", group.primary.member.text()},
@@ -20,8 +20,8 @@
             {"held", group.primary.held},
             {"viewLeftMs", wholeMilliseconds(group.primary.validUntil - now).count()},
             {"waiting", group.waiting},
-            {"connections", group.links},
-            {"connectionsLent", group.lentLinks}};
+            {"connections", group.connections},
+            {"connectionsLent", group.connectionsInUse}};
 }
 
 /// The whole page.
--- a/src/relay/action.h
+++ b/src/relay/action.h
@@ -28,8 +28,8 @@
 };
 
 /// Connect to a member; report Engine::linkOpened() or Engine::linkClosed().
-struct OpenLink {
-    LinkKey link = 0;
+struct OpenMemberConnection {
+    MemberConnectionKey connection = 0;
     MemberName member;
     GroupName group;
     Address address;
@@ -37,13 +37,13 @@
 
 /// Send requests to a member in this order.
 struct SendToMember {
-    LinkKey link = 0;
+    MemberConnectionKey connection = 0;
     std::vector<MemberRequest> requests;
 };
 
 /// Close a connection; nothing that still arrives on it is reported.
-struct CloseLink {
-    LinkKey link = 0;
+struct CloseMemberConnection {
+    MemberConnectionKey connection = 0;
 };
 
 /// Write a log line.
@@ -53,7 +53,7 @@
     std::vector<LogField> fields;
 };
 
-using Action = std::variant<ReplyToCaller, CloseCaller, OpenLink, SendToMember, CloseLink, LogDecision>;
+using Action = std::variant<ReplyToCaller, CloseCaller, OpenMemberConnection, SendToMember, CloseMemberConnection, LogDecision>;
 using Actions = std::vector<Action>;
 
 } // namespace cardamomstep::relay
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -34,8 +34,8 @@
     for (const auto &[name, config] : routes_.groups()) {
         auto &group = groupState(name);
         group.config = config;
-        share(group);
-        pump(group, now);
+        updatePoolLimits(group);
+        dispatchWaiting(group, now);
     }
 }
 
@@ -67,8 +67,8 @@
             }
             ++pool;
         }
-        share(group);
-        pump(group, now);
+        updatePoolLimits(group);
+        dispatchWaiting(group, now);
     }
 }
 
@@ -83,7 +83,7 @@
         group.stalledSince.reset();
     }
     if (belief.usable(now) && (changed || !wasUsable)) {
-        pump(group, now);
+        dispatchWaiting(group, now);
     }
 }
 
@@ -92,14 +92,14 @@
     return static_cast<std::size_t>(std::count_if(callers_.begin(), callers_.end(), [&name](const auto &entry) {
         const auto &caller = entry.second;
         const bool running = caller.activity == Activity::Running && caller.session.writes(caller.statement);
-        return caller.group == name && caller.link != 0 && caller.atPrimary && (running || caller.session.wrote());
+        return caller.group == name && caller.connection != 0 && caller.atPrimary && (running || caller.session.wrote());
     }));
 }
 
 void Engine::seal(const GroupName &name, TimePoint now)
 {
     for (auto &[key, caller] : callers_) {
-        if (caller.group != name || caller.link == 0 || !caller.atPrimary) {
+        if (caller.group != name || caller.connection == 0 || !caller.atPrimary) {
             continue;
         }
         if (caller.activity != Activity::Resting) {
@@ -118,11 +118,11 @@
         return;
     }
     group.sharers = sharers;
-    share(group);
+    updatePoolLimits(group);
 }
 
 /// Deals the members' connections out: a fair share for each proxy, and what others leave unused.
-void Engine::share(Group &group)
+void Engine::updatePoolLimits(Group &group)
 {
     const auto limit = group.config.memberConnections;
     const auto planned = limit > limits_.reservedConnections ? limit - limits_.reservedConnections : limit;
@@ -147,7 +147,7 @@
             setTimer(key, caller, std::min(caller.wakeAt.value_or(transactionsUntil), transactionsUntil));
         }
     }
-    nextUpkeep_ = now;
+    nextMaintenance_ = now;
 }
 
 void Engine::wake(TimePoint now)
@@ -158,20 +158,20 @@
         setTimer(key, caller, std::nullopt);
         callerDue(key, caller, now);
     }
-    if (now < nextUpkeep_) {
+    if (now < nextMaintenance_) {
         return;
     }
-    nextUpkeep_ = now + upkeepInterval;
+    nextMaintenance_ = now + upkeepInterval;
     for (auto &[name, group] : groups_) {
-        wakeLinks(group, now);
+        maintainConnections(group, now);
         probe(group, now);
-        pump(group, now);
+        dispatchWaiting(group, now);
     }
 }
 
 std::optional<TimePoint> Engine::nextWake() const noexcept
 {
-    return timers_.empty() ? nextUpkeep_ : std::min(nextUpkeep_, timers_.begin()->first);
+    return timers_.empty() ? nextMaintenance_ : std::min(nextMaintenance_, timers_.begin()->first);
 }
 
 Actions Engine::takeActions()
@@ -179,28 +179,28 @@
     return std::exchange(actions_, {});
 }
 
-std::vector<GroupStatus> Engine::status() const
+std::vector<GroupStats> Engine::status() const
 {
-    std::vector<GroupStatus> all;
+    std::vector<GroupStats> all;
     for (const auto &[name, group] : groups_) {
-        GroupStatus status{name, group.primary, group.waiting.size()};
+        GroupStats status{name, group.primary, group.waiting.size()};
         for (const auto &[member, pool] : group.pools) {
-            status.links += pool.size();
-            status.lentLinks += pool.count(LinkPhase::Lent);
+            status.connections += pool.size();
+            status.connectionsInUse += pool.count(PooledConnectionState::InUse);
         }
         all.push_back(status);
     }
     return all;
 }
 
-TimePoint Engine::lastAnswer(const GroupName &group, const MemberName &member) const
+TimePoint Engine::lastReplyAt(const GroupName &group, const MemberName &member) const
 {
     const auto found = groups_.find(group);
     if (found == groups_.end()) {
         return {};
     }
     const auto pool = found->second.pools.find(member);
-    return pool == found->second.pools.end() ? TimePoint{} : pool->second.lastAnswer();
+    return pool == found->second.pools.end() ? TimePoint{} : pool->second.lastReplyAt();
 }
 
 Mark Engine::acknowledged(const GroupName &group) const
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -67,12 +67,12 @@
 };
 
 /// What is told about one group's state to operators and metrics.
-struct GroupStatus {
+struct GroupStats {
     GroupName group;
     PrimaryBelief primary;
     std::size_t waiting = 0;
-    std::uint32_t links = 0;
-    std::uint32_t lentLinks = 0;
+    std::uint32_t connections = 0;
+    std::uint32_t connectionsInUse = 0;
 };
 
 /// The data path of one process.
@@ -104,10 +104,10 @@
 
     // Links.
 
-    void linkOpened(LinkKey link, const std::optional<Mark> &position, TimePoint now);
-    void linkReplied(LinkKey link, const MemberReply &reply, TimePoint now);
+    void connectionOpened(MemberConnectionKey connection, const std::optional<Mark> &position, TimePoint now);
+    void connectionReplied(MemberConnectionKey connection, const MemberReply &reply, TimePoint now);
     /// Takes in that a link broke or could not be opened; \a refusal is set when the member refused it.
-    void linkClosed(LinkKey link, std::optional<MemberFault> refusal, TimePoint now);
+    void connectionClosed(MemberConnectionKey connection, std::optional<MemberFault> refusal, TimePoint now);
 
     /// Begins a graceful shutdown: sessions end as they come to rest, open transactions at \a transactionsUntil.
     void drain(TimePoint transactionsUntil, TimePoint now);
@@ -133,9 +133,9 @@
     {
         return callers_.size();
     }
-    [[nodiscard]] std::vector<GroupStatus> status() const;
+    [[nodiscard]] std::vector<GroupStats> status() const;
     /// When \a member last answered anything; the clock's origin when it never did.
-    [[nodiscard]] TimePoint lastAnswer(const GroupName &group, const MemberName &member) const;
+    [[nodiscard]] TimePoint lastReplyAt(const GroupName &group, const MemberName &member) const;
     /// Highest position that was acknowledged to any caller in \a group.
     [[nodiscard]] Mark acknowledged(const GroupName &group) const;
     /// Since when writes at the group's primary have gone unanswered; nothing while they are answered.
@@ -182,7 +182,7 @@
         /// Members that already failed this statement.
         std::vector<MemberName> avoid;
         /// The link it holds; 0 for none.
-        LinkKey link = 0;
+        MemberConnectionKey connection = 0;
         GroupName group;
         TimePoint sentAt;
         /// The statement went to the primary.
@@ -234,31 +234,39 @@
     void logOutcome(const Caller &caller, std::string_view outcome, TimePoint now);
 
     // Lending (enginelending.cpp)
-    void pump(Group &group, TimePoint now);
+    void dispatchWaiting(Group &group, TimePoint now);
     [[nodiscard]] bool serve(CallerKey key, Caller &caller, Group &group, TimePoint now);
     [[nodiscard]] std::optional<Mark> requiredMark(const Caller &caller, Group &group, TimePoint now) const;
     [[nodiscard]] MemberPool *primaryPool(Group &group, TimePoint now);
     [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now);
-    void openLinks(Group &group, TimePoint now);
-    void openLink(Group &group, MemberPool &pool, TimePoint now);
-    void lend(CallerKey key, Caller &caller, Link &link, const std::optional<Mark> &required, TimePoint now);
-    void sendStatement(Caller &caller, Link &link, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now);
-    void lineUp(const Caller &caller, Link &link, std::vector<MemberRequest> &requests, TimePoint now);
-    void await(Link &link, ReplyPurpose purpose, TimePoint now, Milliseconds patience);
+    void openConnections(Group &group, TimePoint now);
+    void openConnection(Group &group, MemberPool &pool, TimePoint now);
+    void assignConnection(CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, TimePoint now);
+    void sendStatement(Caller &caller,
+                       PooledConnection &connection,
+                       const std::optional<Mark> &required,
+                       std::vector<MemberRequest> requests,
+                       TimePoint now);
+    void addSetupRequests(const Caller &caller, PooledConnection &connection, std::vector<MemberRequest> &requests, TimePoint now);
+    void expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds patience);
     void probe(Group &group, TimePoint now);
-    void share(Group &group);
+    void updatePoolLimits(Group &group);
 
     // Links (enginelinks.cpp)
-    [[nodiscard]] Link *findLink(LinkKey key, Group **group, MemberPool **pool);
-    void statementReplied(Link &link, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now);
-    void beginReplied(Link &link, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now);
+    [[nodiscard]] PooledConnection *findConnection(MemberConnectionKey key, Group **group, MemberPool **pool);
+    void statementReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now);
+    void beginReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now);
     void exchangeFailed(CallerKey key, Caller &caller, ExchangeEnd end, std::optional<MemberFault> fault, TimePoint now);
-    void release(Link &link, Group &group, TimePoint now);
-    void rollBack(Link &link, TimePoint now);
-    void dropLink(LinkKey key, Group &group, MemberPool &pool);
-    void
-    learnPosition(Group &group, MemberPool &pool, const Link &link, const AwaitedReply &awaited, const MemberReply &reply, TimePoint now);
-    void wakeLinks(Group &group, TimePoint now);
+    void release(PooledConnection &connection, Group &group, TimePoint now);
+    void rollBack(PooledConnection &connection, TimePoint now);
+    void dropConnection(MemberConnectionKey key, Group &group, MemberPool &pool);
+    void recordPosition(Group &group,
+                        MemberPool &pool,
+                        const PooledConnection &connection,
+                        const AwaitedReply &awaited,
+                        const MemberReply &reply,
+                        TimePoint now);
+    void maintainConnections(Group &group, TimePoint now);
 
     FailureDomain own_;
     EngineLimits limits_;
@@ -267,11 +275,11 @@
     RetryBudget budget_;
     std::unordered_map<CallerKey, Caller> callers_;
     std::map<GroupName, Group> groups_;
-    std::unordered_map<LinkKey, std::pair<GroupName, MemberName>> links_;
-    LinkKey nextLink_ = 1;
+    std::unordered_map<MemberConnectionKey, std::pair<GroupName, MemberName>> connections_;
+    MemberConnectionKey nextConnection_ = 1;
     /// Invariant: holds each caller's wakeAt, once.
     std::set<std::pair<TimePoint, CallerKey>> timers_;
-    TimePoint nextUpkeep_;
+    TimePoint nextMaintenance_;
     std::optional<TimePoint> drainUntil_;
     Actions actions_;
 };
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -104,12 +104,12 @@
         caller.giveUpAt = now + caller.route.statementTimeout;
         Group *group = nullptr;
         MemberPool *pool = nullptr;
-        auto *link = findLink(caller.link, &group, &pool);
-        if (link == nullptr || caller.sealed) {
+        auto *connection = findConnection(caller.connection, &group, &pool);
+        if (connection == nullptr || caller.sealed) {
             fail(key, caller, Error{ErrorKind::TransactionAborted, "its connection or its primary was lost; it is rolled back"}, now);
             return;
         }
-        sendStatement(caller, *link, std::nullopt, {}, now);
+        sendStatement(caller, *connection, std::nullopt, {}, now);
         return;
     }
     const auto *route = routes_.find(caller.session.database());
@@ -138,7 +138,7 @@
     const std::pair<TimePoint, CallerKey> place{caller.arrived + caller.route.latencyObjective, key};
     group.waiting.insert(std::upper_bound(group.waiting.begin(), group.waiting.end(), place), place);
     setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.connectionPatience));
-    openLinks(group, now);
+    openConnections(group, now);
 }
 
 void Engine::dequeue(CallerKey key, Caller &caller)
@@ -212,26 +212,26 @@
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
-    auto *link = findLink(std::exchange(caller.link, 0), &group, &pool);
-    if (link == nullptr) {
+    auto *connection = findConnection(std::exchange(caller.connection, 0), &group, &pool);
+    if (connection == nullptr) {
         return;
     }
     const bool inTransaction = caller.activity == Activity::Beginning || caller.session.phase() != TransactionPhase::None
         || caller.statement.kind == StatementKind::Rollback || caller.statement.kind == StatementKind::Commit;
-    link->caller = 0;
-    link->phase = LinkPhase::Winding;
-    link->since = now;
+    connection->caller = 0;
+    connection->state = PooledConnectionState::AwaitingReplies;
+    connection->since = now;
     if (!inTransaction) {
-        if (link->awaited.empty()) {
-            release(*link, *group, now);
+        if (connection->awaited.empty()) {
+            release(*connection, *group, now);
         }
         return;
     }
-    if (link->awaited.empty()) {
-        rollBack(*link, now);
+    if (connection->awaited.empty()) {
+        rollBack(*connection, now);
         return;
     }
-    dropLink(link->key, *group, *pool);
+    dropConnection(connection->key, *group, *pool);
 }
 
 /// Ends the transaction of a caller that rests for too long, or the session of one that rests while this process stops.
@@ -284,12 +284,12 @@
     }
     auto &group = groupState(caller.group);
     const auto required = requiredMark(caller, group, now);
-    const auto link = links_.find(caller.link);
-    if (needsPrimary(caller) || !required || link == links_.end()) {
+    const auto connection = connections_.find(caller.connection);
+    if (needsPrimary(caller) || !required || connection == connections_.end()) {
         const auto *pool = primaryPool(group, now);
-        return pool != nullptr && pool->count(LinkPhase::Idle) > 0;
+        return pool != nullptr && pool->count(PooledConnectionState::Idle) > 0;
     }
-    caller.avoid.push_back(link->second.second);
+    caller.avoid.push_back(connection->second.second);
     const bool other = chooseReader(caller, group, required, now) != nullptr;
     caller.avoid.pop_back();
     return other;
@@ -333,13 +333,13 @@
 {
     const auto group = groups_.find(caller.group);
     const bool known = group != groups_.end();
-    const auto link = links_.find(caller.link);
+    const auto connection = connections_.find(caller.connection);
     LogDecision decision{
         LogLevel::Info,
         "statement",
         {{"id", caller.statement.id},
          {"group", caller.group.text()},
-         {"member", link == links_.end() ? std::string("-") : link->second.second.text()},
+         {"member", connection == connections_.end() ? std::string("-") : connection->second.second.text()},
          {"outcome", outcome},
          {"attempts", static_cast<std::int64_t>(caller.attempts)},
          {"took_ms", static_cast<std::int64_t>(wholeMilliseconds(now - caller.arrived).count())},
--- a/src/relay/enginelinks.cpp
+++ b/src/relay/engineconnections.cpp
@@ -12,10 +12,10 @@
 
 } // namespace
 
-Link *Engine::findLink(LinkKey key, Group **group, MemberPool **pool)
+PooledConnection *Engine::findConnection(MemberConnectionKey key, Group **group, MemberPool **pool)
 {
-    const auto place = links_.find(key);
-    if (place == links_.end()) {
+    const auto place = connections_.find(key);
+    if (place == connections_.end()) {
         return nullptr;
     }
     *group = &groupState(place->second.first);
@@ -23,67 +23,71 @@
     return (*pool)->find(key);
 }
 
-void Engine::linkOpened(LinkKey key, const std::optional<Mark> &position, TimePoint now)
+void Engine::connectionOpened(MemberConnectionKey key, const std::optional<Mark> &position, TimePoint now)
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
-    auto *link = findLink(key, &group, &pool);
-    if (link == nullptr) {
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
         return;
     }
-    link->phase = LinkPhase::Idle;
-    link->since = now;
-    if (position && link->member != group->primary.member) {
+    connection->state = PooledConnectionState::Idle;
+    connection->since = now;
+    if (position && connection->member != group->primary.member) {
         pool->position = std::max(pool->position, *position);
     }
-    pump(*group, now);
+    dispatchWaiting(*group, now);
 }
 
-void Engine::linkReplied(LinkKey key, const MemberReply &reply, TimePoint now)
+void Engine::connectionReplied(MemberConnectionKey key, const MemberReply &reply, TimePoint now)
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
-    auto *link = findLink(key, &group, &pool);
-    if (link == nullptr) {
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
         return;
     }
-    if (link->awaited.empty()) {
-        linkClosed(key, std::nullopt, now);
+    if (connection->awaited.empty()) {
+        connectionClosed(key, std::nullopt, now);
         return;
     }
-    const auto awaited = link->awaited.front();
-    link->awaited.pop_front();
-    pool->heard(now);
+    const auto awaited = connection->awaited.front();
+    connection->awaited.pop_front();
+    pool->onContact(now);
     if (awaited.purpose == ReplyPurpose::Statement) {
-        pool->answered(now - awaited.sentAt);
+        pool->onReply(now - awaited.sentAt);
     }
-    learnPosition(*group, *pool, *link, awaited, reply, now);
+    recordPosition(*group, *pool, *connection, awaited, reply, now);
     if (awaited.purpose == ReplyPurpose::Setup && reply.fault) {
-        actions_.emplace_back(CloseLink{key});
-        linkClosed(key, std::nullopt, now);
+        actions_.emplace_back(CloseMemberConnection{key});
+        connectionClosed(key, std::nullopt, now);
         return;
     }
-    if (link->phase == LinkPhase::Winding) {
-        if (link->awaited.empty()) {
-            release(*link, *group, now);
+    if (connection->state == PooledConnectionState::AwaitingReplies) {
+        if (connection->awaited.empty()) {
+            release(*connection, *group, now);
         }
         return;
     }
     if (awaited.purpose == ReplyPurpose::Begin) {
-        beginReplied(*link, *group, *pool, reply, now);
+        beginReplied(*connection, *group, *pool, reply, now);
     } else if (awaited.purpose == ReplyPurpose::Statement) {
-        statementReplied(*link, *group, *pool, reply, now);
+        statementReplied(*connection, *group, *pool, reply, now);
     }
 }
 
 /// Takes positions as evidence: the primary's covers all that was acknowledged before the request left.
-void Engine::learnPosition(
-    Group &group, MemberPool &pool, const Link &link, const AwaitedReply &awaited, const MemberReply &reply, TimePoint now)
+void Engine::recordPosition(Group &group,
+                            MemberPool &pool,
+                            const PooledConnection &connection,
+                            const AwaitedReply &awaited,
+                            const MemberReply &reply,
+                            TimePoint now)
 {
     if (!reply.position) {
         return;
     }
-    if (link.member == group.primary.member) {
+    if (connection.member == group.primary.member) {
         if (group.primary.usable(now) && awaited.purpose != ReplyPurpose::Setup) {
             group.history.confirm(awaited.sentAt, *reply.position);
         }
@@ -92,24 +96,24 @@
     pool.position = std::max(pool.position, *reply.position);
 }
 
-void Engine::beginReplied(Link &link, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
+void Engine::beginReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
 {
-    auto &caller = callers_.at(link.caller);
+    auto &caller = callers_.at(connection.caller);
     if (reply.fault) {
         if (*reply.fault == MemberFault::Lagging) {
             pool.laggingUntil = now + limits_.laggingPause;
         }
-        exchangeFailed(link.caller, caller, ExchangeEnd::Refused, reply.fault, now);
+        exchangeFailed(connection.caller, caller, ExchangeEnd::Refused, reply.fault, now);
         return;
     }
     caller.session.opened();
-    sendStatement(caller, link, std::nullopt, {}, now);
+    sendStatement(caller, connection, std::nullopt, {}, now);
     (void)group;
 }
 
-void Engine::statementReplied(Link &link, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
+void Engine::statementReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
 {
-    const auto key = link.caller;
+    const auto key = connection.caller;
     auto &caller = callers_.at(key);
     const auto stake = stakeOf(caller.session, caller.statement);
     const bool lasting = stake == Stake::Write || stake == Stake::CommitOfWrites;
@@ -123,7 +127,7 @@
             pool.laggingUntil = now + limits_.laggingPause;
         }
         if (fault == MemberFault::UnknownStatement) {
-            link.prepared.clear();
+            connection.prepared.clear();
         }
         exchangeFailed(key, caller, ExchangeEnd::Refused, fault, now);
         return;
@@ -141,9 +145,9 @@
     answered.position = reply.position;
     answer(key, caller, std::move(answered), now);
     if (caller.session.phase() == TransactionPhase::None) {
-        caller.link = 0;
-        link.caller = 0;
-        release(link, group, now);
+        caller.connection = 0;
+        connection.caller = 0;
+        release(connection, group, now);
     }
 }
 
@@ -155,8 +159,8 @@
     auto outcome = judge(stake, end, fault);
     Group *group = nullptr;
     MemberPool *pool = nullptr;
-    auto *link = findLink(caller.link, &group, &pool);
-    const auto member = link == nullptr ? MemberName{} : link->member;
+    auto *connection = findConnection(caller.connection, &group, &pool);
+    const auto member = connection == nullptr ? MemberName{} : connection->member;
     const bool free = fault == MemberFault::Lagging || fault == MemberFault::UnknownStatement;
     const bool again = outcome.mayResend && now < caller.giveUpAt && caller.attempts < limits_.maxAttempts && (free || budget_.take());
     actions_.emplace_back(LogDecision{LogLevel::Info,
@@ -168,18 +172,18 @@
                                        {"end", static_cast<std::int64_t>(end)},
                                        {"fault", fault ? static_cast<std::int64_t>(*fault) : -1},
                                        {"after_ms", static_cast<std::int64_t>(wholeMilliseconds(now - caller.sentAt).count())}}});
-    if (again && end == ExchangeEnd::Silent && link != nullptr && !announced) {
-        link->caller = 0;
-        link->phase = LinkPhase::Winding;
-        caller.link = 0;
-    } else if (end == ExchangeEnd::Silent && link != nullptr) {
+    if (again && end == ExchangeEnd::Silent && connection != nullptr && !announced) {
+        connection->caller = 0;
+        connection->state = PooledConnectionState::AwaitingReplies;
+        caller.connection = 0;
+    } else if (end == ExchangeEnd::Silent && connection != nullptr) {
         pool->failed(now);
-        dropLink(caller.link, *group, *pool);
-        caller.link = 0;
-    } else if (end == ExchangeEnd::Refused && link != nullptr && (announced || caller.session.phase() == TransactionPhase::None)) {
-        link->caller = 0;
-        caller.link = 0;
-        release(*link, *group, now);
+        dropConnection(caller.connection, *group, *pool);
+        caller.connection = 0;
+    } else if (end == ExchangeEnd::Refused && connection != nullptr && (announced || caller.session.phase() == TransactionPhase::None)) {
+        connection->caller = 0;
+        caller.connection = 0;
+        release(*connection, *group, now);
     }
     if (again) {
         if (!member.empty() && fault != MemberFault::UnknownStatement) {
@@ -194,26 +198,26 @@
     fail(key, caller, std::move(outcome.error), now);
 }
 
-void Engine::linkClosed(LinkKey key, std::optional<MemberFault> refusal, TimePoint now)
+void Engine::connectionClosed(MemberConnectionKey key, std::optional<MemberFault> refusal, TimePoint now)
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
-    auto *link = findLink(key, &group, &pool);
-    if (link == nullptr) {
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
         return;
     }
-    const auto lentTo = link->caller;
-    const bool wasOpening = link->phase == LinkPhase::Opening;
-    const bool wasIdle = link->phase == LinkPhase::Idle;
+    const auto lentTo = connection->caller;
+    const bool wasOpening = connection->state == PooledConnectionState::Opening;
+    const bool wasIdle = connection->state == PooledConnectionState::Idle;
     actions_.emplace_back(LogDecision{LogLevel::Info,
                                       "link_closed",
-                                      {{"member", link->member.text()},
+                                      {{"member", connection->member.text()},
                                        {"opening", static_cast<std::int64_t>(wasOpening ? 1 : 0)},
                                        {"refusal", refusal ? static_cast<std::int64_t>(*refusal) : -1}}});
     pool->remove(key);
-    links_.erase(key);
+    connections_.erase(key);
     if (refusal == MemberFault::TooManyConnections) {
-        pool->heard(now);
+        pool->onContact(now);
         pool->limitReached(now);
     } else if (!wasIdle) {
         pool->failed(now);
@@ -223,7 +227,7 @@
         return;
     }
     auto &caller = found->second;
-    caller.link = 0;
+    caller.connection = 0;
     if (caller.activity == Activity::Resting) {
         caller.session.lost();
         return;
@@ -232,64 +236,65 @@
 }
 
 /// Makes a link free for others.
-void Engine::release(Link &link, Group &group, TimePoint now)
+void Engine::release(PooledConnection &connection, Group &group, TimePoint now)
 {
-    link.caller = 0;
-    link.phase = LinkPhase::Idle;
-    link.since = now;
-    auto &pool = group.pools.at(link.member);
-    const bool leaving = pool.entry().draining && link.member != group.primary.member;
+    connection.caller = 0;
+    connection.state = PooledConnectionState::Idle;
+    connection.since = now;
+    auto &pool = group.pools.at(connection.member);
+    const bool leaving = pool.entry().draining && connection.member != group.primary.member;
     if (leaving) {
-        dropLink(link.key, group, pool);
+        dropConnection(connection.key, group, pool);
         return;
     }
-    pump(group, now);
-    if (const auto surplus = pool.surplus(now); surplus != 0) {
-        dropLink(surplus, group, pool);
+    dispatchWaiting(group, now);
+    if (const auto surplus = pool.surplusConnection(now); surplus != 0) {
+        dropConnection(surplus, group, pool);
     }
 }
 
 /// Ends the member's transaction on a link whose caller was answered.
-void Engine::rollBack(Link &link, TimePoint now)
+void Engine::rollBack(PooledConnection &connection, TimePoint now)
 {
-    link.phase = LinkPhase::Winding;
-    await(link, ReplyPurpose::Rollback, now, openPatience);
-    actions_.emplace_back(SendToMember{link.key, {MemberRequest{MemberVerb::Rollback}}});
+    connection.state = PooledConnectionState::AwaitingReplies;
+    expectReply(connection, ReplyPurpose::Rollback, now, openPatience);
+    actions_.emplace_back(SendToMember{connection.key, {MemberRequest{MemberVerb::Rollback}}});
 }
 
-void Engine::dropLink(LinkKey key, Group & /*group*/, MemberPool &pool)
+void Engine::dropConnection(MemberConnectionKey key, Group & /*group*/, MemberPool &pool)
 {
     pool.remove(key);
-    links_.erase(key);
-    actions_.emplace_back(CloseLink{key});
+    connections_.erase(key);
+    actions_.emplace_back(CloseMemberConnection{key});
 }
 
 /// Closes links that are silent, that do not open, or that are not needed.
-void Engine::wakeLinks(Group &group, TimePoint now)
+void Engine::maintainConnections(Group &group, TimePoint now)
 {
     for (auto &[name, pool] : group.pools) {
-        std::vector<LinkKey> silent;
-        for (const auto &[key, link] : pool.links()) {
-            const bool unopened = link.phase == LinkPhase::Opening && now - link.since >= openPatience;
-            const bool unanswered = link.phase == LinkPhase::Winding && !link.awaited.empty() && now >= link.awaited.front().silentAt;
+        std::vector<MemberConnectionKey> silent;
+        for (const auto &[key, connection] : pool.connections()) {
+            const bool unopened = connection.state == PooledConnectionState::Opening && now - connection.since >= openPatience;
+            const bool unanswered = connection.state == PooledConnectionState::AwaitingReplies && !connection.awaited.empty()
+                && now >= connection.awaited.front().silentAt;
             if (unopened || unanswered) {
                 silent.push_back(key);
             }
         }
         for (const auto key : silent) {
-            actions_.emplace_back(CloseLink{key});
-            linkClosed(key, std::nullopt, now);
+            actions_.emplace_back(CloseMemberConnection{key});
+            connectionClosed(key, std::nullopt, now);
         }
-        const auto surplus = pool.surplus(now);
+        const auto surplus = pool.surplusConnection(now);
         const bool leaving = pool.entry().draining && name != group.primary.member;
         if (surplus != 0) {
-            dropLink(surplus, group, pool);
+            dropConnection(surplus, group, pool);
         }
         if (!leaving) {
             continue;
         }
         while (auto *idle = pool.bestIdle({})) {
-            dropLink(idle->key, group, pool);
+            dropConnection(idle->key, group, pool);
         }
     }
 }
--- a/src/relay/enginelending.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 /// Serves those that wait, most urgent first.
-void Engine::pump(Group &group, TimePoint now)
+void Engine::dispatchWaiting(Group &group, TimePoint now)
 {
     std::size_t index = 0;
     while (index < group.waiting.size()) {
@@ -27,7 +27,7 @@
             ++index;
         }
     }
-    openLinks(group, now);
+    openConnections(group, now);
 }
 
 /// Lends a link to \a caller if one is free for it.
@@ -40,11 +40,11 @@
     } else {
         pool = primaryPool(group, now);
     }
-    auto *link = pool == nullptr ? nullptr : pool->bestIdle(caller.session.values());
-    if (link == nullptr) {
+    auto *connection = pool == nullptr ? nullptr : pool->bestIdle(caller.session.values());
+    if (connection == nullptr) {
         return false;
     }
-    lend(key, caller, *link, required, now);
+    assignConnection(key, caller, *connection, required, now);
     return true;
 }
 
@@ -79,7 +79,7 @@
     for (auto &[name, pool] : group.pools) {
         const bool primary = name == group.primary.member;
         const bool avoided = std::find(caller.avoid.begin(), caller.avoid.end(), name) != caller.avoid.end();
-        if (avoided || pool.count(LinkPhase::Idle) == 0 || !pool.usable(now)) {
+        if (avoided || pool.count(PooledConnectionState::Idle) == 0 || !pool.usable(now)) {
             continue;
         }
         if (primary ? !group.primary.usable(now) : pool.entry().draining) {
@@ -88,8 +88,8 @@
         if (!primary && now < pool.laggingUntil && pool.position < *required) {
             continue;
         }
-        const auto running = static_cast<std::int64_t>(pool.count(LinkPhase::Lent));
-        auto cost = pool.answerTime().mean() * (1 + running) / 2 + Microseconds{static_cast<std::int64_t>(random_.below(2'000))};
+        const auto running = static_cast<std::int64_t>(pool.count(PooledConnectionState::InUse));
+        auto cost = pool.replyTime().mean() * (1 + running) / 2 + Microseconds{static_cast<std::int64_t>(random_.below(2'000))};
         cost += primary ? limits_.primaryPenalty : Microseconds{0};
         cost += pool.entry().failureDomain == own_ ? Microseconds{0} : limits_.remotePenalty;
         if (best == nullptr || cost < least) {
@@ -101,7 +101,7 @@
 }
 
 /// Opens links for those that wait, as far as shares allow.
-void Engine::openLinks(Group &group, TimePoint now)
+void Engine::openConnections(Group &group, TimePoint now)
 {
     std::size_t forPrimary = 0;
     std::size_t forReaders = 0;
@@ -117,57 +117,58 @@
         }
         const auto wanted = primary ? forPrimary + forReaders / 4 : forReaders;
         const bool keepOne = pool.size() == 0 && pool.fairShare() > 0 && !drainUntil_;
-        auto opening = pool.count(LinkPhase::Opening);
+        auto opening = pool.count(PooledConnectionState::Opening);
         while ((opening < wanted || (keepOne && opening == 0)) && opening < limits_.opensAtOnce && pool.mayOpen(now)) {
-            openLink(group, pool, now);
+            openConnection(group, pool, now);
             ++opening;
         }
     }
 }
 
-void Engine::openLink(Group &group, MemberPool &pool, TimePoint now)
+void Engine::openConnection(Group &group, MemberPool &pool, TimePoint now)
 {
-    const auto key = nextLink_++;
-    auto &link = pool.add(key, now);
-    link.group = group.config.group;
-    links_.emplace(key, std::make_pair(link.group, link.member));
-    actions_.emplace_back(OpenLink{key, link.member, link.group, pool.entry().address});
+    const auto key = nextConnection_++;
+    auto &connection = pool.add(key, now);
+    connection.group = group.config.group;
+    connections_.emplace(key, std::make_pair(connection.group, connection.member));
+    actions_.emplace_back(OpenMemberConnection{key, connection.member, connection.group, pool.entry().address});
 }
 
-void Engine::lend(CallerKey key, Caller &caller, Link &link, const std::optional<Mark> &required, TimePoint now)
+void Engine::assignConnection(
+    CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, TimePoint now)
 {
     auto &group = groupState(caller.group);
-    link.phase = LinkPhase::Lent;
-    link.caller = key;
-    link.since = now;
-    caller.link = link.key;
-    caller.atPrimary = link.member == group.primary.member;
+    connection.state = PooledConnectionState::InUse;
+    connection.caller = key;
+    connection.since = now;
+    caller.connection = connection.key;
+    caller.atPrimary = connection.member == group.primary.member;
     ++caller.attempts;
     const auto mustHold = caller.atPrimary ? std::nullopt : required;
     if (caller.session.phase() == TransactionPhase::None) {
-        sendStatement(caller, link, mustHold, {}, now);
+        sendStatement(caller, connection, mustHold, {}, now);
         return;
     }
     caller.activity = Activity::Beginning;
     std::vector<MemberRequest> requests;
-    lineUp(caller, link, requests, now);
+    addSetupRequests(caller, connection, requests, now);
     MemberRequest begin;
     begin.verb = caller.session.readOnlyTransaction() ? MemberVerb::BeginReadOnly : MemberVerb::Begin;
     begin.mustHold = mustHold;
     requests.push_back(std::move(begin));
-    await(link, ReplyPurpose::Begin, now, caller.route.statementTimeout);
+    expectReply(connection, ReplyPurpose::Begin, now, caller.route.statementTimeout);
     caller.sentAt = now;
     setTimer(key, caller, caller.giveUpAt);
-    actions_.emplace_back(SendToMember{link.key, std::move(requests)});
+    actions_.emplace_back(SendToMember{connection.key, std::move(requests)});
 }
 
 /// Sends the caller's statement, after \a requests.
 void Engine::sendStatement(
-    Caller &caller, Link &link, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now)
+    Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now)
 {
     auto &group = groupState(caller.group);
-    auto &pool = group.pools.at(link.member);
-    lineUp(caller, link, requests, now);
+    auto &pool = group.pools.at(connection.member);
+    addSetupRequests(caller, connection, requests, now);
     MemberRequest request;
     request.id = caller.statement.id;
     request.text = caller.statement.text;
@@ -178,41 +179,41 @@
         request.text = caller.statement.argument;
     }
     requests.push_back(std::move(request));
-    await(link, ReplyPurpose::Statement, now, caller.route.statementTimeout);
+    expectReply(connection, ReplyPurpose::Statement, now, caller.route.statementTimeout);
     caller.activity = Activity::Running;
     caller.sentAt = now;
     const auto stake = stakeOf(caller.session, caller.statement);
     if (stake == Stake::Write || stake == Stake::CommitOfWrites) {
         group.stalledSince = group.stalledSince.value_or(now);
     }
-    const auto late = wholeMilliseconds(pool.answerTime().withMargin(limits_.lateFactor));
+    const auto late = wholeMilliseconds(pool.replyTime().withMargin(limits_.lateFactor));
     auto due = caller.giveUpAt;
     if (stake == Stake::Read && caller.attempts < limits_.maxAttempts) {
         due = std::min<TimePoint>(due, now + std::max(limits_.readPatience, late));
     } else if (stake == Stake::Inside) {
         due = std::min<TimePoint>(due, now + std::max(limits_.transactionPatience, late));
     }
-    setTimer(link.caller, caller, due);
-    actions_.emplace_back(SendToMember{link.key, std::move(requests)});
+    setTimer(connection.caller, caller, due);
+    actions_.emplace_back(SendToMember{connection.key, std::move(requests)});
 }
 
 /// Makes the link carry the session's values and the prepared statement that is about to run.
-void Engine::lineUp(const Caller &caller, Link &link, std::vector<MemberRequest> &requests, TimePoint now)
+void Engine::addSetupRequests(const Caller &caller, PooledConnection &connection, std::vector<MemberRequest> &requests, TimePoint now)
 {
     const auto &values = caller.session.values();
-    const bool surplus =
-        std::any_of(link.values.begin(), link.values.end(), [&values](const auto &held) { return !values.contains(held.first); });
+    const bool surplus = std::any_of(
+        connection.values.begin(), connection.values.end(), [&values](const auto &held) { return !values.contains(held.first); });
     const auto add = [&](MemberRequest request) {
         requests.push_back(std::move(request));
-        await(link, ReplyPurpose::Setup, now, ownPatience);
+        expectReply(connection, ReplyPurpose::Setup, now, ownPatience);
     };
     if (surplus) {
         add(MemberRequest{MemberVerb::ResetSession});
-        link.values.clear();
-        link.prepared.clear();
+        connection.values.clear();
+        connection.prepared.clear();
     }
     for (const auto &[name, value] : values) {
-        auto &held = link.values[name];
+        auto &held = connection.values[name];
         if (held != value) {
             held = value;
             add(MemberRequest{MemberVerb::SetValue, {}, value, name});
@@ -222,14 +223,14 @@
         return;
     }
     const auto &shape = *caller.session.prepared(caller.statement.name);
-    if (link.prepared.insert(memberName(shape)).second) {
+    if (connection.prepared.insert(memberName(shape)).second) {
         add(MemberRequest{MemberVerb::Prepare, {}, shape.shape, memberName(shape), shape.access});
     }
 }
 
-void Engine::await(Link &link, ReplyPurpose purpose, TimePoint now, Milliseconds patience)
+void Engine::expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds patience)
 {
-    link.awaited.push_back(AwaitedReply{purpose, now, now + patience});
+    connection.awaited.push_back(AwaitedReply{purpose, now, now + patience});
 }
 
 /// Asks the primary for its position where reads depend on it and no statement brought it lately.
@@ -242,15 +243,15 @@
         return;
     }
     auto *pool = primaryPool(group, now);
-    auto *link = pool == nullptr ? nullptr : pool->bestIdle({});
-    if (link == nullptr) {
+    auto *connection = pool == nullptr ? nullptr : pool->bestIdle({});
+    if (connection == nullptr) {
         return;
     }
     group.probedAt = now;
-    link->phase = LinkPhase::Winding;
-    link->since = now;
-    await(*link, ReplyPurpose::Probe, now, ownPatience);
-    actions_.emplace_back(SendToMember{link->key, {MemberRequest{MemberVerb::Status}}});
+    connection->state = PooledConnectionState::AwaitingReplies;
+    connection->since = now;
+    expectReply(*connection, ReplyPurpose::Probe, now, ownPatience);
+    actions_.emplace_back(SendToMember{connection->key, {MemberRequest{MemberVerb::Status}}});
 }
 
 } // namespace cardamomstep::relay
--- a/src/relay/memberpool.cpp
+++ b/src/relay/memberpool.cpp
@@ -8,99 +8,99 @@
 namespace {
 
 /// Requests needed before \a link carries exactly \a values.
-std::size_t preparation(const Link &link, const std::map<std::string, std::string> &values)
+std::size_t preparation(const PooledConnection &connection, const std::map<std::string, std::string> &values)
 {
     std::size_t differing = 0;
     for (const auto &[name, value] : values) {
-        const auto held = link.values.find(name);
-        differing += held == link.values.end() || held->second != value ? 1 : 0;
+        const auto held = connection.values.find(name);
+        differing += held == connection.values.end() || held->second != value ? 1 : 0;
     }
-    const bool surplus =
-        std::any_of(link.values.begin(), link.values.end(), [&values](const auto &held) { return !values.contains(held.first); });
-    return surplus ? values.size() + link.prepared.size() + 1 : differing;
+    const bool surplus = std::any_of(
+        connection.values.begin(), connection.values.end(), [&values](const auto &held) { return !values.contains(held.first); });
+    return surplus ? values.size() + connection.prepared.size() + 1 : differing;
 }
 
 } // namespace
 
-Link &MemberPool::add(LinkKey key, TimePoint now)
+PooledConnection &MemberPool::add(MemberConnectionKey key, TimePoint now)
 {
-    Link link;
-    link.key = key;
-    link.member = entry_.name;
-    link.group = entry_.group;
-    link.since = now;
-    return links_.emplace(key, std::move(link)).first->second;
+    PooledConnection connection;
+    connection.key = key;
+    connection.member = entry_.name;
+    connection.group = entry_.group;
+    connection.since = now;
+    return connections_.emplace(key, std::move(connection)).first->second;
 }
 
-void MemberPool::remove(LinkKey key)
+void MemberPool::remove(MemberConnectionKey key)
 {
-    links_.erase(key);
+    connections_.erase(key);
 }
 
-Link *MemberPool::find(LinkKey key) noexcept
+PooledConnection *MemberPool::find(MemberConnectionKey key) noexcept
 {
-    const auto found = links_.find(key);
-    return found == links_.end() ? nullptr : &found->second;
+    const auto found = connections_.find(key);
+    return found == connections_.end() ? nullptr : &found->second;
 }
 
-Link *MemberPool::bestIdle(const std::map<std::string, std::string> &values) noexcept
+PooledConnection *MemberPool::bestIdle(const std::map<std::string, std::string> &values) noexcept
 {
-    Link *best = nullptr;
+    PooledConnection *best = nullptr;
     std::size_t least = 0;
-    for (auto &[key, link] : links_) {
-        if (link.phase != LinkPhase::Idle) {
+    for (auto &[key, connection] : connections_) {
+        if (connection.state != PooledConnectionState::Idle) {
             continue;
         }
-        const auto needed = preparation(link, values);
+        const auto needed = preparation(connection, values);
         if (best == nullptr || needed < least) {
-            best = &link;
+            best = &connection;
             least = needed;
         }
     }
     return best;
 }
 
-std::optional<Milliseconds> MemberPool::idlePatience(TimePoint now) const noexcept
+std::optional<Milliseconds> MemberPool::idleTimeout(TimePoint now) const noexcept
 {
-    if (links_.size() > fairShare_) {
-        const bool scarce = limitSeen_ != TimePoint{} && now - limitSeen_ < limits_.scarceFor;
-        return scarce ? Milliseconds{0} : limits_.surplusIdle;
+    if (connections_.size() > fairShare_) {
+        const bool scarce = limitRefusedAt_ != TimePoint{} && now - limitRefusedAt_ < limits_.scarcityPeriod;
+        return scarce ? Milliseconds{0} : limits_.surplusIdleTimeout;
     }
-    return links_.size() > 1 ? std::optional(limits_.spareIdle) : std::nullopt;
+    return connections_.size() > 1 ? std::optional(limits_.spareIdleTimeout) : std::nullopt;
 }
 
-LinkKey MemberPool::surplus(TimePoint now) const noexcept
+MemberConnectionKey MemberPool::surplusConnection(TimePoint now) const noexcept
 {
-    const auto patience = idlePatience(now);
+    const auto patience = idleTimeout(now);
     if (!patience) {
         return 0;
     }
-    for (const auto &[key, link] : links_) {
-        if (link.phase == LinkPhase::Idle && now - link.since >= *patience) {
+    for (const auto &[key, connection] : connections_) {
+        if (connection.state == PooledConnectionState::Idle && now - connection.since >= *patience) {
             return key;
         }
     }
     return 0;
 }
 
-std::uint32_t MemberPool::count(LinkPhase phase) const noexcept
+std::uint32_t MemberPool::count(PooledConnectionState state) const noexcept
 {
     return static_cast<std::uint32_t>(
-        std::count_if(links_.begin(), links_.end(), [phase](const auto &entry) { return entry.second.phase == phase; }));
+        std::count_if(connections_.begin(), connections_.end(), [state](const auto &entry) { return entry.second.state == state; }));
 }
 
 void MemberPool::failed(TimePoint now) noexcept
 {
-    const auto doubled = limits_.firstPause * (1U << std::min(failures_, 5U));
-    pausedUntil_ = now + std::min<Milliseconds>(doubled, limits_.longestPause);
+    const auto doubled = limits_.initialPause * (1U << std::min(failures_, 5U));
+    pausedUntil_ = now + std::min<Milliseconds>(doubled, limits_.maxPause);
     ++failures_;
 }
 
 void MemberPool::limitReached(TimePoint now) noexcept
 {
-    limitSeen_ = now;
-    openFrom_ = now + limits_.limitPause;
-    surplusFrom_ = now + limits_.limitPause * 2;
+    limitRefusedAt_ = now;
+    openAllowedFrom_ = now + limits_.limitRefusalPause;
+    surplusAllowedFrom_ = now + limits_.limitRefusalPause * 2;
 }
 
 } // namespace cardamomstep::relay
--- a/src/relay/memberpool.h
+++ b/src/relay/memberpool.h
@@ -35,19 +35,19 @@
 };
 
 /// Where a link stands.
-enum class LinkPhase : std::uint8_t {
+enum class PooledConnectionState : std::uint8_t {
     Opening,
     Idle,
-    Lent, ///< It serves one caller's statement or transaction.
-    Winding, ///< Its caller is gone; it becomes idle once all replies are in.
+    InUse, ///< It serves one caller's statement or transaction.
+    AwaitingReplies, ///< Its caller is gone; it becomes idle once all replies are in.
 };
 
 /// One connection to a member.
-struct Link {
-    LinkKey key = 0;
+struct PooledConnection {
+    MemberConnectionKey key = 0;
     MemberName member;
     GroupName group;
-    LinkPhase phase = LinkPhase::Opening;
+    PooledConnectionState state = PooledConnectionState::Opening;
     /// The caller it is lent to; 0 for none.
     CallerKey caller = 0;
     /// When it entered its phase.
@@ -62,18 +62,18 @@
 /// Settings of a pool.
 struct MemberPoolLimits {
     /// First and longest pause after a failed open or a broken connection.
-    Milliseconds firstPause{100};
-    Milliseconds longestPause{1'500};
+    Milliseconds initialPause{100};
+    Milliseconds maxPause{1'500};
     /// Pause of opens after the member refused a connection because of its limit; above the fair share it is twice as long.
-    Milliseconds limitPause{150};
+    Milliseconds limitRefusalPause{150};
     /// An idle connection above the fair share is closed after this time, and at once where connections are scarce.
-    Milliseconds surplusIdle{400};
+    Milliseconds surplusIdleTimeout{400};
     /// An idle connection within the fair share is closed after this time; one is kept.
-    Milliseconds spareIdle{400};
+    Milliseconds spareIdleTimeout{400};
     /// Connections count as scarce for this long after the member refused one because of its limit.
-    Milliseconds scarceFor{2'000};
+    Milliseconds scarcityPeriod{2'000};
     /// Answer time of a member before any was measured.
-    Microseconds firstAnswerTime{25'000};
+    Microseconds initialReplyTime{25'000};
 };
 
 /// The links to one member and what was learned of it.
@@ -83,7 +83,7 @@
     explicit MemberPool(MemberEntry entry, const MemberPoolLimits &limits = {})
         : limits_(limits)
         , entry_(std::move(entry))
-        , answerTime_(limits.firstAnswerTime)
+        , replyTime_(limits.initialReplyTime)
     {
     }
 
@@ -97,10 +97,10 @@
     }
 
     /// Sets the fair share of the member's connections and how many may be held at most while others leave theirs unused.
-    void setAllowed(std::uint32_t fairShare, std::uint32_t most) noexcept
+    void setAllowed(std::uint32_t fairShare, std::uint32_t maxConnections) noexcept
     {
         fairShare_ = fairShare;
-        most_ = most;
+        maxConnections_ = maxConnections;
     }
 
     [[nodiscard]] std::uint32_t fairShare() const noexcept
@@ -111,8 +111,8 @@
     /// True when another connection may be opened at \a now.
     [[nodiscard]] bool mayOpen(TimePoint now) const noexcept
     {
-        const auto from = links_.size() < fairShare_ ? openFrom_ : surplusFrom_;
-        return links_.size() < most_ && now >= from && now >= pausedUntil_;
+        const auto from = connections_.size() < fairShare_ ? openAllowedFrom_ : surplusAllowedFrom_;
+        return connections_.size() < maxConnections_ && now >= from && now >= pausedUntil_;
     }
 
     /// True when the member answered lately, or nothing speaks against it.
@@ -124,44 +124,44 @@
     /// True when every connection that is allowed is open or being opened.
     [[nodiscard]] bool exhausted() const noexcept
     {
-        return links_.size() >= most_;
+        return connections_.size() >= maxConnections_;
     }
 
-    Link &add(LinkKey key, TimePoint now);
-    void remove(LinkKey key);
-    [[nodiscard]] Link *find(LinkKey key) noexcept;
+    PooledConnection &add(MemberConnectionKey key, TimePoint now);
+    void remove(MemberConnectionKey key);
+    [[nodiscard]] PooledConnection *find(MemberConnectionKey key) noexcept;
 
     /// The idle link that needs the least preparation for \a values; null when none is idle.
-    [[nodiscard]] Link *bestIdle(const std::map<std::string, std::string> &values) noexcept;
+    [[nodiscard]] PooledConnection *bestIdle(const std::map<std::string, std::string> &values) noexcept;
 
     /// An idle link that should be closed, so that others can open theirs; 0 when there is none.
-    [[nodiscard]] LinkKey surplus(TimePoint now) const noexcept;
+    [[nodiscard]] MemberConnectionKey surplusConnection(TimePoint now) const noexcept;
 
-    [[nodiscard]] std::uint32_t count(LinkPhase phase) const noexcept;
+    [[nodiscard]] std::uint32_t count(PooledConnectionState state) const noexcept;
     [[nodiscard]] std::uint32_t size() const noexcept
     {
-        return static_cast<std::uint32_t>(links_.size());
+        return static_cast<std::uint32_t>(connections_.size());
     }
-    [[nodiscard]] std::map<LinkKey, Link> &links() noexcept
+    [[nodiscard]] std::map<MemberConnectionKey, PooledConnection> &connections() noexcept
     {
-        return links_;
+        return connections_;
     }
-    [[nodiscard]] const std::map<LinkKey, Link> &links() const noexcept
+    [[nodiscard]] const std::map<MemberConnectionKey, PooledConnection> &connections() const noexcept
     {
-        return links_;
+        return connections_;
     }
 
     /// Takes in any sign of life.
-    void heard(TimePoint now) noexcept
+    void onContact(TimePoint now) noexcept
     {
-        lastAnswer_ = now;
+        lastReplyAt_ = now;
         failures_ = 0;
     }
 
     /// Takes in that a statement was answered after \a time.
-    void answered(Microseconds time) noexcept
+    void onReply(Microseconds time) noexcept
     {
-        answerTime_.observe(time);
+        replyTime_.observe(time);
     }
 
     /// Takes in that a connection broke, was silent or could not be opened.
@@ -170,13 +170,13 @@
     /// Takes in that the member refused a connection because of its limit.
     void limitReached(TimePoint now) noexcept;
 
-    [[nodiscard]] const SmoothedTime &answerTime() const noexcept
+    [[nodiscard]] const SmoothedTime &replyTime() const noexcept
     {
-        return answerTime_;
+        return replyTime_;
     }
-    [[nodiscard]] TimePoint lastAnswer() const noexcept
+    [[nodiscard]] TimePoint lastReplyAt() const noexcept
     {
-        return lastAnswer_;
+        return lastReplyAt_;
     }
 
     /// Position of the member's log as last told; replicas only.
@@ -186,22 +186,22 @@
 
 private:
     /// How long a link may be idle now; nothing when all may stay.
-    [[nodiscard]] std::optional<Milliseconds> idlePatience(TimePoint now) const noexcept;
+    [[nodiscard]] std::optional<Milliseconds> idleTimeout(TimePoint now) const noexcept;
 
     MemberPoolLimits limits_;
     MemberEntry entry_;
     std::uint32_t fairShare_ = 0;
-    std::uint32_t most_ = 0;
-    std::map<LinkKey, Link> links_;
-    SmoothedTime answerTime_;
-    TimePoint lastAnswer_;
+    std::uint32_t maxConnections_ = 0;
+    std::map<MemberConnectionKey, PooledConnection> connections_;
+    SmoothedTime replyTime_;
+    TimePoint lastReplyAt_;
     /// No use is made of the member before.
     TimePoint pausedUntil_;
     /// Connections within and above the fair share may be opened from here on.
-    TimePoint openFrom_;
-    TimePoint surplusFrom_;
+    TimePoint openAllowedFrom_;
+    TimePoint surplusAllowedFrom_;
     /// When the member last refused a connection because of its limit.
-    TimePoint limitSeen_;
+    TimePoint limitRefusedAt_;
     std::uint32_t failures_ = 0;
 };
 
--- a/src/relay/message.h
+++ b/src/relay/message.h
@@ -16,7 +16,7 @@
 /// One caller's session on this process.
 using CallerKey = std::uint64_t;
 /// One connection from this process to a member.
-using LinkKey = std::uint64_t;
+using MemberConnectionKey = std::uint64_t;
 /// The name under which callers ask for a database.
 using DatabaseName = StrongId<struct DatabaseNameTag>;
 
--- a/tests/relay/relaydriver.h
+++ b/tests/relay/relaydriver.h
@@ -122,7 +122,7 @@
                 reply.fault = fault;
                 reply.signature = fault ? "" : "signed";
             }
-            engine.linkReplied(link, reply, now);
+            engine.connectionReplied(link, reply, now);
             settle();
             if (forwarded) {
                 return;
@@ -153,29 +153,29 @@
     int ids = 0;
     /// Links are refused by members in place of being opened.
     std::optional<MemberFault> refuseLinks;
-    std::vector<OpenLink> opens;
-    std::vector<std::pair<LinkKey, MemberRequest>> requests;
+    std::vector<OpenMemberConnection> opens;
+    std::vector<std::pair<MemberConnectionKey, MemberRequest>> requests;
     std::vector<std::string> members;
     std::vector<std::pair<CallerKey, CallerReply>> replies;
     std::vector<LogDecision> decisions;
     std::vector<CallerKey> closedCallers;
-    std::vector<LinkKey> closedLinks;
+    std::vector<MemberConnectionKey> closedLinks;
 
 private:
     void take(Action &action)
     {
-        if (const auto *open = std::get_if<OpenLink>(&action)) {
+        if (const auto *open = std::get_if<OpenMemberConnection>(&action)) {
             opens.push_back(*open);
             if (refuseLinks) {
-                engine.linkClosed(open->link, refuseLinks, now);
+                engine.connectionClosed(open->connection, refuseLinks, now);
             } else {
-                engine.linkOpened(open->link, position(1, 1), now);
+                engine.connectionOpened(open->connection, position(1, 1), now);
             }
         } else if (auto *send = std::get_if<SendToMember>(&action)) {
             for (const auto &request : send->requests) {
-                requests.emplace_back(send->link, request);
+                requests.emplace_back(send->connection, request);
                 if (!request.id.empty()) {
-                    members.push_back(memberOf(send->link));
+                    members.push_back(memberOf(send->connection));
                 }
             }
         } else if (auto *reply = std::get_if<ReplyToCaller>(&action)) {
@@ -183,17 +183,17 @@
         } else if (const auto *close = std::get_if<CloseCaller>(&action)) {
             closedCallers.push_back(close->caller);
             engine.callerClosed(close->caller, now);
-        } else if (const auto *link = std::get_if<CloseLink>(&action)) {
-            closedLinks.push_back(link->link);
-            std::erase_if(requests, [link](const auto &request) { return request.first == link->link; });
+        } else if (const auto *link = std::get_if<CloseMemberConnection>(&action)) {
+            closedLinks.push_back(link->connection);
+            std::erase_if(requests, [link](const auto &request) { return request.first == link->connection; });
         } else if (auto *decision = std::get_if<LogDecision>(&action)) {
             decisions.push_back(std::move(*decision));
         }
     }
 
-    [[nodiscard]] std::string memberOf(LinkKey link) const
+    [[nodiscard]] std::string memberOf(MemberConnectionKey link) const
     {
-        const auto found = std::find_if(opens.begin(), opens.end(), [link](const auto &open) { return open.link == link; });
+        const auto found = std::find_if(opens.begin(), opens.end(), [link](const auto &open) { return open.connection == link; });
         return found == opens.end() ? "" : found->member.text();
     }
 };
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -138,7 +138,7 @@
     RelayDriver driver;
     driver.open(1);
     driver.say(1, StatementKind::Write);
-    driver.engine.linkClosed(driver.requests.back().first, std::nullopt, driver.now);
+    driver.engine.connectionClosed(driver.requests.back().first, std::nullopt, driver.now);
     driver.settle();
     cr_assert(driver.members.size() == 1);
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::OutcomeUnknown);
@@ -149,7 +149,7 @@
     RelayDriver driver;
     driver.open(1);
     driver.say(1, StatementKind::Read);
-    driver.engine.linkClosed(driver.requests.back().first, std::nullopt, driver.now);
+    driver.engine.connectionClosed(driver.requests.back().first, std::nullopt, driver.now);
     driver.requests.clear();
     driver.settle();
     driver.advance(200);
@@ -226,7 +226,7 @@
     driver.say(1, StatementKind::Write);
     const auto link = driver.requests.front().first;
     driver.answerNext();
-    driver.engine.linkClosed(link, std::nullopt, driver.now);
+    driver.engine.connectionClosed(link, std::nullopt, driver.now);
     driver.settle();
     driver.say(1, StatementKind::Write);
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::TransactionAborted);
@@ -396,9 +396,9 @@
     engine.setSharers(GroupName{"g"}, 1);
     engine.wake(now + Seconds{1});
     for (const auto &action : engine.takeActions()) {
-        if (const auto *open = std::get_if<OpenLink>(&action)) {
+        if (const auto *open = std::get_if<OpenMemberConnection>(&action)) {
             cr_assert(open->group == GroupName{"g"});
-            engine.linkOpened(open->link, std::nullopt, now + Seconds{1});
+            engine.connectionOpened(open->connection, std::nullopt, now + Seconds{1});
         }
     }
 }
--- a/tests/relay/test_scarcity.cpp
+++ b/tests/relay/test_scarcity.cpp
@@ -29,7 +29,7 @@
 /// One proxy's pool for the member, with at most one statement at a time.
 struct Proxy {
     MemberPool pool{MemberEntry{}};
-    LinkKey nextKey = 1;
+    MemberConnectionKey nextKey = 1;
     std::optional<TimePoint> waitingSince;
     unsigned served = 0;
     unsigned refused = 0;
@@ -64,7 +64,7 @@
         for (auto &proxy : proxies_) {
             endExchanges(proxy, now);
             serve(proxy, now);
-            while (const auto surplus = proxy.pool.surplus(now)) {
+            while (const auto surplus = proxy.pool.surplusConnection(now)) {
                 proxy.pool.remove(surplus);
             }
         }
@@ -73,11 +73,11 @@
 private:
     static void endExchanges(Proxy &proxy, TimePoint now)
     {
-        for (auto &[key, link] : proxy.pool.links()) {
-            const bool opened = link.phase == LinkPhase::Opening && now - link.since >= openTime;
-            const bool answered = link.phase == LinkPhase::Lent && now - link.since >= statementTime;
+        for (auto &[key, link] : proxy.pool.connections()) {
+            const bool opened = link.state == PooledConnectionState::Opening && now - link.since >= openTime;
+            const bool answered = link.state == PooledConnectionState::InUse && now - link.since >= statementTime;
             if (opened || answered) {
-                link.phase = LinkPhase::Idle;
+                link.state = PooledConnectionState::Idle;
                 link.since = now;
             }
         }
@@ -89,14 +89,14 @@
             return;
         }
         if (auto *idle = proxy.pool.bestIdle({})) {
-            idle->phase = LinkPhase::Lent;
+            idle->state = PooledConnectionState::InUse;
             idle->since = now;
             proxy.waitingSince.reset();
             ++proxy.served;
         } else if (now - *proxy.waitingSince >= patience) {
             proxy.waitingSince.reset();
             ++proxy.refused;
-        } else if (proxy.pool.count(LinkPhase::Opening) == 0 && proxy.pool.mayOpen(now)) {
+        } else if (proxy.pool.count(PooledConnectionState::Opening) == 0 && proxy.pool.mayOpen(now)) {
             if (open() < memberLimit) {
                 proxy.pool.add(proxy.nextKey++, now);
             } else {
@@ -150,7 +150,7 @@
 {
     MemberPool pool{MemberEntry{}};
     pool.setAllowed(2, 2);
-    pool.add(1, at(0)).phase = LinkPhase::Idle;
+    pool.add(1, at(0)).state = PooledConnectionState::Idle;
     pool.limitReached(at(10));
     cr_assert(pool.usable(at(11)) && !pool.mayOpen(at(11)));
     cr_assert(pool.mayOpen(at(10 + 150)));
@@ -161,10 +161,10 @@
     MemberPool pool{MemberEntry{}};
     pool.setAllowed(0, 2);
     auto &link = pool.add(1, at(0));
-    link.phase = LinkPhase::Idle;
-    cr_assert(pool.surplus(at(10)) == 0, "kept for the next statement in calm times");
+    link.state = PooledConnectionState::Idle;
+    cr_assert(pool.surplusConnection(at(10)) == 0, "kept for the next statement in calm times");
     pool.limitReached(at(20));
-    cr_assert(pool.surplus(at(20)) == 1);
+    cr_assert(pool.surplusConnection(at(20)) == 1);
 }
 
 Test(scarcity, aPowerLossLeavesRoomForTheConnectionsOfThoseThatReturn)
