--- a/src/gateway/catalogfollower.h
+++ b/src/gateway/catalogfollower.h
@@ -6,7 +6,7 @@
 #include "gateway/follower.h"
 #include "logging/log.h"
 #include "relay/directory.h"
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 #include "settings/sessionsettings.h"
 #include "store/catalogmarks.h"
 
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershell.h
@@ -203,13 +203,13 @@
         for (const auto &record : context_.views.all()) {
             const auto belief = context_.views.belief(record.group);
             auto &told = told_[record.group];
-            if (told.member != belief.member || told.generation != belief.generation || told.held != belief.held) {
+            if (told.member != belief.member || told.generation != belief.generation || told.changeInProgress != belief.changeInProgress) {
                 context_.host.log(LogLevel::Info,
                                   "primary",
                                   {{"group", record.group.text()},
                                    {"member", belief.member.text()},
                                    {"generation", static_cast<std::int64_t>(belief.generation)},
-                                   {"held", static_cast<std::int64_t>(belief.held ? 1 : 0)},
+                                   {"held", static_cast<std::int64_t>(belief.changeInProgress ? 1 : 0)},
                                    {"revision", static_cast<std::int64_t>(record.revision.value)}});
             }
             told = belief;
@@ -358,7 +358,7 @@
     std::unique_ptr<fleet::FleetServer> server_;
     std::shared_ptr<Follower<Store>> follower_;
     /// What the engine was told of each group.
-    std::map<GroupName, relay::PrimaryBelief> told_;
+    std::map<GroupName, relay::CachedPrimary> told_;
     std::map<GroupName, TimePoint> bootstrapTried_;
     /// The fleet was listed at least once.
     bool listed_ = false;
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -177,7 +177,8 @@
 
     [[nodiscard]] bool ready() const
     {
-        return !engine_.draining() && engine_.routes().known() && catalog_.membersKnown() && leadership_.viewCurrent(evloop::bootTimeNow());
+        return !engine_.draining() && engine_.routes().isLoaded() && catalog_.membersKnown()
+            && leadership_.viewCurrent(evloop::bootTimeNow());
     }
 
     /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -17,7 +17,7 @@
             {"primary", group.primary.member.text()},
             {"generation", group.primary.generation},
             {"usable", group.primary.usable(now)},
-            {"held", group.primary.held},
+            {"held", group.primary.changeInProgress},
             {"viewLeftMs", wholeMilliseconds(group.primary.validUntil - now).count()},
             {"waiting", group.waiting},
             {"connections", group.connections},
--- a/src/leadership/viewbook.cpp
+++ b/src/leadership/viewbook.cpp
@@ -39,7 +39,7 @@
     return found == entries_.end() ? nullptr : &found->second.record;
 }
 
-relay::PrimaryBelief ViewBook::belief(const GroupName &group) const
+relay::CachedPrimary ViewBook::belief(const GroupName &group) const
 {
     const auto found = entries_.find(group);
     if (found == entries_.end()) {
--- a/src/leadership/viewbook.h
+++ b/src/leadership/viewbook.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "leadership/record.h"
-#include "relay/primarybelief.h"
+#include "relay/cachedprimary.h"
 
 #include <map>
 #include <vector>
@@ -24,7 +24,7 @@
 
     [[nodiscard]] const GroupRecord *find(const GroupName &group) const;
 
-    [[nodiscard]] relay::PrimaryBelief belief(const GroupName &group) const;
+    [[nodiscard]] relay::CachedPrimary belief(const GroupName &group) const;
 
     /// The latest end of any group's view.
     [[nodiscard]] TimePoint validUntil() const noexcept
--- a/src/relay/primarybelief.h
+++ b/src/relay/cachedprimary.h
@@ -11,19 +11,19 @@
 ///
 /// While `now < validUntil` no other member can have become primary. After that the belief may be out of date, and nothing may be read
 /// from the primary on its strength.
-struct PrimaryBelief {
+struct CachedPrimary {
     /// Empty while the primary is not known.
     MemberName member;
     /// Number of the promotion that made it primary; grows with each promotion.
     std::uint64_t generation = 0;
     TimePoint validUntil;
     /// A promotion is under way: nothing new is sent to the primary.
-    bool held = false;
+    bool changeInProgress = false;
 
     /// True when statements may be sent to the primary at \a now.
     [[nodiscard]] bool usable(TimePoint now) const noexcept
     {
-        return !member.empty() && !held && now < validUntil;
+        return !member.empty() && !changeInProgress && now < validUntil;
     }
 };
 
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -72,17 +72,17 @@
     }
 }
 
-void Engine::setPrimary(const GroupName &name, const PrimaryBelief &belief, TimePoint now)
+void Engine::setPrimary(const GroupName &name, const CachedPrimary &primary, TimePoint now)
 {
     auto &group = groupState(name);
-    const bool changed = group.primary.member != belief.member || group.primary.generation != belief.generation;
+    const bool changed = group.primary.member != primary.member || group.primary.generation != primary.generation;
     const bool wasUsable = group.primary.usable(now);
-    group.primary = belief;
+    group.primary = primary;
     if (changed) {
         group.history = FreshnessHistory{};
         group.stalledSince.reset();
     }
-    if (belief.usable(now) && (changed || !wasUsable)) {
+    if (primary.usable(now) && (changed || !wasUsable)) {
         dispatchWaiting(group, now);
     }
 }
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -7,12 +7,12 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "relay/action.h"
+#include "relay/cachedprimary.h"
 #include "relay/callersession.h"
 #include "relay/directory.h"
 #include "relay/memberpool.h"
 #include "relay/outcome.h"
-#include "relay/primarybelief.h"
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 #include "requests/retrybudget.h"
 #include "sessions/freshness.h"
 
@@ -69,7 +69,7 @@
 /// What is told about one group's state to operators and metrics.
 struct GroupStats {
     GroupName group;
-    PrimaryBelief primary;
+    CachedPrimary primary;
     std::size_t waiting = 0;
     std::uint32_t connections = 0;
     std::uint32_t connectionsInUse = 0;
@@ -85,7 +85,7 @@
 
     void configure(const Configuration &configuration, TimePoint now);
     void setMembers(const MemberDirectory &directory, TimePoint now);
-    void setPrimary(const GroupName &group, const PrimaryBelief &belief, TimePoint now);
+    void setPrimary(const GroupName &group, const CachedPrimary &primary, TimePoint now);
     /// Statements in flight at the group's primary that may have lasting effects, and open transactions there that wrote.
     [[nodiscard]] std::size_t lastingInFlight(const GroupName &group) const;
     /// Ends what is still open at the group's primary: nothing that it answers from now on counts as acknowledged.
@@ -125,7 +125,7 @@
 
     // For status and for those who judge members.
 
-    [[nodiscard]] const RouteBook &routes() const noexcept
+    [[nodiscard]] const RoutingTable &routes() const noexcept
     {
         return routes_;
     }
@@ -197,7 +197,7 @@
         GroupConfig config;
         /// Proxies that share the members' connections; 0 while unknown, or when this process holds none of its own.
         std::uint32_t sharers = 0;
-        PrimaryBelief primary;
+        CachedPrimary primary;
         FreshnessHistory history;
         std::map<MemberName, MemberPool> pools;
         /// Callers that wait for a link, most urgent first.
@@ -271,7 +271,7 @@
     FailureDomain own_;
     EngineLimits limits_;
     Random random_;
-    RouteBook routes_;
+    RoutingTable routes_;
     RetryBudget budget_;
     std::unordered_map<CallerKey, Caller> callers_;
     std::map<GroupName, Group> groups_;
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -17,7 +17,7 @@
 
 Result<Success> Engine::callerOpened(CallerKey key, const DatabaseName &database, TimePoint now)
 {
-    if (!routes_.known()) {
+    if (!routes_.isLoaded()) {
         return Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(limits_.maxRetryAfter);
     }
     if (routes_.find(database) == nullptr) {
--- a/src/relay/fwd.h
+++ b/src/relay/fwd.h
@@ -9,7 +9,7 @@
 struct MemberRequest;
 struct Route;
 struct MemberEntry;
-class RouteBook;
+class RoutingTable;
 class MemberDirectory;
 class CallerSession;
 class MemberPool;
--- a/src/relay/routebook.cpp
+++ b/src/relay/routingtable.cpp
@@ -1,14 +1,14 @@
 // Replaces the routing intents in force by newer ones.
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 
 namespace cardamomstep::relay {
 
-bool RouteBook::accept(const Configuration &configuration)
+bool RoutingTable::accept(const Configuration &configuration)
 {
-    if (known_ && configuration.version <= version_) {
+    if (loaded_ && configuration.version <= version_) {
         return false;
     }
-    known_ = true;
+    loaded_ = true;
     version_ = configuration.version;
     transactionIdle_ = configuration.transactionIdle;
     routes_.clear();
@@ -22,13 +22,13 @@
     return true;
 }
 
-const Route *RouteBook::find(const DatabaseName &database) const
+const Route *RoutingTable::find(const DatabaseName &database) const
 {
     const auto found = routes_.find(database);
     return found == routes_.end() ? nullptr : &found->second;
 }
 
-const GroupConfig *RouteBook::group(const GroupName &group) const
+const GroupConfig *RoutingTable::group(const GroupName &group) const
 {
     const auto found = groups_.find(group);
     return found == groups_.end() ? nullptr : &found->second;
--- a/src/relay/routebook.h
+++ b/src/relay/routingtable.h
@@ -62,16 +62,16 @@
 };
 
 /// The configuration in force; never goes back to an older version.
-class RouteBook
+class RoutingTable
 {
 public:
     /// Takes in a configuration; false when it is not newer than the one in force.
     bool accept(const Configuration &configuration);
 
     /// True once a configuration was accepted.
-    [[nodiscard]] bool known() const noexcept
+    [[nodiscard]] bool isLoaded() const noexcept
     {
-        return known_;
+        return loaded_;
     }
 
     [[nodiscard]] std::uint64_t version() const noexcept
@@ -96,7 +96,7 @@
     }
 
 private:
-    bool known_ = false;
+    bool loaded_ = false;
     std::uint64_t version_ = 0;
     std::unordered_map<DatabaseName, Route> routes_;
     std::map<GroupName, GroupConfig> groups_;
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -2,7 +2,7 @@
 #include "relay/directory.h"
 #include "relay/outcome.h"
 #include "relay/placement.h"
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 
 #include <criterion/criterion.h>
 
@@ -34,7 +34,7 @@
 
 Test(relay, theConfigurationNeverGoesBack)
 {
-    RouteBook book;
+    RoutingTable book;
     Configuration newer;
     newer.version = 9;
     cr_assert(book.accept(newer));
