--- a/src/gateway/callerlink.h
+++ b/src/gateway/callerlink.h
@@ -115,7 +115,7 @@
             open(*start, std::string(line));
         } else if (const auto *statement = std::get_if<relay::SessionStatement>(&message); statement != nullptr && started_) {
             connection_->pause();
-            setUp_ = relay::setsUpSession(statement->kind);
+            setUp_ = relay::isSessionSetup(statement->kind);
             if (handlers_.statement) {
                 handlers_.statement(*statement);
             }
@@ -183,8 +183,8 @@
         }
         connection_->pause();
         const auto *statement = std::get_if<relay::SessionStatement>(&message);
-        setUp_ = statement != nullptr && relay::setsUpSession(statement->kind);
-        session_->sent(statement == nullptr ? relay::SessionStatement{} : *statement);
+        setUp_ = statement != nullptr && relay::isSessionSetup(statement->kind);
+        session_->onStatement(statement == nullptr ? relay::SessionStatement{} : *statement);
         sendUpstream(line);
     }
 
@@ -212,11 +212,11 @@
         connection_->send(std::string(line) + "\r\n");
         if (ready == nullptr) {
             succeeded_ = std::holds_alternative<relay::MemberSuccess>(message);
-            session_->partPassed();
+            session_->onPartialAnswer();
             return;
         }
         if (std::exchange(accepted_, true)) {
-            session_->answered(std::exchange(succeeded_, false), ready->state, ready->position);
+            session_->onAnswer(std::exchange(succeeded_, false), ready->state, ready->position);
         }
         outstanding_ = false;
         state_ = ready->state;
@@ -277,11 +277,11 @@
     {
         outstanding_ = false;
         dropUpstream();
-        if (!session_->known()) {
+        if (!session_->isResumable()) {
             finish();
             return;
         }
-        const auto answer = session_->lost();
+        const auto answer = session_->onProxyLost();
         const bool adopted = handlers_.adopted && handlers_.adopted(session_->session());
         if (answer) {
             reply(*answer);
--- a/src/relay/callersession.cpp
+++ b/src/relay/callersession.cpp
@@ -12,79 +12,79 @@
 
 } // namespace
 
-bool setsUpSession(StatementKind kind) noexcept
+bool isSessionSetup(StatementKind kind) noexcept
 {
     return kind == StatementKind::SetValue || kind == StatementKind::Prepare || kind == StatementKind::Deallocate;
 }
 
-std::string memberName(const PreparedShape &shape)
+std::string preparedNameOf(const PreparedShape &shape)
 {
     return (shape.access == Access::Write ? "w_" : "r_") + shape.shape;
 }
 
-StatementNeed CallerSession::take(const SessionStatement &statement, CallerReply &reply)
+StatementDisposition CallerSession::handle(const SessionStatement &statement, CallerReply &reply)
 {
     switch (phase_) {
     case TransactionPhase::None:
-        return takeOutside(statement, reply);
-    case TransactionPhase::Announced:
+        return handleOutside(statement, reply);
+    case TransactionPhase::BeginDeferred:
     case TransactionPhase::Open:
-        return takeInside(statement, reply);
+        return handleInside(statement, reply);
     case TransactionPhase::Failed:
     case TransactionPhase::Lost:
         break;
     }
-    return takeAfterFailure(statement, reply);
+    return handleAfterFailure(statement, reply);
 }
 
-StatementNeed CallerSession::takeOutside(const SessionStatement &statement, CallerReply &reply)
+StatementDisposition CallerSession::handleOutside(const SessionStatement &statement, CallerReply &reply)
 {
-    if (setsUpSession(statement.kind)) {
-        return takeLocal(statement, reply);
+    if (isSessionSetup(statement.kind)) {
+        return handleLocal(statement, reply);
     }
     switch (statement.kind) {
     case StatementKind::Begin:
-        phase_ = TransactionPhase::Announced;
+        phase_ = TransactionPhase::BeginDeferred;
         readOnly_ = statement.readOnly;
         wrote_ = false;
         reply.state = state();
-        return StatementNeed::Answered;
+        return StatementDisposition::AnsweredLocally;
     case StatementKind::Rollback:
         reply.state = state();
-        return StatementNeed::Answered;
+        return StatementDisposition::AnsweredLocally;
     case StatementKind::Commit:
         return refuse(reply, ErrorKind::MalformedRequest, "no transaction is open");
     case StatementKind::Execute:
         if (prepared(statement.name) == nullptr) {
             return refuse(reply, ErrorKind::UnknownStatement, statement.name);
         }
-        return StatementNeed::Forward;
+        return StatementDisposition::Forward;
     case StatementKind::Read:
     case StatementKind::Write:
-        return StatementNeed::Forward;
+        return StatementDisposition::Forward;
     default:
         return refuse(reply, ErrorKind::MalformedRequest, "the statement cannot be read");
     }
 }
 
-StatementNeed CallerSession::takeInside(const SessionStatement &statement, CallerReply &reply)
+StatementDisposition CallerSession::handleInside(const SessionStatement &statement, CallerReply &reply)
 {
     const bool open = phase_ == TransactionPhase::Open;
-    if (setsUpSession(statement.kind)) {
-        return takeLocal(statement, reply);
+    if (isSessionSetup(statement.kind)) {
+        return handleLocal(statement, reply);
     }
     switch (statement.kind) {
     case StatementKind::Rollback:
         end();
         reply.state = state();
-        return open ? StatementNeed::EndAtMember : StatementNeed::Answered;
+        return open ? StatementDisposition::RollBackAtMember : StatementDisposition::AnsweredLocally;
     case StatementKind::Commit:
         if (open) {
-            return StatementNeed::Forward;
+            return StatementDisposition::Forward;
         }
         end();
         reply.state = state();
-        return StatementNeed::Answered;
+        return StatementDisposition::AnsweredLocally;
     case StatementKind::Execute:
         if (prepared(statement.name) == nullptr) {
             return refuse(reply, ErrorKind::UnknownStatement, statement.name);
@@ -99,15 +99,15 @@
     if (readOnly_ && writes(statement)) {
         return refuse(reply, ErrorKind::Superseded, "the transaction only reads");
     }
-    return StatementNeed::Forward;
+    return StatementDisposition::Forward;
 }
 
-StatementNeed CallerSession::takeAfterFailure(const SessionStatement &statement, CallerReply &reply)
+StatementDisposition CallerSession::handleAfterFailure(const SessionStatement &statement, CallerReply &reply)
 {
     if (statement.kind == StatementKind::Rollback) {
         end();
         reply.state = state();
-        return StatementNeed::Answered;
+        return StatementDisposition::AnsweredLocally;
     }
     if (statement.kind == StatementKind::Commit) {
         end();
@@ -119,7 +119,7 @@
     return refuse(reply, ErrorKind::MalformedRequest, "the transaction failed; only its end is accepted");
 }
 
-StatementNeed CallerSession::takeLocal(const SessionStatement &statement, CallerReply &reply)
+StatementDisposition CallerSession::handleLocal(const SessionStatement &statement, CallerReply &reply)
 {
     if (statement.kind == StatementKind::Deallocate) {
         if (prepared_.erase(statement.name) == 0) {
@@ -133,11 +133,11 @@
         values_[statement.name] = statement.argument;
     }
     reply.state = state();
-    return StatementNeed::Answered;
+    return StatementDisposition::AnsweredLocally;
 }
 
 /// Answers with an error; inside a transaction, the transaction fails with it.
-StatementNeed CallerSession::refuse(CallerReply &reply, ErrorKind kind, std::string description)
+StatementDisposition CallerSession::refuse(CallerReply &reply, ErrorKind kind, std::string description)
 {
     const bool open = phase_ == TransactionPhase::Open;
     if (phase_ != TransactionPhase::None) {
@@ -145,10 +145,10 @@
     }
     reply.error = Error{kind, std::move(description)};
     reply.state = state();
-    return open ? StatementNeed::EndAtMember : StatementNeed::Answered;
+    return open ? StatementDisposition::RollBackAtMember : StatementDisposition::AnsweredLocally;
 }
 
-void CallerSession::succeeded(const SessionStatement &statement, const std::optional<Mark> &position)
+void CallerSession::statementSucceeded(const SessionStatement &statement, const std::optional<Mark> &position)
 {
     if (phase_ == TransactionPhase::None) {
         if (writes(statement) && position) {
@@ -166,7 +166,7 @@
     wrote_ = wrote_ || writes(statement);
 }
 
-void CallerSession::failed(const SessionStatement &statement) noexcept
+void CallerSession::statementFailed(const SessionStatement &statement) noexcept
 {
     if (phase_ == TransactionPhase::None) {
         return;
@@ -183,7 +183,7 @@
     switch (phase_) {
     case TransactionPhase::None:
         return SessionState::Idle;
-    case TransactionPhase::Announced:
+    case TransactionPhase::BeginDeferred:
     case TransactionPhase::Open:
         return SessionState::InTransaction;
     case TransactionPhase::Failed:
--- a/src/relay/callersession.h
+++ b/src/relay/callersession.h
@@ -22,25 +22,25 @@
 };
 
 /// The name under which \a shape is prepared at members; the same for all sessions, so that they share it.
-[[nodiscard]] std::string memberName(const PreparedShape &shape);
+[[nodiscard]] std::string preparedNameOf(const PreparedShape &shape);
 
 /// True for statements that only change what the session keeps; no member runs them.
-[[nodiscard]] bool setsUpSession(StatementKind kind) noexcept;
+[[nodiscard]] bool isSessionSetup(StatementKind kind) noexcept;
 
 /// How far a transaction has come.
 enum class TransactionPhase : std::uint8_t {
     None,
-    Announced, ///< The caller began it; no member knows of it yet.
+    BeginDeferred, ///< The caller began it; no member knows of it yet.
     Open, ///< It is open at a member, on the session's link.
     Failed, ///< It was rolled back and the caller was told; it has not ended it yet.
     Lost, ///< It was rolled back while the caller rested; the caller has not been told yet.
 };
 
 /// What a statement needs of this process.
-enum class StatementNeed : std::uint8_t {
-    Answered, ///< The session answered it itself.
+enum class StatementDisposition : std::uint8_t {
+    AnsweredLocally, ///< The session answered it itself.
     Forward, ///< It goes to a member.
-    EndAtMember, ///< A rollback: the caller is answered, the member's transaction is to be rolled back.
+    RollBackAtMember, ///< A rollback: the caller is answered, the member's transaction is to be rolled back.
 };
 
 /// One caller's session as a state machine; it answers what needs no member.
@@ -58,22 +58,22 @@
     }
 
     /// Takes in a statement; \a reply is filled when the result is not StatementNeed::Forward.
-    [[nodiscard]] StatementNeed take(const SessionStatement &statement, CallerReply &reply);
+    [[nodiscard]] StatementDisposition handle(const SessionStatement &statement, CallerReply &reply);
 
     /// Takes in that the transaction is open at a member.
-    void opened() noexcept
+    void transactionOpened() noexcept
     {
         phase_ = TransactionPhase::Open;
     }
 
     /// Takes in a member's success for a forwarded \a statement; \a position is its log position.
-    void succeeded(const SessionStatement &statement, const std::optional<Mark> &position);
+    void statementSucceeded(const SessionStatement &statement, const std::optional<Mark> &position);
 
     /// Takes in that a forwarded \a statement was not answered with success; the state afterwards is state().
-    void failed(const SessionStatement &statement) noexcept;
+    void statementFailed(const SessionStatement &statement) noexcept;
 
     /// Takes in that the open transaction was rolled back while no statement was under way.
-    void lost() noexcept
+    void transactionLost() noexcept
     {
         phase_ = TransactionPhase::Lost;
     }
@@ -116,11 +116,11 @@
     }
 
 private:
-    [[nodiscard]] StatementNeed takeOutside(const SessionStatement &statement, CallerReply &reply);
-    [[nodiscard]] StatementNeed takeInside(const SessionStatement &statement, CallerReply &reply);
-    [[nodiscard]] StatementNeed takeAfterFailure(const SessionStatement &statement, CallerReply &reply);
-    [[nodiscard]] StatementNeed refuse(CallerReply &reply, ErrorKind kind, std::string description);
-    [[nodiscard]] StatementNeed takeLocal(const SessionStatement &statement, CallerReply &reply);
+    [[nodiscard]] StatementDisposition handleOutside(const SessionStatement &statement, CallerReply &reply);
+    [[nodiscard]] StatementDisposition handleInside(const SessionStatement &statement, CallerReply &reply);
+    [[nodiscard]] StatementDisposition handleAfterFailure(const SessionStatement &statement, CallerReply &reply);
+    [[nodiscard]] StatementDisposition refuse(CallerReply &reply, ErrorKind kind, std::string description);
+    [[nodiscard]] StatementDisposition handleLocal(const SessionStatement &statement, CallerReply &reply);
     void end() noexcept;
 
     DatabaseName database_;
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -105,7 +105,7 @@
         if (caller.activity != Activity::Resting) {
             caller.sealed = true;
         } else if (caller.session.phase() == TransactionPhase::Open && !caller.session.readOnlyTransaction()) {
-            caller.session.lost();
+            caller.session.transactionLost();
             endTransaction(caller, now);
         }
     }
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -11,7 +11,7 @@
 #include "relay/callersession.h"
 #include "relay/directory.h"
 #include "relay/memberpool.h"
-#include "relay/outcome.h"
+#include "relay/retrydecision.h"
 #include "relay/routingtable.h"
 #include "requests/retrybudget.h"
 #include "sessions/freshness.h"
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -62,11 +62,11 @@
     }
     noteOperation(caller);
     CallerReply reply;
-    const auto need = caller.session.take(statement, reply);
-    if (need == StatementNeed::EndAtMember) {
+    const auto disposition = caller.session.handle(statement, reply);
+    if (disposition == StatementDisposition::RollBackAtMember) {
         endTransaction(caller, now);
     }
-    if (need != StatementNeed::Forward) {
+    if (disposition != StatementDisposition::Forward) {
         answer(key, caller, std::move(reply), now);
         return;
     }
@@ -83,10 +83,10 @@
     if (std::exchange(caller.preludeOver, false)) {
         caller.prelude.clear();
     }
-    if (setsUpSession(statement.kind) && caller.prelude.empty()) {
+    if (isSessionSetup(statement.kind) && caller.prelude.empty()) {
         caller.prelude = statement.id;
     }
-    caller.preludeOver = !setsUpSession(statement.kind);
+    caller.preludeOver = !isSessionSetup(statement.kind);
     caller.transaction = statement.kind == StatementKind::Begin ? statement.id : std::string();
 }
 
@@ -182,7 +182,7 @@
 /// Answers the statement under way with \a error.
 void Engine::fail(CallerKey key, Caller &caller, Error error, TimePoint now)
 {
-    caller.session.failed(caller.statement);
+    caller.session.statementFailed(caller.statement);
     if (caller.session.phase() != TransactionPhase::Open) {
         endTransaction(caller, now);
     }
@@ -238,8 +238,8 @@
 void Engine::restingDue(CallerKey key, Caller &caller, TimePoint now)
 {
     const auto phase = caller.session.phase();
-    if (phase == TransactionPhase::Open || phase == TransactionPhase::Announced) {
-        caller.session.lost();
+    if (phase == TransactionPhase::Open || phase == TransactionPhase::BeginDeferred) {
+        caller.session.transactionLost();
         endTransaction(caller, now);
         logOutcome(caller, "transaction-ended-idle", now);
     }
@@ -267,7 +267,7 @@
         return;
     }
     const bool early =
-        caller.activity == Activity::Running && stakeOf(caller.session, caller.statement) == Stake::Read && now < caller.giveUpAt;
+        caller.activity == Activity::Running && retryClassOf(caller.session, caller.statement) == RetryClass::Read && now < caller.giveUpAt;
     if (early && !worthAsking(caller, now)) {
         setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.readPatience / 2));
         return;
--- a/src/relay/engineconnections.cpp
+++ b/src/relay/engineconnections.cpp
@@ -106,7 +106,7 @@
         exchangeFailed(connection.caller, caller, ExchangeEnd::Refused, reply.fault, now);
         return;
     }
-    caller.session.opened();
+    caller.session.transactionOpened();
     sendStatement(caller, connection, std::nullopt, {}, now);
     (void)group;
 }
@@ -115,8 +115,8 @@
 {
     const auto key = connection.caller;
     auto &caller = callers_.at(key);
-    const auto stake = stakeOf(caller.session, caller.statement);
-    const bool lasting = stake == Stake::Write || stake == Stake::CommitOfWrites;
+    const auto retryClass = retryClassOf(caller.session, caller.statement);
+    const bool lasting = retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
     if (lasting && caller.sealed && !reply.fault) {
         exchangeFailed(key, caller, ExchangeEnd::Broken, std::nullopt, now);
         return;
@@ -137,7 +137,7 @@
         group.stalledSince.reset();
         group.acknowledged = std::max(group.acknowledged, reply.position.value_or(Mark{}));
     }
-    caller.session.succeeded(caller.statement, reply.position);
+    caller.session.statementSucceeded(caller.statement, reply.position);
     CallerReply answered;
     answered.rows = reply.rows;
     answered.signature = reply.signature;
@@ -154,9 +154,9 @@
 /// Sends the statement again where that is harmless and timely, or answers with what is true.
 void Engine::exchangeFailed(CallerKey key, Caller &caller, ExchangeEnd end, std::optional<MemberFault> fault, TimePoint now)
 {
-    const bool announced = caller.session.phase() == TransactionPhase::Announced;
-    const auto stake = announced ? Stake::Read : stakeOf(caller.session, caller.statement);
-    auto outcome = judge(stake, end, fault);
+    const bool announced = caller.session.phase() == TransactionPhase::BeginDeferred;
+    const auto retryClass = announced ? RetryClass::Read : retryClassOf(caller.session, caller.statement);
+    auto outcome = classifyFailure(retryClass, end, fault);
     Group *group = nullptr;
     MemberPool *pool = nullptr;
     auto *connection = findConnection(caller.connection, &group, &pool);
@@ -229,7 +229,7 @@
     auto &caller = found->second;
     caller.connection = 0;
     if (caller.activity == Activity::Resting) {
-        caller.session.lost();
+        caller.session.transactionLost();
         return;
     }
     exchangeFailed(lentTo, caller, ExchangeEnd::Broken, std::nullopt, now);
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -144,9 +144,9 @@
     caller.connection = connection.key;
     caller.atPrimary = connection.member == group.primary.member;
     ++caller.attempts;
-    const auto mustHold = caller.atPrimary ? std::nullopt : required;
+    const auto minPosition = caller.atPrimary ? std::nullopt : required;
     if (caller.session.phase() == TransactionPhase::None) {
-        sendStatement(caller, connection, mustHold, {}, now);
+        sendStatement(caller, connection, minPosition, {}, now);
         return;
     }
     caller.activity = Activity::Beginning;
@@ -154,7 +154,7 @@
     addSetupRequests(caller, connection, requests, now);
     MemberRequest begin;
     begin.verb = caller.session.readOnlyTransaction() ? MemberVerb::BeginReadOnly : MemberVerb::Begin;
-    begin.mustHold = mustHold;
+    begin.minPosition = minPosition;
     requests.push_back(std::move(begin));
     expectReply(connection, ReplyPurpose::Begin, now, caller.route.statementTimeout);
     caller.sentAt = now;
@@ -172,25 +172,25 @@
     MemberRequest request;
     request.id = caller.statement.id;
     request.text = caller.statement.text;
-    request.mustHold = required;
+    request.minPosition = required;
     if (caller.statement.kind == StatementKind::Execute) {
         request.verb = MemberVerb::ExecutePrepared;
-        request.name = memberName(*caller.session.prepared(caller.statement.name));
+        request.name = preparedNameOf(*caller.session.prepared(caller.statement.name));
         request.text = caller.statement.argument;
     }
     requests.push_back(std::move(request));
     expectReply(connection, ReplyPurpose::Statement, now, caller.route.statementTimeout);
     caller.activity = Activity::Running;
     caller.sentAt = now;
-    const auto stake = stakeOf(caller.session, caller.statement);
-    if (stake == Stake::Write || stake == Stake::CommitOfWrites) {
+    const auto retryClass = retryClassOf(caller.session, caller.statement);
+    if (retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites) {
         group.stalledSince = group.stalledSince.value_or(now);
     }
     const auto late = wholeMilliseconds(pool.replyTime().withMargin(limits_.lateFactor));
     auto due = caller.giveUpAt;
-    if (stake == Stake::Read && caller.attempts < limits_.maxAttempts) {
+    if (retryClass == RetryClass::Read && caller.attempts < limits_.maxAttempts) {
         due = std::min<TimePoint>(due, now + std::max(limits_.readPatience, late));
-    } else if (stake == Stake::Inside) {
+    } else if (retryClass == RetryClass::InTransaction) {
         due = std::min<TimePoint>(due, now + std::max(limits_.transactionPatience, late));
     }
     setTimer(connection.caller, caller, due);
@@ -223,8 +223,8 @@
         return;
     }
     const auto &shape = *caller.session.prepared(caller.statement.name);
-    if (connection.prepared.insert(memberName(shape)).second) {
-        add(MemberRequest{MemberVerb::Prepare, {}, shape.shape, memberName(shape), shape.access});
+    if (connection.prepared.insert(preparedNameOf(shape)).second) {
+        add(MemberRequest{MemberVerb::Prepare, {}, shape.shape, preparedNameOf(shape), shape.access});
     }
 }
 
--- a/src/relay/forwardedsession.cpp
+++ b/src/relay/forwardedsession.cpp
@@ -1,47 +1,48 @@
 // Follows a session that another proxy serves.
 #include "relay/forwardedsession.h"
 
-#include "relay/outcome.h"
+#include "relay/retrydecision.h"
 
 namespace cardamomstep::relay {
 
-void ForwardedSession::sent(const SessionStatement &statement)
+void ForwardedSession::onStatement(const SessionStatement &statement)
 {
     statement_ = statement;
     reply_ = CallerReply{};
-    partPassed_ = false;
-    need_ = session_.take(statement, reply_);
+    partialAnswerSent_ = false;
+    disposition_ = session_.handle(statement, reply_);
 }
 
-void ForwardedSession::answered(bool success, SessionState state, const std::optional<Mark> &position)
+void ForwardedSession::onAnswer(bool success, SessionState state, const std::optional<Mark> &position)
 {
-    partPassed_ = false;
-    if (need_ == StatementNeed::Forward) {
+    partialAnswerSent_ = false;
+    if (disposition_ == StatementDisposition::Forward) {
         // Without the position of a write, later reads could not be proved to hold it.
-        known_ = known_ && (!success || !lasting() || position.has_value());
-        if (success && session_.phase() == TransactionPhase::Announced) {
-            session_.opened();
+        stateCertain_ = stateCertain_ && (!success || !hasDurableEffect() || position.has_value());
+        if (success && session_.phase() == TransactionPhase::BeginDeferred) {
+            session_.transactionOpened();
         }
         if (success) {
-            session_.succeeded(statement_, position);
+            session_.statementSucceeded(statement_, position);
         } else {
-            session_.failed(statement_);
+            session_.statementFailed(statement_);
         }
     }
-    known_ = known_ && session_.state() == state;
+    stateCertain_ = stateCertain_ && session_.state() == state;
 }
 
-std::optional<CallerReply> ForwardedSession::lost()
+std::optional<CallerReply> ForwardedSession::onProxyLost()
 {
-    if (need_ != StatementNeed::Forward) {
+    if (disposition_ != StatementDisposition::Forward) {
         return reply_;
     }
-    const bool harmless = session_.phase() == TransactionPhase::Announced;
-    const auto outcome = judge(harmless ? Stake::Read : stakeOf(session_, statement_), ExchangeEnd::Broken, std::nullopt);
+    const bool harmless = session_.phase() == TransactionPhase::BeginDeferred;
+    const auto outcome =
+        classifyFailure(harmless ? RetryClass::Read : retryClassOf(session_, statement_), ExchangeEnd::Broken, std::nullopt);
     if (outcome.mayResend) {
         return std::nullopt;
     }
-    session_.failed(statement_);
+    session_.statementFailed(statement_);
     CallerReply reply;
     reply.error = outcome.error;
     reply.state = session_.state();
@@ -49,10 +50,10 @@
 }
 
 /// True when success of the statement under way has lasting effects.
-bool ForwardedSession::lasting() const
+bool ForwardedSession::hasDurableEffect() const
 {
-    const auto stake = stakeOf(session_, statement_);
-    return stake == Stake::Write || stake == Stake::CommitOfWrites;
+    const auto retryClass = retryClassOf(session_, statement_);
+    return retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
 }
 
 } // namespace cardamomstep::relay
--- a/src/relay/forwardedsession.h
+++ b/src/relay/forwardedsession.h
@@ -21,27 +21,27 @@
     }
 
     /// Takes in a statement that is passed on.
-    void sent(const SessionStatement &statement);
+    void onStatement(const SessionStatement &statement);
 
     /// Takes in that a part of the answer was passed back.
-    void partPassed() noexcept
+    void onPartialAnswer() noexcept
     {
-        partPassed_ = true;
+        partialAnswerSent_ = true;
     }
 
     /// Takes in the end of the answer.
-    void answered(bool success, SessionState state, const std::optional<Mark> &position);
+    void onAnswer(bool success, SessionState state, const std::optional<Mark> &position);
 
     /// True when the session can go on elsewhere: its state is certain and the caller holds no part of an answer.
-    [[nodiscard]] bool known() const noexcept
+    [[nodiscard]] bool isResumable() const noexcept
     {
-        return known_ && !partPassed_;
+        return stateCertain_ && !partialAnswerSent_;
     }
 
     /// Takes in that the other proxy is lost while a statement is under way.
     ///
     /// Returns what the caller is told; nothing when the statement may run again here.
-    [[nodiscard]] std::optional<CallerReply> lost();
+    [[nodiscard]] std::optional<CallerReply> onProxyLost();
 
     [[nodiscard]] const CallerSession &session() const noexcept
     {
@@ -55,15 +55,15 @@
     }
 
 private:
-    [[nodiscard]] bool lasting() const;
+    [[nodiscard]] bool hasDurableEffect() const;
 
     CallerSession session_;
     SessionStatement statement_;
-    StatementNeed need_ = StatementNeed::Answered;
+    StatementDisposition disposition_ = StatementDisposition::AnsweredLocally;
     /// The answer where the session needs no member for it.
     CallerReply reply_;
-    bool known_ = true;
-    bool partPassed_ = false;
+    bool stateCertain_ = true;
+    bool partialAnswerSent_ = false;
 };
 
 } // namespace cardamomstep::relay
--- a/src/relay/message.h
+++ b/src/relay/message.h
@@ -85,7 +85,7 @@
 };
 
 /// True when the fault promises that nothing ran.
-[[nodiscard]] constexpr bool promisesNoRun(MemberFault fault) noexcept
+[[nodiscard]] constexpr bool guaranteesNotExecuted(MemberFault fault) noexcept
 {
     return fault <= MemberFault::Aborted;
 }
@@ -135,7 +135,7 @@
     std::string name;
     Access access = Access::Read;
     /// The member must refuse the request when its log lacks this position.
-    std::optional<Mark> mustHold;
+    std::optional<Mark> minPosition;
 };
 
 } // namespace cardamomstep::relay
--- a/src/relay/outcome.cpp
+++ b/src/relay/retrydecision.cpp
@@ -1,18 +1,18 @@
 // The table from a failed exchange to the caller's answer.
-#include "relay/outcome.h"
+#include "relay/retrydecision.h"
 
 namespace cardamomstep::relay {
 
 namespace {
 
-bool isAlone(Stake stake)
+bool isAlone(RetryClass retryClass)
 {
-    return stake == Stake::Read || stake == Stake::Write;
+    return retryClass == RetryClass::Read || retryClass == RetryClass::Write;
 }
 
-bool mayHaveLasting(Stake stake)
+bool mayHaveDurableEffect(RetryClass retryClass)
 {
-    return stake == Stake::Write || stake == Stake::CommitOfWrites;
+    return retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
 }
 
 /// The answer for a fault that promises that nothing ran.
@@ -30,59 +30,59 @@
     }
 }
 
-Outcome lostAnswer(Stake stake)
+RetryDecision lostAnswer(RetryClass retryClass)
 {
-    if (mayHaveLasting(stake)) {
+    if (mayHaveDurableEffect(retryClass)) {
         return {false, {ErrorKind::OutcomeUnknown, "the member's answer was lost"}};
     }
-    if (isAlone(stake)) {
+    if (isAlone(retryClass)) {
         return {true, {ErrorKind::StatementTimeout, "the member's answer was lost"}};
     }
     return {false, {ErrorKind::TransactionAborted, "the connection was lost; the transaction is rolled back"}};
 }
 
-Outcome refused(Stake stake, MemberFault fault)
+RetryDecision refused(RetryClass retryClass, MemberFault fault)
 {
-    if (promisesNoRun(fault)) {
-        return {isAlone(stake), notRun(fault)};
+    if (guaranteesNotExecuted(fault)) {
+        return {isAlone(retryClass), notRun(fault)};
     }
     if (fault == MemberFault::Failed) {
-        return {stake == Stake::Read, {ErrorKind::StatementFailed, "the member failed to run the statement"}};
+        return {retryClass == RetryClass::Read, {ErrorKind::StatementFailed, "the member failed to run the statement"}};
     }
     if (fault == MemberFault::TimedOut) {
-        return {stake == Stake::Read, {ErrorKind::StatementTimeout, "the statement took too long at the member"}};
+        return {retryClass == RetryClass::Read, {ErrorKind::StatementTimeout, "the statement took too long at the member"}};
     }
     if (fault == MemberFault::Malformed) {
         return {false, {ErrorKind::MalformedRequest, "the member cannot read the statement"}};
     }
-    return lostAnswer(stake);
+    return lostAnswer(retryClass);
 }
 
 } // namespace
 
-Stake stakeOf(const CallerSession &session, const SessionStatement &statement)
+RetryClass retryClassOf(const CallerSession &session, const SessionStatement &statement)
 {
     if (session.phase() == TransactionPhase::None) {
-        return session.writes(statement) ? Stake::Write : Stake::Read;
+        return session.writes(statement) ? RetryClass::Write : RetryClass::Read;
     }
     if (statement.kind == StatementKind::Commit) {
-        return session.wrote() ? Stake::CommitOfWrites : Stake::CommitOfReads;
+        return session.wrote() ? RetryClass::CommitOfWrites : RetryClass::CommitOfReads;
     }
-    return Stake::Inside;
+    return RetryClass::InTransaction;
 }
 
-Outcome judge(Stake stake, ExchangeEnd end, std::optional<MemberFault> fault)
+RetryDecision classifyFailure(RetryClass retryClass, ExchangeEnd end, std::optional<MemberFault> fault)
 {
     if (end == ExchangeEnd::NotSent) {
-        if (isAlone(stake)) {
+        if (isAlone(retryClass)) {
             return {true, {ErrorKind::EndpointUnreachable, "the member could not be reached"}};
         }
         return {false, {ErrorKind::TransactionAborted, "the connection was lost; the transaction is rolled back"}};
     }
     if (end == ExchangeEnd::Refused) {
-        return refused(stake, fault.value_or(MemberFault::Unknown));
+        return refused(retryClass, fault.value_or(MemberFault::Unknown));
     }
-    return lostAnswer(stake);
+    return lostAnswer(retryClass);
 }
 
 } // namespace cardamomstep::relay
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -59,7 +59,7 @@
     MemberRequest read;
     read.id = "5c0e";
     read.text = "READ 1a4";
-    read.mustHold = Mark{Term{3, 0}, 1207};
+    read.minPosition = Mark{Term{3, 0}, 1207};
     LineProtocol::appendMemberRequest(out, read);
     cr_assert(out == "QUERY 5c0e AFTER 3.1207 READ 1a4\r\n");
     out.clear();
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -50,7 +50,7 @@
     driver.advance(10);
     driver.say(1, StatementKind::Read);
     cr_assert(driver.lastMember() != "p");
-    cr_assert(driver.requests.back().second.mustHold == position(1, 20));
+    cr_assert(driver.requests.back().second.minPosition == position(1, 20));
 }
 
 Test(relay, aSessionReadsItsOwnLastCommit)
@@ -63,7 +63,7 @@
     driver.say(1, StatementKind::Write);
     driver.answerNext(std::nullopt, position(1, 21));
     driver.say(1, StatementKind::Read);
-    cr_assert(driver.requests.back().second.mustHold == position(1, 21) || driver.lastMember() == "p");
+    cr_assert(driver.requests.back().second.minPosition == position(1, 21) || driver.lastMember() == "p");
 }
 
 Test(relay, aReplicaThatLagsIsReplacedByAnotherMember)
--- a/tests/relay/test_forwardedsession.cpp
+++ b/tests/relay/test_forwardedsession.cpp
@@ -27,8 +27,8 @@
 
 void pass(ForwardedSession &session, StatementKind kind, SessionState after, std::optional<Mark> position = {})
 {
-    session.sent(statement(kind));
-    session.answered(true, after, position);
+    session.onStatement(statement(kind));
+    session.onAnswer(true, after, position);
 }
 
 } // namespace
@@ -36,15 +36,15 @@
 Test(forwardedsession, aLostReadMayRunAgain)
 {
     auto one = session();
-    one.sent(statement(StatementKind::Read));
-    cr_assert(!one.lost());
+    one.onStatement(statement(StatementKind::Read));
+    cr_assert(!one.onProxyLost());
 }
 
 Test(forwardedsession, aLostWriteIsUnknown)
 {
     auto one = session();
-    one.sent(statement(StatementKind::Write));
-    const auto told = one.lost();
+    one.onStatement(statement(StatementKind::Write));
+    const auto told = one.onProxyLost();
     cr_assert(told && told->error->kind == ErrorKind::OutcomeUnknown && told->state == SessionState::Idle);
 }
 
@@ -52,9 +52,9 @@
 {
     auto one = session();
     pass(one, StatementKind::Write, SessionState::Idle, mark(7));
-    cr_assert(one.known() && one.session().lastCommit() == mark(7));
+    cr_assert(one.isResumable() && one.session().lastCommit() == mark(7));
     pass(one, StatementKind::Write, SessionState::Idle);
-    cr_assert(!one.known(), "later reads could not be proved to hold the write");
+    cr_assert(!one.isResumable(), "later reads could not be proved to hold the write");
 }
 
 Test(forwardedsession, aTransactionEndsWithItsProxy)
@@ -62,9 +62,9 @@
     auto one = session();
     pass(one, StatementKind::Begin, SessionState::InTransaction);
     pass(one, StatementKind::Write, SessionState::InTransaction, mark(3));
-    cr_assert(one.known());
-    one.sent(statement(StatementKind::Read));
-    const auto told = one.lost();
+    cr_assert(one.isResumable());
+    one.onStatement(statement(StatementKind::Read));
+    const auto told = one.onProxyLost();
     cr_assert(told && told->error->kind == ErrorKind::TransactionAborted && told->state == SessionState::Failed);
 }
 
@@ -74,8 +74,8 @@
         auto one = session();
         pass(one, StatementKind::Begin, SessionState::InTransaction);
         pass(one, kind, SessionState::InTransaction, mark(3));
-        one.sent(statement(StatementKind::Commit));
-        const auto told = one.lost();
+        one.onStatement(statement(StatementKind::Commit));
+        const auto told = one.onProxyLost();
         const auto expected = kind == StatementKind::Write ? ErrorKind::OutcomeUnknown : ErrorKind::TransactionAborted;
         cr_assert(told && told->error->kind == expected && told->state == SessionState::Idle);
     }
@@ -85,21 +85,22 @@
 {
     auto one = session();
     pass(one, StatementKind::Begin, SessionState::InTransaction);
-    one.sent(statement(StatementKind::Write));
-    cr_assert(!one.lost() && one.session().phase() == TransactionPhase::Announced, "what ran was rolled back with the connection");
+    one.onStatement(statement(StatementKind::Write));
+    cr_assert(!one.onProxyLost() && one.session().phase() == TransactionPhase::BeginDeferred,
+              "what ran was rolled back with the connection");
 }
 
 Test(forwardedsession, nothingIsSaidTwiceAndNothingGuessed)
 {
     auto one = session();
-    one.sent(statement(StatementKind::Read));
-    one.partPassed();
-    cr_assert(!one.known(), "the caller holds a part of the answer");
-    one.answered(true, SessionState::Idle, mark(1));
-    cr_assert(one.known());
-    one.sent(statement(StatementKind::Read));
-    one.answered(true, SessionState::Failed, mark(1));
-    cr_assert(!one.known(), "the other proxy is in another state");
+    one.onStatement(statement(StatementKind::Read));
+    one.onPartialAnswer();
+    cr_assert(!one.isResumable(), "the caller holds a part of the answer");
+    one.onAnswer(true, SessionState::Idle, mark(1));
+    cr_assert(one.isResumable());
+    one.onStatement(statement(StatementKind::Read));
+    one.onAnswer(true, SessionState::Failed, mark(1));
+    cr_assert(!one.isResumable(), "the other proxy is in another state");
 }
 
 Test(forwardedsession, whatNeedsNoMemberIsAnsweredHere)
@@ -108,7 +109,7 @@
     auto set = statement(StatementKind::SetValue);
     set.name = "tz";
     set.argument = "utc";
-    one.sent(set);
-    const auto told = one.lost();
+    one.onStatement(set);
+    const auto told = one.onProxyLost();
     cr_assert(told && !told->error && one.session().values().at("tz") == "utc");
 }
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -1,7 +1,7 @@
 // Tests of the relay's small parts: outcomes, the route book, the directory.
 #include "relay/directory.h"
-#include "relay/outcome.h"
 #include "relay/placement.h"
+#include "relay/retrydecision.h"
 #include "relay/routingtable.h"
 
 #include <criterion/criterion.h>
@@ -13,23 +13,23 @@
 
 Test(relay, onlyWhatIsHarmlessIsSentAgain)
 {
-    cr_assert(judge(Stake::Read, ExchangeEnd::Broken, std::nullopt).mayResend);
-    cr_assert(!judge(Stake::Write, ExchangeEnd::Broken, std::nullopt).mayResend);
-    cr_assert(!judge(Stake::CommitOfWrites, ExchangeEnd::Silent, std::nullopt).mayResend);
-    cr_assert(judge(Stake::Write, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
-    cr_assert(!judge(Stake::Inside, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
-    cr_assert(!judge(Stake::Write, ExchangeEnd::Refused, MemberFault::Failed).mayResend);
+    cr_assert(classifyFailure(RetryClass::Read, ExchangeEnd::Broken, std::nullopt).mayResend);
+    cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Broken, std::nullopt).mayResend);
+    cr_assert(!classifyFailure(RetryClass::CommitOfWrites, ExchangeEnd::Silent, std::nullopt).mayResend);
+    cr_assert(classifyFailure(RetryClass::Write, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
+    cr_assert(!classifyFailure(RetryClass::InTransaction, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
+    cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Refused, MemberFault::Failed).mayResend);
 }
 
 Test(relay, aLostWriteIsNeverToldAsNotRun)
 {
-    for (const auto stake : {Stake::Write, Stake::CommitOfWrites}) {
+    for (const auto stake : {RetryClass::Write, RetryClass::CommitOfWrites}) {
         for (const auto end : {ExchangeEnd::Broken, ExchangeEnd::Silent}) {
-            cr_assert(judge(stake, end, std::nullopt).error.ran == Ran::Unknown);
+            cr_assert(classifyFailure(stake, end, std::nullopt).error.ran == Ran::Unknown);
         }
     }
-    cr_assert(judge(Stake::Inside, ExchangeEnd::Broken, std::nullopt).error.ran == Ran::No);
-    cr_assert(judge(Stake::CommitOfReads, ExchangeEnd::Silent, std::nullopt).error.ran == Ran::No);
+    cr_assert(classifyFailure(RetryClass::InTransaction, ExchangeEnd::Broken, std::nullopt).error.ran == Ran::No);
+    cr_assert(classifyFailure(RetryClass::CommitOfReads, ExchangeEnd::Silent, std::nullopt).error.ran == Ran::No);
 }
 
 Test(relay, theConfigurationNeverGoesBack)
