--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -141,12 +141,12 @@
     });
     ConnectionPool pool;
     (void)pool.setAllowed(8, at(0));
-    const auto first = std::get<OpenConnection>(pool.take(at(100'000), at(0))).key;
+    const auto first = std::get<OpenConnection>(pool.acquire(at(100'000), at(0))).key;
     pool.opened(first, at(0));
-    (void)pool.giveBack(first, at(0));
+    (void)pool.release(first, at(0));
     measure("take and give back a connection", [&](std::int64_t round) {
-        (void)pool.take(at(round + 100'000), at(round));
-        return pool.giveBack(first, at(round)) ? 1U : 0U;
+        (void)pool.acquire(at(round + 100'000), at(round));
+        return pool.release(first, at(round)) ? 1U : 0U;
     });
 }
 
--- a/src/connections/fwd.h
+++ b/src/connections/fwd.h
@@ -4,7 +4,7 @@
 namespace cardamomstep {
 
 struct Holder;
-class ConnectionShare;
+class ConnectionQuota;
 class ConnectionPool;
 class SilenceDetector;
 
--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -27,29 +27,29 @@
     return surplus;
 }
 
-ConnectionStep ConnectionPool::take(TimePoint deadline, TimePoint now)
+ConnectionStep ConnectionPool::acquire(TimePoint deadline, TimePoint now)
 {
-    if (auto *entry = freshestIdle()) {
+    if (auto *entry = newestIdle()) {
         entry->phase = Phase::Busy;
         entry->since = now;
         return ReuseConnection{entry->key};
     }
-    const TimePoint openedAt = std::max(now, pausedUntil_) + limits_.openTime;
-    const bool mayOpen = open() < allowed_ && opening() < limits_.opensAtOnce && now >= pausedUntil_;
+    const TimePoint openedAt = std::max(now, pausedUntil_) + limits_.expectedOpenTime;
+    const bool mayOpen = open() < allowed_ && opening() < limits_.maxOpening && now >= pausedUntil_;
     if (mayOpen && openedAt < deadline) {
         entries_.push_back(Entry{nextKey_, Phase::Opening, now});
         return OpenConnection{nextKey_++};
     }
     const bool someWillComeBack = !entries_.empty();
     if (now >= deadline || (!someWillComeBack && openedAt >= deadline)) {
-        const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.openTime);
+        const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.expectedOpenTime);
         return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.comingBackAfter(wait)};
     }
     if (allowed_ == 0) {
         const Error error{ErrorKind::EndpointUnreachable, "this proxy has no share of the member's connections"};
         return NoConnection{Error{error}.comingBackAfter(limits_.pauseAfterRefusal)};
     }
-    const TimePoint askAgain = now < pausedUntil_ ? pausedUntil_ : now + limits_.openTime;
+    const TimePoint askAgain = now < pausedUntil_ ? pausedUntil_ : now + limits_.expectedOpenTime;
     return AwaitConnection{std::min(askAgain, deadline)};
 }
 
@@ -66,12 +66,12 @@
 {
     closed(key);
     const auto doublings = fault == LinkFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
-    const auto pause = std::min(limits_.longestPause, limits_.pauseAfterRefusal * (1U << doublings));
+    const auto pause = std::min(limits_.maxPause, limits_.pauseAfterRefusal * (1U << doublings));
     pausedUntil_ = std::max<TimePoint>(pausedUntil_, now + pause);
     ++failures_;
 }
 
-bool ConnectionPool::giveBack(ConnectionKey key, TimePoint now)
+bool ConnectionPool::release(ConnectionKey key, TimePoint now)
 {
     auto *entry = find(key);
     if (entry == nullptr || entry->phase != Phase::Busy) {
@@ -107,13 +107,13 @@
 
 std::optional<TimePoint> ConnectionPool::nextWake() const noexcept
 {
-    if (idle() <= limits_.keepIdle) {
+    if (idle() <= limits_.minIdle) {
         return std::nullopt;
     }
     std::optional<TimePoint> first;
     for (const auto &entry : entries_) {
         if (entry.phase == Phase::Idle) {
-            const TimePoint due = entry.since + limits_.idleTime;
+            const TimePoint due = entry.since + limits_.idleTimeout;
             first = first ? std::min(*first, due) : due;
         }
     }
@@ -142,7 +142,7 @@
     return static_cast<std::uint32_t>(matches);
 }
 
-ConnectionPool::Entry *ConnectionPool::freshestIdle() noexcept
+ConnectionPool::Entry *ConnectionPool::newestIdle() noexcept
 {
     Entry *freshest = nullptr;
     for (auto &entry : entries_) {
--- a/src/connections/pool.h
+++ b/src/connections/pool.h
@@ -50,16 +50,16 @@
 /// Settings of a connection pool.
 struct PoolLimits {
     /// Connections that may be in the course of being opened.
-    std::uint32_t opensAtOnce = 2;
+    std::uint32_t maxOpening = 2;
     /// Time that opening a connection takes.
-    Milliseconds openTime{12};
+    Milliseconds expectedOpenTime{12};
     /// Idle connections beyond `keepIdle` are closed after this time.
-    Milliseconds idleTime{10'000};
-    std::uint32_t keepIdle = 1;
+    Milliseconds idleTimeout{10'000};
+    std::uint32_t minIdle = 1;
     /// Pause after the member refused a connection at its limit, and first pause after a failed open.
     Milliseconds pauseAfterRefusal{100};
     /// Longest pause after repeated failures.
-    Milliseconds longestPause{2'000};
+    Milliseconds maxPause{2'000};
 };
 
 /// Connections of this proxy to one member.
@@ -78,7 +78,7 @@
     [[nodiscard]] std::vector<ConnectionKey> setAllowed(std::uint32_t allowed, TimePoint now);
 
     /// Asks for a connection for a request that must have it by \a deadline.
-    [[nodiscard]] ConnectionStep take(TimePoint deadline, TimePoint now);
+    [[nodiscard]] ConnectionStep acquire(TimePoint deadline, TimePoint now);
 
     /// The connection is open and in use by the request that opened it.
     void opened(ConnectionKey key, TimePoint now);
@@ -87,7 +87,7 @@
     void openFailed(ConnectionKey key, LinkFault fault, TimePoint now);
 
     /// A request ended cleanly; true when the connection was kept, false when it must be closed now.
-    [[nodiscard]] bool giveBack(ConnectionKey key, TimePoint now);
+    [[nodiscard]] bool release(ConnectionKey key, TimePoint now);
 
     /// A connection was closed or broke, in whatever state it was.
     void closed(ConnectionKey key);
@@ -125,7 +125,7 @@
 
     [[nodiscard]] Entry *find(ConnectionKey key) noexcept;
     [[nodiscard]] std::uint32_t count(Phase phase) const noexcept;
-    [[nodiscard]] Entry *freshestIdle() noexcept;
+    [[nodiscard]] Entry *newestIdle() noexcept;
     [[nodiscard]] Entry *oldestIdle() noexcept;
 
     PoolLimits limits_;
--- a/src/connections/share.h
+++ b/src/connections/quota.h
@@ -14,7 +14,7 @@
 /// The part of \a limit for \a self among \a holders; 0 when it is not one of them.
 ///
 /// The parts add up to \a limit. What does not divide evenly goes to the holders that come first by name.
-[[nodiscard]] std::uint32_t shareOf(std::uint32_t limit, const std::vector<InstanceName> &holders, const InstanceName &self);
+[[nodiscard]] std::uint32_t quotaOf(std::uint32_t limit, const std::vector<InstanceName> &owners, const InstanceName &self);
 
 /// One proxy's view of its own share, which shrinks at once and grows only into what others have released.
 ///
@@ -25,22 +25,22 @@
 /// closed what is beyond its new part, within the expiry time. Where that does not hold, for example for a holder that
 /// started a moment ago and never saw the earlier list, the member's own limit is the last guard: it refuses the connection, and the pool
 /// waits.
-class ConnectionShare
+class ConnectionQuota
 {
 public:
-    ConnectionShare(InstanceName self, std::uint32_t limit, Milliseconds expiry);
+    ConnectionQuota(InstanceName self, std::uint32_t limit, Milliseconds expiry);
 
     /// Takes in the current owners of the group.
-    void setHolders(const std::vector<InstanceName> &holders, TimePoint now);
+    void setOwners(const std::vector<InstanceName> &owners, TimePoint now);
 
     /// What to tell the other holders, given the connections that are open: the most that may be open until another list arrives.
-    [[nodiscard]] std::uint32_t mayHold(std::uint32_t open) const noexcept
+    [[nodiscard]] std::uint32_t allocation(std::uint32_t open) const noexcept
     {
-        return open < target_ ? target_ : open;
+        return open < quota_ ? quota_ : open;
     }
 
     /// Takes in what another proxy's mayHold() says.
-    void heldBy(const InstanceName &other, std::uint32_t connections, TimePoint now);
+    void onPeerAllocation(const InstanceName &other, std::uint32_t connections, TimePoint now);
 
     /// Connections that this proxy may have open now.
     [[nodiscard]] std::uint32_t allowed(TimePoint now) const;
@@ -50,22 +50,22 @@
 
 private:
     struct Claim {
-        InstanceName holder;
+        InstanceName owner;
         /// Part by the current list; 0 for a former holder.
-        std::uint32_t part = 0;
+        std::uint32_t quota = 0;
         /// What it may hold from earlier, until `earlierUntil`.
-        std::uint32_t earlier = 0;
-        TimePoint earlierUntil;
+        std::uint32_t earlierAllocation = 0;
+        TimePoint earlierExpiresAt;
     };
 
-    [[nodiscard]] Claim &claimOf(const InstanceName &holder);
+    [[nodiscard]] Claim &claimOf(const InstanceName &owner);
     void dropExpired(TimePoint now);
 
     InstanceName self_;
     std::uint32_t limit_;
     Milliseconds expiry_;
     /// This proxy's part by the current list.
-    std::uint32_t target_ = 0;
+    std::uint32_t quota_ = 0;
     /// What others may hold; never contains self_.
     std::vector<Claim> claims_;
 };
--- a/src/connections/silence.cpp
+++ b/src/connections/silence.cpp
@@ -18,14 +18,14 @@
     exchanges_.push_back(Exchange{key, now, now + overdueAfter() + extra});
 }
 
-std::vector<SilenceAction> SilenceDetector::answered(ConnectionKey key, TimePoint now)
+std::vector<SilenceAction> SilenceDetector::replied(ConnectionKey key, TimePoint now)
 {
     std::vector<SilenceAction> actions;
     const auto found = std::find_if(exchanges_.begin(), exchanges_.end(), [&](const Exchange &exchange) { return exchange.key == key; });
     if (found == exchanges_.end()) {
         return actions;
     }
-    answerTime_.observe(now - found->began);
+    replyTime_.observe(now - found->began);
     exchanges_.erase(found);
     clearSuspicion(actions);
     return actions;
@@ -37,7 +37,7 @@
     exchanges_.erase(gone, exchanges_.end());
 }
 
-std::vector<SilenceAction> SilenceDetector::probeAnswered(TimePoint now)
+std::vector<SilenceAction> SilenceDetector::probeReplied(TimePoint now)
 {
     std::vector<SilenceAction> actions;
     if (!probeBegan_) {
@@ -67,7 +67,7 @@
     nextProbe_ = now + probePause * overdueAfter();
     if (!memberSuspect_) {
         memberSuspect_ = true;
-        actions.emplace_back(MemberSuspect{});
+        actions.emplace_back(MemberSuspected{});
     }
     return actions;
 }
@@ -108,19 +108,19 @@
 
 Microseconds SilenceDetector::overdueAfter() const noexcept
 {
-    const Microseconds shortest = limits_.shortest;
-    const Microseconds longest = limits_.longest;
-    if (!answerTime_.observed()) {
+    const Microseconds shortest = limits_.minOverdueTime;
+    const Microseconds longest = limits_.maxOverdueTime;
+    if (!replyTime_.observed()) {
         return longest;
     }
-    return std::clamp(answerTime_.withMargin(limits_.deviations), shortest, longest);
+    return std::clamp(replyTime_.withMargin(limits_.overdueDeviations), shortest, longest);
 }
 
 void SilenceDetector::clearSuspicion(std::vector<SilenceAction> &actions)
 {
     if (memberSuspect_) {
         memberSuspect_ = false;
-        actions.emplace_back(MemberClear{});
+        actions.emplace_back(MemberRecovered{});
     }
 }
 
--- a/src/connections/silence.h
+++ b/src/connections/silence.h
@@ -28,25 +28,25 @@
 };
 
 /// Neither the connection nor a new one gets an answer: the member is suspect.
-struct MemberSuspect {
-    [[nodiscard]] bool operator==(const MemberSuspect &) const = default;
+struct MemberSuspected {
+    [[nodiscard]] bool operator==(const MemberSuspected &) const = default;
 };
 
 /// The member answers again.
-struct MemberClear {
-    [[nodiscard]] bool operator==(const MemberClear &) const = default;
+struct MemberRecovered {
+    [[nodiscard]] bool operator==(const MemberRecovered &) const = default;
 };
 
 /// What to do about silence.
-using SilenceAction = std::variant<ProbeMember, CloseSilent, MemberSuspect, MemberClear>;
+using SilenceAction = std::variant<ProbeMember, CloseSilent, MemberSuspected, MemberRecovered>;
 
 /// Settings of a silence detector.
 struct SilenceLimits {
     /// Bounds of the time after which an answer is overdue.
-    Milliseconds shortest{60};
-    Milliseconds longest{2'000};
+    Milliseconds minOverdueTime{60};
+    Milliseconds maxOverdueTime{2'000};
     /// Deviations above the mean that are still usual.
-    double deviations = 8;
+    double overdueDeviations = 8;
 };
 
 /// Watches the exchanges with one member.
@@ -65,13 +65,13 @@
     void began(ConnectionKey key, TimePoint now, Microseconds extra = Microseconds{0});
 
     /// An answer arrived on \a key.
-    [[nodiscard]] std::vector<SilenceAction> answered(ConnectionKey key, TimePoint now);
+    [[nodiscard]] std::vector<SilenceAction> replied(ConnectionKey key, TimePoint now);
 
     /// The connection is gone.
     void closed(ConnectionKey key);
 
     /// The probe got its answer.
-    [[nodiscard]] std::vector<SilenceAction> probeAnswered(TimePoint now);
+    [[nodiscard]] std::vector<SilenceAction> probeReplied(TimePoint now);
 
     /// The probe failed or got no answer in overdueAfter().
     [[nodiscard]] std::vector<SilenceAction> probeFailed(TimePoint now);
@@ -100,7 +100,7 @@
     void clearSuspicion(std::vector<SilenceAction> &actions);
 
     SilenceLimits limits_;
-    SmoothedTime answerTime_;
+    SmoothedTime replyTime_;
     /// Exchanges without an answer, at most one for each connection.
     std::vector<Exchange> exchanges_;
     /// When the running probe began; absent while none runs.
--- a/src/gateway/sessionplacement.h
+++ b/src/gateway/sessionplacement.h
@@ -48,7 +48,7 @@
         for (const auto &[group, config] : engine_.routes().groups()) {
             const auto holders = holdersOf(config);
             const bool holds = !relay::forwardTo(targets_, holders, group, self_, 0);
-            engine_.setSharers(group, holds ? holders.sharers : 0);
+            engine_.setPoolCount(group, holds ? holders.poolCount : 0);
         }
     }
 
@@ -75,13 +75,13 @@
     }
 
 private:
-    [[nodiscard]] relay::Holders holdersOf(const relay::GroupConfig &config) const
+    [[nodiscard]] relay::PoolPlacement holdersOf(const relay::GroupConfig &config) const
     {
         const auto reserve = relay::EngineLimits{}.reservedConnections;
         const auto connections = config.memberConnections > reserve ? config.memberConnections - reserve : config.memberConnections;
-        auto holders = relay::holdersFor(targets_, connections);
+        auto holders = relay::placePools(targets_, connections);
         if (self_.address.empty()) {
-            holders.perDomain = 0;
+            holders.poolsPerDomain = 0;
         }
         return holders;
     }
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -332,7 +332,7 @@
 
 void GroupCore::setHolders(const std::vector<InstanceName> &holders)
 {
-    share.setHolders(holders, steadyNow());
+    share.setOwners(holders, steadyNow());
     refreshSlots();
 }
 
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/random.h"
-#include "connections/share.h"
+#include "connections/quota.h"
 #include "groups/coverage.h"
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
@@ -124,7 +124,7 @@
     ReadRouter router;
     AdmissionQueue admission;
     RetryBudget retries;
-    ConnectionShare share;
+    ConnectionQuota share;
     Random random;
     std::map<MemberName, std::unique_ptr<Member>> members;
 
--- a/src/owner/memberlinks.cpp
+++ b/src/owner/memberlinks.cpp
@@ -30,7 +30,7 @@
 {
     Waiter waiter;
     for (;;) {
-        const auto step = pool_.take(deadline, steadyNow());
+        const auto step = pool_.acquire(deadline, steadyNow());
         if (const auto *reuse = std::get_if<ReuseConnection>(&step)) {
             const auto link = links_.at(reuse->key);
             if (link->checkOpen()) {
@@ -73,7 +73,7 @@
         close(lease.key);
         return;
     }
-    if (!pool_.giveBack(lease.key, now)) {
+    if (!pool_.release(lease.key, now)) {
         links_.erase(lease.key);
     }
     waiting_.signalAll();
@@ -108,7 +108,7 @@
 void MemberLinks::answered(ConnectionKey key, TimePoint now)
 {
     // The blocking exchange has its own timeout, so the detector only measures here.
-    (void)silence_.answered(key, now);
+    (void)silence_.replied(key, now);
 }
 
 std::uint32_t MemberLinks::inUse() const noexcept
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -111,13 +111,13 @@
     }
 }
 
-void Engine::setSharers(const GroupName &name, std::uint32_t sharers)
+void Engine::setPoolCount(const GroupName &name, std::uint32_t poolCount)
 {
     auto &group = groupState(name);
-    if (group.sharers == sharers) {
+    if (group.poolCount == poolCount) {
         return;
     }
-    group.sharers = sharers;
+    group.poolCount = poolCount;
     updatePoolLimits(group);
 }
 
@@ -127,7 +127,7 @@
     const auto limit = group.config.memberConnections;
     const auto planned = limit > limits_.reservedConnections ? limit - limits_.reservedConnections : limit;
     // With more proxies than connections the fair share is none: links are opened for a statement and closed soon after.
-    const auto fair = group.sharers == 0 ? 0 : planned / group.sharers;
+    const auto fair = group.poolCount == 0 ? 0 : planned / group.poolCount;
     const auto most = std::max<std::uint32_t>(limits_.leastBorrowed, std::min<std::uint32_t>(planned, fair * 2));
     for (auto &[name, pool] : group.pools) {
         pool.setAllowed(fair, most);
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -91,7 +91,7 @@
     /// Ends what is still open at the group's primary: nothing that it answers from now on counts as acknowledged.
     void seal(const GroupName &group, TimePoint now);
     /// Sets how many proxies share the connections of \a group's members, this one included; 0 when this one holds none of its own.
-    void setSharers(const GroupName &group, std::uint32_t sharers);
+    void setPoolCount(const GroupName &group, std::uint32_t poolCount);
 
     // Callers.
 
@@ -196,7 +196,7 @@
     struct Group {
         GroupConfig config;
         /// Proxies that share the members' connections; 0 while unknown, or when this process holds none of its own.
-        std::uint32_t sharers = 0;
+        std::uint32_t poolCount = 0;
         CachedPrimary primary;
         FreshnessHistory history;
         std::map<MemberName, MemberPool> pools;
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -1,6 +1,6 @@
 // Tests of connection shares, the pool's accounting and the detection of silence.
 #include "connections/pool.h"
-#include "connections/share.h"
+#include "connections/quota.h"
 #include "connections/silence.h"
 
 #include <criterion/criterion.h>
@@ -50,28 +50,28 @@
         }
         std::uint32_t sum = 0;
         for (const auto &holder : holders) {
-            sum += shareOf(limit, holders, holder);
+            sum += quotaOf(limit, holders, holder);
         }
         RC_ASSERT(sum == limit);
-        RC_ASSERT(shareOf(limit, holders, InstanceName{"other"}) == 0U);
+        RC_ASSERT(quotaOf(limit, holders, InstanceName{"other"}) == 0U);
     });
     cr_assert(holds);
 }
 
 Test(connections, aShareGrowsOnlyAfterAReleaseOrExpiry)
 {
-    ConnectionShare share{proxy(0), 16, Milliseconds{1'000}};
-    share.setHolders({proxy(0), proxy(1)}, at(0));
+    ConnectionQuota share{proxy(0), 16, Milliseconds{1'000}};
+    share.setOwners({proxy(0), proxy(1)}, at(0));
     cr_assert(share.allowed(at(0)) == 8);
-    share.setHolders({proxy(0)}, at(10));
+    share.setOwners({proxy(0)}, at(10));
     cr_assert(share.allowed(at(10)) == 8);
     cr_assert(share.nextWake(at(10)) == at(1'010));
-    share.heldBy(proxy(1), 3, at(20));
+    share.onPeerAllocation(proxy(1), 3, at(20));
     cr_assert(share.allowed(at(20)) == 13);
     cr_assert(share.allowed(at(1'020)) == 16);
-    share.heldBy(proxy(1), 0, at(30));
+    share.onPeerAllocation(proxy(1), 0, at(30));
     cr_assert(share.allowed(at(30)) == 16);
-    share.setHolders({proxy(0), proxy(1)}, at(40));
+    share.setOwners({proxy(0), proxy(1)}, at(40));
     cr_assert(share.allowed(at(40)) == 8, "it shrinks at once");
 }
 
@@ -86,7 +86,7 @@
     static constexpr std::int64_t expiry = 1'000;
 
     struct Proxy {
-        ConnectionShare share;
+        ConnectionQuota share;
         std::uint32_t open = 0;
         std::vector<std::pair<std::int64_t, std::vector<InstanceName>>> news;
         std::int64_t tooManySince = -1;
@@ -99,7 +99,7 @@
     {
         for (std::size_t index = 0; index < count; ++index) {
             everyone.push_back(proxy(index));
-            proxies.push_back(Proxy{ConnectionShare{proxy(index), limit, Milliseconds{expiry}}, 0, {}, -1});
+            proxies.push_back(Proxy{ConnectionQuota{proxy(index), limit, Milliseconds{expiry}}, 0, {}, -1});
         }
     }
 
@@ -116,7 +116,7 @@
     {
         auto &one = proxies[index];
         while (!one.news.empty() && one.news.front().first <= now) {
-            one.share.setHolders(one.news.front().second, at(one.news.front().first));
+            one.share.setOwners(one.news.front().second, at(one.news.front().first));
             one.news.erase(one.news.begin());
         }
         const auto allowed = one.share.allowed(at(now));
@@ -132,7 +132,7 @@
 
     void announce(std::size_t from, std::size_t to, std::int64_t now)
     {
-        proxies[to].share.heldBy(proxy(from), proxies[from].share.mayHold(proxies[from].open), at(now));
+        proxies[to].share.onPeerAllocation(proxy(from), proxies[from].share.allocation(proxies[from].open), at(now));
     }
 
     [[nodiscard]] std::uint32_t open() const
@@ -153,7 +153,7 @@
         Fleet fleet;
         std::vector<InstanceName> holders{proxy(0), proxy(1)};
         for (std::size_t index = 0; index < Fleet::count; ++index) {
-            fleet.proxies[index].share.setHolders(holders, at(0));
+            fleet.proxies[index].share.setOwners(holders, at(0));
         }
         std::int64_t now = 0;
         for (int round = 0; round < 300; ++round) {
@@ -182,53 +182,53 @@
 {
     ConnectionPool pool;
     (void)pool.setAllowed(4, at(0));
-    const auto key = openedKey(pool.take(at(500), at(0)));
-    cr_assert(!pool.giveBack(key, at(1)) && !pool.giveBack(key + 1, at(1)), "only a connection in use can be given back");
+    const auto key = openedKey(pool.acquire(at(500), at(0)));
+    cr_assert(!pool.release(key, at(1)) && !pool.release(key + 1, at(1)), "only a connection in use can be given back");
     pool.opened(key, at(12));
-    cr_assert(pool.giveBack(key, at(20)));
-    cr_assert(pool.take(at(500), at(30)) == (ConnectionStep{ReuseConnection{key}}));
+    cr_assert(pool.release(key, at(20)));
+    cr_assert(pool.acquire(at(500), at(30)) == (ConnectionStep{ReuseConnection{key}}));
 }
 
 Test(connections, opensArePacedAndNeverTooMany)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(3, at(0));
-    const auto first = openedKey(pool.take(at(500), at(0)));
-    const auto second = openedKey(pool.take(at(500), at(0)));
-    cr_assert(is<AwaitConnection>(pool.take(at(500), at(0))), "two opens at once");
+    const auto first = openedKey(pool.acquire(at(500), at(0)));
+    const auto second = openedKey(pool.acquire(at(500), at(0)));
+    cr_assert(is<AwaitConnection>(pool.acquire(at(500), at(0))), "two opens at once");
     pool.opened(first, at(12));
     pool.opened(second, at(12));
-    const auto third = openedKey(pool.take(at(500), at(12)));
+    const auto third = openedKey(pool.acquire(at(500), at(12)));
     pool.opened(third, at(24));
-    cr_assert(is<AwaitConnection>(pool.take(at(500), at(24))), "three in all");
-    cr_assert(is<NoConnection>(pool.take(at(24), at(24))));
+    cr_assert(is<AwaitConnection>(pool.acquire(at(500), at(24))), "three in all");
+    cr_assert(is<NoConnection>(pool.acquire(at(24), at(24))));
 }
 
 Test(connections, theMembersOwnLimitPausesOpens)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(8, at(0));
-    const auto key = openedKey(pool.take(at(500), at(0)));
+    const auto key = openedKey(pool.acquire(at(500), at(0)));
     pool.openFailed(key, LinkFault::NoConnection, at(5));
     cr_assert(pool.open() == 0);
-    cr_assert(pool.take(at(500), at(6)) == (ConnectionStep{AwaitConnection{at(105)}}));
-    const auto tooLate = pool.take(at(100), at(6));
+    cr_assert(pool.acquire(at(500), at(6)) == (ConnectionStep{AwaitConnection{at(105)}}));
+    const auto tooLate = pool.acquire(at(100), at(6));
     cr_assert(is<NoConnection>(tooLate));
     cr_assert(std::get<NoConnection>(tooLate).error.ran == Ran::No && std::get<NoConnection>(tooLate).error.retryAfter);
-    cr_assert(is<OpenConnection>(pool.take(at(500), at(105))));
+    cr_assert(is<OpenConnection>(pool.acquire(at(500), at(105))));
 }
 
 Test(connections, aLoweredAllowanceClosesIdleOnesAtOnceAndBusyOnesAsTheyComeBack)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(3, at(0));
-    const auto first = openedKey(pool.take(at(500), at(0)));
-    const auto second = openedKey(pool.take(at(500), at(0)));
+    const auto first = openedKey(pool.acquire(at(500), at(0)));
+    const auto second = openedKey(pool.acquire(at(500), at(0)));
     pool.opened(first, at(12));
     pool.opened(second, at(12));
-    cr_assert(pool.giveBack(first, at(20)));
+    cr_assert(pool.release(first, at(20)));
     cr_assert(pool.setAllowed(0, at(21)) == std::vector<ConnectionKey>{first});
-    cr_assert(!pool.giveBack(second, at(30)));
+    cr_assert(!pool.release(second, at(30)));
     cr_assert(pool.open() == 0);
 }
 
@@ -238,11 +238,11 @@
     (void)pool.setAllowed(4, at(0));
     std::vector<ConnectionKey> keys;
     for (int round = 0; round < 3; ++round) {
-        keys.push_back(openedKey(pool.take(at(500), at(0))));
+        keys.push_back(openedKey(pool.acquire(at(500), at(0))));
         pool.opened(keys.back(), at(1));
     }
     for (std::size_t index = 0; index < keys.size(); ++index) {
-        cr_assert(pool.giveBack(keys[index], at(10 + static_cast<std::int64_t>(index))));
+        cr_assert(pool.release(keys[index], at(10 + static_cast<std::int64_t>(index))));
     }
     cr_assert(pool.nextWake() == at(10'010));
     cr_assert(pool.wake(at(20'000)) == (std::vector<ConnectionKey>{keys[0], keys[1]}));
@@ -276,13 +276,13 @@
                 busy.push_back(takeOne(opening));
                 pool.opened(busy.back(), at(now));
             } else if (event == 3 && !busy.empty()) {
-                (void)pool.giveBack(takeOne(busy), at(now));
+                (void)pool.release(takeOne(busy), at(now));
             } else if (event == 4 && !busy.empty()) {
                 pool.closed(takeOne(busy));
             } else if (event == 5) {
                 (void)pool.wake(at(now));
             } else {
-                const auto taken = pool.take(at(now + 200), at(now));
+                const auto taken = pool.acquire(at(now + 200), at(now));
                 if (const auto *open = std::get_if<OpenConnection>(&taken)) {
                     opening.push_back(open->key);
                 } else if (const auto *reused = std::get_if<ReuseConnection>(&taken)) {
@@ -309,7 +309,7 @@
     SilenceDetector detector;
     for (int round = 0; round < 50; ++round) {
         detector.began(1, at(round * 100));
-        cr_assert(detector.answered(1, at(round * 100 + 8)).empty());
+        cr_assert(detector.replied(1, at(round * 100 + 8)).empty());
     }
     return detector;
 }
@@ -331,7 +331,7 @@
     cr_assert(detector.nextWake() == at(10'060));
     cr_assert(detector.wake(at(10'060)) == (Actions{ProbeMember{7}}));
     cr_assert(!detector.nextWake());
-    cr_assert(detector.probeAnswered(at(10'080)) == (Actions{CloseSilent{7}}));
+    cr_assert(detector.probeReplied(at(10'080)) == (Actions{CloseSilent{7}}));
     cr_assert(!detector.memberSuspect());
     cr_assert(detector.nextWake() == at(10'115), "the younger exchange goes on");
 }
@@ -341,14 +341,14 @@
     auto detector = trainedDetector();
     detector.began(7, at(10'000));
     (void)detector.wake(at(10'060));
-    cr_assert(detector.probeFailed(at(10'120)) == (Actions{MemberSuspect{}}));
+    cr_assert(detector.probeFailed(at(10'120)) == (Actions{MemberSuspected{}}));
     detector.closed(7);
     const auto again = detector.nextWake();
     cr_assert(again == at(10'240));
     cr_assert(detector.wake(*again) == (Actions{ProbeMember{0}}));
     cr_assert(detector.probeFailed(at(10'300)).empty(), "it is said once");
     (void)detector.wake(*detector.nextWake());
-    cr_assert(detector.probeAnswered(at(10'500)) == (Actions{MemberClear{}}));
+    cr_assert(detector.probeReplied(at(10'500)) == (Actions{MemberRecovered{}}));
     cr_assert(!detector.nextWake());
 }
 
@@ -358,5 +358,5 @@
     detector.began(7, at(10'000));
     (void)detector.wake(at(10'060));
     (void)detector.probeFailed(at(10'120));
-    cr_assert(detector.answered(7, at(10'130)) == (Actions{MemberClear{}}));
+    cr_assert(detector.replied(7, at(10'130)) == (Actions{MemberRecovered{}}));
 }
--- a/tests/relay/relaydriver.h
+++ b/tests/relay/relaydriver.h
@@ -47,7 +47,7 @@
         configuration.routes.push_back(route);
         configuration.groups.push_back({GroupName{"g"}, options.memberConnections, 1});
         engine.configure(configuration, now);
-        engine.setSharers(GroupName{"g"}, options.liveProxies);
+        engine.setPoolCount(GroupName{"g"}, options.liveProxies);
         directory.replaceAll({member("p", "a", true), member("r1", "b", false), member("r2", "c", false)}, now);
         engine.setMembers(directory, now);
         believe("p", 1);
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -393,7 +393,7 @@
     MemberDirectory directory;
     directory.put(RelayDriver::member("p", "a", true));
     engine.setMembers(directory, now);
-    engine.setSharers(GroupName{"g"}, 1);
+    engine.setPoolCount(GroupName{"g"}, 1);
     engine.wake(now + Seconds{1});
     for (const auto &action : engine.takeActions()) {
         if (const auto *open = std::get_if<OpenMemberConnection>(&action)) {
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -79,19 +79,19 @@
 Test(relay, smallFleetsShareConnectionsEvenly)
 {
     const auto fleet = fleetOf(6, 3);
-    const auto holders = holdersFor(fleet, 36);
-    cr_assert(holders.perDomain == 0 && holders.sharers == 6);
+    const auto holders = placePools(fleet, 36);
+    cr_assert(holders.poolsPerDomain == 0 && holders.poolCount == 6);
     cr_assert(!forwardTo(fleet, holders, GroupName{"g"}, fleet.instances().front(), 1));
-    cr_assert(holdersFor(fleetOf(7, 3), 14).perDomain == 0, "two for each are enough (convenio-cantabrico)");
-    cr_assert(holdersFor(fleetOf(9, 3), 14).perDomain == 0, "a machine that is added, and one that is replaced, change nothing");
+    cr_assert(placePools(fleetOf(7, 3), 14).poolsPerDomain == 0, "two for each are enough (convenio-cantabrico)");
+    cr_assert(placePools(fleetOf(9, 3), 14).poolsPerDomain == 0, "a machine that is added, and one that is replaced, change nothing");
 }
 
 // convenio-cantabrico-grown: 62 proxies, 40 connections a member. Pools of one let a resting transaction block all of its proxy.
 Test(relay, fewConnectionsAreHeldByFewProxiesOfEachDomain)
 {
     const auto fleet = fleetOf(62, 3);
-    const auto holders = holdersFor(fleet, 38);
-    cr_assert(holders.perDomain == 2 && holders.sharers == 6);
+    const auto holders = placePools(fleet, 38);
+    cr_assert(holders.poolsPerDomain == 2 && holders.poolCount == 6);
     std::map<Address, int> sessions;
     for (const auto &self : fleet.instances()) {
         for (std::uint64_t caller = 0; caller < 10; ++caller) {
