--- a/src/connections/silence.cpp
+++ b/src/connections/silence.cpp
@@ -108,12 +108,12 @@
 
 Microseconds SilenceDetector::overdueAfter() const noexcept
 {
-    const Microseconds shortest = limits_.minOverdueTime;
-    const Microseconds longest = limits_.maxOverdueTime;
+    const Microseconds minTime = limits_.minOverdueTime;
+    const Microseconds maxTime = limits_.maxOverdueTime;
     if (!replyTime_.observed()) {
-        return longest;
+        return maxTime;
     }
-    return std::clamp(replyTime_.withMargin(limits_.overdueDeviations), shortest, longest);
+    return std::clamp(replyTime_.withMargin(limits_.overdueDeviations), minTime, maxTime);
 }
 
 void SilenceDetector::clearSuspicion(std::vector<SilenceAction> &actions)
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/viewkeeper.h
@@ -100,14 +100,14 @@
     {
         constexpr Milliseconds step{10};
         const auto now = evloop::bootTimeNow();
-        if (record.moving && now < until && context_.host.engine.lastingInFlight(record.group) > 0) {
+        if (record.moving && now < until && context_.host.engine.durableInFlight(record.group) > 0) {
             const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop, step);
             timer->async_wait(
                 [this, record, until, answer, timer](const boost::system::error_code &) { holdThenAnswer(record, until, answer); });
             return;
         }
         if (record.moving) {
-            context_.host.engine.seal(record.group, now);
+            context_.host.engine.fence(record.group, now);
             context_.host.perform();
         }
         answer(fleet::HoldReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
--- a/src/relay/directory.cpp
+++ b/src/relay/directory.cpp
@@ -27,7 +27,7 @@
 void MemberDirectory::put(const MemberEntry &entry)
 {
     entries_[entry.name] = entry;
-    vanished_.erase(entry.name);
+    removals_.erase(entry.name);
 }
 
 void MemberDirectory::remove(const MemberName &name, TimePoint now)
@@ -37,32 +37,32 @@
     }
     if (now >= trustedFrom_) {
         entries_.erase(name);
-        vanished_.erase(name);
+        removals_.erase(name);
         return;
     }
-    vanished_.try_emplace(name, now);
+    removals_.try_emplace(name, now);
 }
 
 void MemberDirectory::storeFailed(TimePoint now) noexcept
 {
-    trustedFrom_ = std::max(trustedFrom_, now + limits_.lapseGrace);
+    trustedFrom_ = std::max(trustedFrom_, now + limits_.expiryGrace);
 }
 
 bool MemberDirectory::expire(TimePoint now)
 {
-    if (now < trustedFrom_ || vanished_.empty()) {
+    if (now < trustedFrom_ || removals_.empty()) {
         return false;
     }
-    for (const auto &[name, since] : vanished_) {
+    for (const auto &[name, since] : removals_) {
         entries_.erase(name);
     }
-    vanished_.clear();
+    removals_.clear();
     return true;
 }
 
 std::optional<TimePoint> MemberDirectory::nextExpiry() const noexcept
 {
-    return vanished_.empty() ? std::nullopt : std::optional<TimePoint>(trustedFrom_);
+    return removals_.empty() ? std::nullopt : std::optional<TimePoint>(trustedFrom_);
 }
 
 const MemberEntry *MemberDirectory::find(const MemberName &name) const
--- a/src/relay/directory.h
+++ b/src/relay/directory.h
@@ -34,7 +34,7 @@
 struct DirectoryLimits {
     /// How long a removed entry is kept after the last sign of trouble at the store: entries lapse during an outage although
     /// their members live, and are back about two seconds after it.
-    Milliseconds lapseGrace{2500};
+    Milliseconds expiryGrace{2500};
 };
 
 /// The known members of all groups.
@@ -80,7 +80,7 @@
     DirectoryLimits limits_;
     std::map<MemberName, MemberEntry> entries_;
     /// Entries that vanished, and when.
-    std::map<MemberName, TimePoint> vanished_;
+    std::map<MemberName, TimePoint> removals_;
     /// Removals before this time are not trusted yet.
     TimePoint trustedFrom_;
 };
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -87,23 +87,23 @@
     }
 }
 
-std::size_t Engine::lastingInFlight(const GroupName &name) const
+std::size_t Engine::durableInFlight(const GroupName &name) const
 {
     return static_cast<std::size_t>(std::count_if(callers_.begin(), callers_.end(), [&name](const auto &entry) {
         const auto &caller = entry.second;
         const bool running = caller.activity == Activity::Running && caller.session.writes(caller.statement);
-        return caller.group == name && caller.connection != 0 && caller.atPrimary && (running || caller.session.wrote());
+        return caller.group == name && caller.connection != 0 && caller.sentToPrimary && (running || caller.session.wrote());
     }));
 }
 
-void Engine::seal(const GroupName &name, TimePoint now)
+void Engine::fence(const GroupName &name, TimePoint now)
 {
     for (auto &[key, caller] : callers_) {
-        if (caller.group != name || caller.connection == 0 || !caller.atPrimary) {
+        if (caller.group != name || caller.connection == 0 || !caller.sentToPrimary) {
             continue;
         }
-        if (caller.activity != Activity::Resting) {
-            caller.sealed = true;
+        if (caller.activity != Activity::Idle) {
+            caller.fenced = true;
         } else if (caller.session.phase() == TransactionPhase::Open && !caller.session.readOnlyTransaction()) {
             caller.session.transactionLost();
             endTransaction(caller, now);
@@ -128,7 +128,7 @@
     const auto planned = limit > limits_.reservedConnections ? limit - limits_.reservedConnections : limit;
     // With more proxies than connections the fair share is none: links are opened for a statement and closed soon after.
     const auto fair = group.poolCount == 0 ? 0 : planned / group.poolCount;
-    const auto most = std::max<std::uint32_t>(limits_.leastBorrowed, std::min<std::uint32_t>(planned, fair * 2));
+    const auto most = std::max<std::uint32_t>(limits_.minSurplusConnections, std::min<std::uint32_t>(planned, fair * 2));
     for (auto &[name, pool] : group.pools) {
         pool.setAllowed(fair, most);
     }
@@ -141,9 +141,9 @@
     }
     drainUntil_ = transactionsUntil;
     for (auto &[key, caller] : callers_) {
-        if (caller.activity == Activity::Resting && caller.session.phase() == TransactionPhase::None) {
-            endAtRest(key, caller, now);
-        } else if (caller.activity == Activity::Resting) {
+        if (caller.activity == Activity::Idle && caller.session.phase() == TransactionPhase::None) {
+            endWhenIdle(key, caller, now);
+        } else if (caller.activity == Activity::Idle) {
             setTimer(key, caller, std::min(caller.wakeAt.value_or(transactionsUntil), transactionsUntil));
         }
     }
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -31,28 +31,28 @@
     /// Connections of each member that no proxy plans on: those of a proxy that was replaced linger for seconds.
     std::uint32_t reservedConnections = 2;
     /// Connections to one member that a process may open while others leave theirs unused, however small its fair share.
-    std::uint32_t leastBorrowed = 2;
+    std::uint32_t minSurplusConnections = 2;
     /// Connections of this process to one member that may be opening at once.
-    std::uint32_t opensAtOnce = 2;
+    std::uint32_t maxOpeningPerMember = 2;
     /// Statements that may wait in one group.
     std::size_t maxWaiting = 400;
     /// Longest wait for a connection while the group can be served; another proxy may have one free.
-    Milliseconds connectionPatience{400};
+    Milliseconds connectionTimeout{400};
     /// Times one statement is sent to members.
     std::uint32_t maxAttempts = 4;
     /// Shortest time after which a read without an answer is sent to another member as well.
-    Milliseconds readPatience{200};
+    Milliseconds hedgeDelay{200};
     /// Members that are asked for one late read.
-    std::uint32_t membersAsked = 2;
+    std::uint32_t maxHedgedMembers = 2;
     /// Shortest time after which a transaction's statement without an answer counts as lost.
-    Milliseconds transactionPatience{400};
+    Milliseconds transactionReplyTimeout{400};
     /// Answer times, smoothed, after which an answer counts as late.
-    double lateFactor = 6.0;
+    double overdueFactor = 6.0;
     /// How long a session may rest while stopping before a statement that is expected at once: the first one, or the one that the
     /// session was just set up for.
-    Milliseconds stoppingRest{400};
+    Milliseconds drainIdleTimeout{400};
     /// A transaction that could not end in this time is not begun while stopping.
-    Milliseconds stoppingTransaction{1000};
+    Milliseconds minDrainTimeForBegin{1000};
     /// How long a replica that lagged gets no reads that it was not proved to hold.
     Milliseconds laggingPause{60};
     /// Time between two sightings of the primary's position where statements do not bring any.
@@ -87,9 +87,9 @@
     void setMembers(const MemberDirectory &directory, TimePoint now);
     void setPrimary(const GroupName &group, const CachedPrimary &primary, TimePoint now);
     /// Statements in flight at the group's primary that may have lasting effects, and open transactions there that wrote.
-    [[nodiscard]] std::size_t lastingInFlight(const GroupName &group) const;
+    [[nodiscard]] std::size_t durableInFlight(const GroupName &group) const;
     /// Ends what is still open at the group's primary: nothing that it answers from now on counts as acknowledged.
-    void seal(const GroupName &group, TimePoint now);
+    void fence(const GroupName &group, TimePoint now);
     /// Sets how many proxies share the connections of \a group's members, this one included; 0 when this one holds none of its own.
     void setPoolCount(const GroupName &group, std::uint32_t poolCount);
 
@@ -143,32 +143,32 @@
 
 private:
     enum class Activity : std::uint8_t {
-        Resting,
+        Idle,
         Waiting, ///< For a link.
         Beginning, ///< The transaction is being opened at the member; the statement follows.
         Running,
     };
 
     struct Caller {
-        explicit Caller(CallerSession taken)
-            : session(std::move(taken))
+        explicit Caller(CallerSession initial)
+            : session(std::move(initial))
         {
         }
 
         CallerSession session;
-        Activity activity = Activity::Resting;
+        Activity activity = Activity::Idle;
         SessionStatement statement;
         /// Id of the statement that began the transaction; empty outside of one.
         std::string transaction;
         /// Id of the first statement that set the session up for this one; empty when none did.
-        std::string prelude;
+        std::string setupStatementId;
         /// The next statement outside of a transaction belongs to something else.
-        bool preludeOver = false;
+        bool setupComplete = false;
 
         /// True when the session was just set up for a statement that has not come yet.
         [[nodiscard]] bool beginsOperation() const noexcept
         {
-            return !prelude.empty() && !preludeOver;
+            return !setupStatementId.empty() && !setupComplete;
         }
 
         /// The route as of the statement, or of the first one of its transaction.
@@ -180,15 +180,15 @@
         TimePoint giveUpAt;
         std::uint32_t attempts = 0;
         /// Members that already failed this statement.
-        std::vector<MemberName> avoid;
+        std::vector<MemberName> failedMembers;
         /// The link it holds; 0 for none.
         MemberConnectionKey connection = 0;
         GroupName group;
         TimePoint sentAt;
         /// The statement went to the primary.
-        bool atPrimary = false;
+        bool sentToPrimary = false;
         /// Its primary was sealed: a lasting answer is not told as success, and its transaction ends.
-        bool sealed = false;
+        bool fenced = false;
         /// When something is due; see timers_.
         std::optional<TimePoint> wakeAt;
     };
@@ -219,24 +219,24 @@
     void dequeue(CallerKey key, Caller &caller);
     void answer(CallerKey key, Caller &caller, CallerReply reply, TimePoint now);
     void fail(CallerKey key, Caller &caller, Error error, TimePoint now);
-    static void noteOperation(Caller &caller);
-    [[nodiscard]] bool refusedWhileStopping(const Caller &caller, TimePoint now) const;
-    void endAtRest(CallerKey key, Caller &caller, TimePoint now);
-    void restingDue(CallerKey key, Caller &caller, TimePoint now);
+    static void recordOperationIds(Caller &caller);
+    [[nodiscard]] bool refusedWhileDraining(const Caller &caller, TimePoint now) const;
+    void endWhenIdle(CallerKey key, Caller &caller, TimePoint now);
+    void idleDue(CallerKey key, Caller &caller, TimePoint now);
     void callerDue(CallerKey key, Caller &caller, TimePoint now);
-    [[nodiscard]] bool worthAsking(Caller &caller, TimePoint now);
+    [[nodiscard]] bool shouldHedge(Caller &caller, TimePoint now);
     void endTransaction(Caller &caller, TimePoint now);
     void setTimer(CallerKey key, Caller &caller, std::optional<TimePoint> at);
     [[nodiscard]] bool needsPrimary(const Caller &caller) const;
     /// True when the statement waits for a primary, and not for a connection.
     [[nodiscard]] bool lacksPrimary(const Caller &caller, const Group &group, TimePoint now) const;
-    [[nodiscard]] Milliseconds comeBack(const Group &group);
+    [[nodiscard]] Milliseconds retryAfterOf(const Group &group);
     void logOutcome(const Caller &caller, std::string_view outcome, TimePoint now);
 
     // Lending (enginelending.cpp)
     void dispatchWaiting(Group &group, TimePoint now);
     [[nodiscard]] bool serve(CallerKey key, Caller &caller, Group &group, TimePoint now);
-    [[nodiscard]] std::optional<Mark> requiredMark(const Caller &caller, Group &group, TimePoint now) const;
+    [[nodiscard]] std::optional<Mark> requiredPosition(const Caller &caller, Group &group, TimePoint now) const;
     [[nodiscard]] MemberPool *primaryPool(Group &group, TimePoint now);
     [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now);
     void openConnections(Group &group, TimePoint now);
@@ -248,7 +248,7 @@
                        std::vector<MemberRequest> requests,
                        TimePoint now);
     void addSetupRequests(const Caller &caller, PooledConnection &connection, std::vector<MemberRequest> &requests, TimePoint now);
-    void expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds patience);
+    void expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds timeout);
     void probe(Group &group, TimePoint now);
     void updatePoolLimits(Group &group);
 
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -39,7 +39,7 @@
     auto &caller = callers_.emplace(key, Caller(session)).first->second;
     caller.arrived = now;
     if (drainUntil_) {
-        setTimer(key, caller, now + limits_.stoppingRest);
+        setTimer(key, caller, now + limits_.drainIdleTimeout);
     }
     return Success{};
 }
@@ -54,13 +54,13 @@
     caller.statement = statement;
     caller.arrived = now;
     caller.attempts = 0;
-    caller.avoid.clear();
+    caller.failedMembers.clear();
     setTimer(key, caller, std::nullopt);
-    if (refusedWhileStopping(caller, now)) {
+    if (refusedWhileDraining(caller, now)) {
         fail(key, caller, Error{ErrorKind::Draining, "this proxy is stopping"}.comingBackAfter(limits_.minRetryAfter), now);
         return;
     }
-    noteOperation(caller);
+    recordOperationIds(caller);
     CallerReply reply;
     const auto disposition = caller.session.handle(statement, reply);
     if (disposition == StatementDisposition::RollBackAtMember) {
@@ -74,27 +74,27 @@
 }
 
 /// Keeps the ids by which the caller may know the statements that follow.
-void Engine::noteOperation(Caller &caller)
+void Engine::recordOperationIds(Caller &caller)
 {
     if (caller.session.phase() != TransactionPhase::None) {
         return;
     }
     const auto &statement = caller.statement;
-    if (std::exchange(caller.preludeOver, false)) {
-        caller.prelude.clear();
+    if (std::exchange(caller.setupComplete, false)) {
+        caller.setupStatementId.clear();
     }
-    if (isSessionSetup(statement.kind) && caller.prelude.empty()) {
-        caller.prelude = statement.id;
+    if (isSessionSetup(statement.kind) && caller.setupStatementId.empty()) {
+        caller.setupStatementId = statement.id;
     }
-    caller.preludeOver = !isSessionSetup(statement.kind);
+    caller.setupComplete = !isSessionSetup(statement.kind);
     caller.transaction = statement.kind == StatementKind::Begin ? statement.id : std::string();
 }
 
 /// True for the begin of a transaction that would be cut by the end of this process.
-bool Engine::refusedWhileStopping(const Caller &caller, TimePoint now) const
+bool Engine::refusedWhileDraining(const Caller &caller, TimePoint now) const
 {
     const bool begins = caller.statement.kind == StatementKind::Begin && caller.session.phase() == TransactionPhase::None;
-    return begins && drainUntil_ && now + limits_.stoppingTransaction >= *drainUntil_;
+    return begins && drainUntil_ && now + limits_.minDrainTimeForBegin >= *drainUntil_;
 }
 
 /// Finds the statement's route and sends it on the link it already has, or lines it up for one.
@@ -105,7 +105,7 @@
         Group *group = nullptr;
         MemberPool *pool = nullptr;
         auto *connection = findConnection(caller.connection, &group, &pool);
-        if (connection == nullptr || caller.sealed) {
+        if (connection == nullptr || caller.fenced) {
             fail(key, caller, Error{ErrorKind::TransactionAborted, "its connection or its primary was lost; it is rolled back"}, now);
             return;
         }
@@ -119,7 +119,7 @@
     }
     caller.route = *route;
     caller.freshFrom = now;
-    caller.sealed = false;
+    caller.fenced = false;
     caller.giveUpAt = now + route->statementTimeout;
     caller.group = route->group;
     enqueue(key, caller, groupState(route->group), now);
@@ -132,12 +132,13 @@
         return;
     }
     if (group.waiting.size() >= limits_.maxWaiting) {
-        fail(key, caller, Error{ErrorKind::Overloaded, "too many statements wait for this group"}.comingBackAfter(comeBack(group)), now);
+        fail(
+            key, caller, Error{ErrorKind::Overloaded, "too many statements wait for this group"}.comingBackAfter(retryAfterOf(group)), now);
         return;
     }
     const std::pair<TimePoint, CallerKey> place{caller.arrived + caller.route.latencyObjective, key};
     group.waiting.insert(std::upper_bound(group.waiting.begin(), group.waiting.end(), place), place);
-    setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.connectionPatience));
+    setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.connectionTimeout));
     openConnections(group, now);
 }
 
@@ -149,10 +150,10 @@
 
 void Engine::answer(CallerKey key, Caller &caller, CallerReply reply, TimePoint now)
 {
-    if (caller.activity != Activity::Resting || reply.error) {
+    if (caller.activity != Activity::Idle || reply.error) {
         logOutcome(caller, outcomeOf(reply), now);
     }
-    caller.activity = Activity::Resting;
+    caller.activity = Activity::Idle;
     const auto state = reply.state;
     actions_.emplace_back(ReplyToCaller{key, std::move(reply), caller.group, caller.statement.kind, now - caller.arrived});
     if (state != SessionState::Idle) {
@@ -165,15 +166,15 @@
     }
     setTimer(key, caller, std::nullopt);
     if (drainUntil_) {
-        endAtRest(key, caller, now);
+        endWhenIdle(key, caller, now);
     }
 }
 
 /// Ends a resting session while this process stops; one whose next statement is on its way ends after that.
-void Engine::endAtRest(CallerKey key, Caller &caller, TimePoint now)
+void Engine::endWhenIdle(CallerKey key, Caller &caller, TimePoint now)
 {
     if (caller.beginsOperation()) {
-        setTimer(key, caller, now + limits_.stoppingRest);
+        setTimer(key, caller, now + limits_.drainIdleTimeout);
         return;
     }
     actions_.emplace_back(CloseCaller{key});
@@ -235,7 +236,7 @@
 }
 
 /// Ends the transaction of a caller that rests for too long, or the session of one that rests while this process stops.
-void Engine::restingDue(CallerKey key, Caller &caller, TimePoint now)
+void Engine::idleDue(CallerKey key, Caller &caller, TimePoint now)
 {
     const auto phase = caller.session.phase();
     if (phase == TransactionPhase::Open || phase == TransactionPhase::BeginDeferred) {
@@ -250,26 +251,26 @@
 
 void Engine::callerDue(CallerKey key, Caller &caller, TimePoint now)
 {
-    if (caller.activity == Activity::Resting) {
-        restingDue(key, caller, now);
+    if (caller.activity == Activity::Idle) {
+        idleDue(key, caller, now);
         return;
     }
     if (caller.activity == Activity::Waiting) {
         auto &group = groupState(caller.group);
         const bool noPrimary = lacksPrimary(caller, group, now);
         if (noPrimary && now < caller.giveUpAt) {
-            setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.connectionPatience / 4));
+            setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.connectionTimeout / 4));
             return;
         }
         dequeue(key, caller);
         const auto kind = noPrimary ? ErrorKind::NoPrimary : ErrorKind::Overloaded;
-        fail(key, caller, Error{kind, "no connection became free in time"}.comingBackAfter(comeBack(group)), now);
+        fail(key, caller, Error{kind, "no connection became free in time"}.comingBackAfter(retryAfterOf(group)), now);
         return;
     }
     const bool early =
         caller.activity == Activity::Running && retryClassOf(caller.session, caller.statement) == RetryClass::Read && now < caller.giveUpAt;
-    if (early && !worthAsking(caller, now)) {
-        setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.readPatience / 2));
+    if (early && !shouldHedge(caller, now)) {
+        setTimer(key, caller, std::min<TimePoint>(caller.giveUpAt, now + limits_.hedgeDelay / 2));
         return;
     }
     exchangeFailed(key, caller, ExchangeEnd::Silent, std::nullopt, now);
@@ -277,21 +278,21 @@
 
 /// True when another member could answer a late read at once. One is asked besides the first at most: late answers are most often
 /// those of busy members, and asking around would make them busier.
-bool Engine::worthAsking(Caller &caller, TimePoint now)
+bool Engine::shouldHedge(Caller &caller, TimePoint now)
 {
-    if (caller.attempts >= limits_.membersAsked || budget_.balance() < 1) {
+    if (caller.attempts >= limits_.maxHedgedMembers || budget_.balance() < 1) {
         return false;
     }
     auto &group = groupState(caller.group);
-    const auto required = requiredMark(caller, group, now);
+    const auto required = requiredPosition(caller, group, now);
     const auto connection = connections_.find(caller.connection);
     if (needsPrimary(caller) || !required || connection == connections_.end()) {
         const auto *pool = primaryPool(group, now);
         return pool != nullptr && pool->count(PooledConnectionState::Idle) > 0;
     }
-    caller.avoid.push_back(connection->second.second);
+    caller.failedMembers.push_back(connection->second.second);
     const bool other = chooseReader(caller, group, required, now) != nullptr;
-    caller.avoid.pop_back();
+    caller.failedMembers.pop_back();
     return other;
 }
 
@@ -322,7 +323,7 @@
 }
 
 /// When a refused caller should come back; spread, so that those refused together do not return together.
-Milliseconds Engine::comeBack(const Group &group)
+Milliseconds Engine::retryAfterOf(const Group &group)
 {
     const auto load = Milliseconds{static_cast<std::int64_t>(group.waiting.size())};
     const auto base = std::clamp(load, limits_.minRetryAfter, limits_.maxRetryAfter);
@@ -346,8 +347,8 @@
          {"configuration", static_cast<std::int64_t>(routes_.version())},
          {"generation", known ? static_cast<std::int64_t>(group->second.primary.generation) : 0},
          {"view_left_ms", known ? static_cast<std::int64_t>(wholeMilliseconds(group->second.primary.validUntil - now).count()) : 0}}};
-    if (!caller.prelude.empty()) {
-        decision.fields.emplace_back("prelude", caller.prelude);
+    if (!caller.setupStatementId.empty()) {
+        decision.fields.emplace_back("prelude", caller.setupStatementId);
     }
     if (!caller.transaction.empty()) {
         decision.fields.emplace_back("transaction", caller.transaction);
--- a/src/relay/engineconnections.cpp
+++ b/src/relay/engineconnections.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// A link that does not open within this time is given up.
-constexpr Milliseconds openPatience{1000};
+constexpr Milliseconds openTimeout{1000};
 
 } // namespace
 
@@ -117,7 +117,7 @@
     auto &caller = callers_.at(key);
     const auto retryClass = retryClassOf(caller.session, caller.statement);
     const bool lasting = retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
-    if (lasting && caller.sealed && !reply.fault) {
+    if (lasting && caller.fenced && !reply.fault) {
         exchangeFailed(key, caller, ExchangeEnd::Broken, std::nullopt, now);
         return;
     }
@@ -187,13 +187,13 @@
     }
     if (again) {
         if (!member.empty() && fault != MemberFault::UnknownStatement) {
-            caller.avoid.push_back(member);
+            caller.failedMembers.push_back(member);
         }
         enqueue(key, caller, groupState(caller.group), now);
         return;
     }
     if (answerRule(outcome.error.kind).retryable && outcome.error.ran == Ran::No) {
-        outcome.error = std::move(outcome.error).comingBackAfter(comeBack(groupState(caller.group)));
+        outcome.error = std::move(outcome.error).comingBackAfter(retryAfterOf(groupState(caller.group)));
     }
     fail(key, caller, std::move(outcome.error), now);
 }
@@ -228,7 +228,7 @@
     }
     auto &caller = found->second;
     caller.connection = 0;
-    if (caller.activity == Activity::Resting) {
+    if (caller.activity == Activity::Idle) {
         caller.session.transactionLost();
         return;
     }
@@ -257,7 +257,7 @@
 void Engine::rollBack(PooledConnection &connection, TimePoint now)
 {
     connection.state = PooledConnectionState::AwaitingReplies;
-    expectReply(connection, ReplyPurpose::Rollback, now, openPatience);
+    expectReply(connection, ReplyPurpose::Rollback, now, openTimeout);
     actions_.emplace_back(SendToMember{connection.key, {MemberRequest{MemberVerb::Rollback}}});
 }
 
@@ -274,7 +274,7 @@
     for (auto &[name, pool] : group.pools) {
         std::vector<MemberConnectionKey> silent;
         for (const auto &[key, connection] : pool.connections()) {
-            const bool unopened = connection.state == PooledConnectionState::Opening && now - connection.since >= openPatience;
+            const bool unopened = connection.state == PooledConnectionState::Opening && now - connection.since >= openTimeout;
             const bool unanswered = connection.state == PooledConnectionState::AwaitingReplies && !connection.awaited.empty()
                 && now >= connection.awaited.front().silentAt;
             if (unopened || unanswered) {
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Answers on requests of our own are late after this time.
-constexpr Milliseconds ownPatience{1000};
+constexpr Milliseconds ownRequestTimeout{1000};
 /// Part of a route's staleness bound after which unused evidence is no longer kept fresh.
 constexpr int idleBounds = 4;
 
@@ -33,7 +33,7 @@
 /// Lends a link to \a caller if one is free for it.
 bool Engine::serve(CallerKey key, Caller &caller, Group &group, TimePoint now)
 {
-    const auto required = requiredMark(caller, group, now);
+    const auto required = requiredPosition(caller, group, now);
     MemberPool *pool = nullptr;
     if (!needsPrimary(caller) && required) {
         pool = chooseReader(caller, group, required, now);
@@ -49,7 +49,7 @@
 }
 
 /// The position that a replica must hold to serve the caller's read; nothing when it is not known.
-std::optional<Mark> Engine::requiredMark(const Caller &caller, Group &group, TimePoint now) const
+std::optional<Mark> Engine::requiredPosition(const Caller &caller, Group &group, TimePoint now) const
 {
     if (needsPrimary(caller)) {
         return std::nullopt;
@@ -78,7 +78,7 @@
     Microseconds least{0};
     for (auto &[name, pool] : group.pools) {
         const bool primary = name == group.primary.member;
-        const bool avoided = std::find(caller.avoid.begin(), caller.avoid.end(), name) != caller.avoid.end();
+        const bool avoided = std::find(caller.failedMembers.begin(), caller.failedMembers.end(), name) != caller.failedMembers.end();
         if (avoided || pool.count(PooledConnectionState::Idle) == 0 || !pool.usable(now)) {
             continue;
         }
@@ -107,7 +107,7 @@
     std::size_t forReaders = 0;
     for (const auto &[urgency, key] : group.waiting) {
         const auto &caller = callers_.at(key);
-        const bool primary = needsPrimary(caller) || !requiredMark(caller, group, now);
+        const bool primary = needsPrimary(caller) || !requiredPosition(caller, group, now);
         ++(primary ? forPrimary : forReaders);
     }
     for (auto &[name, pool] : group.pools) {
@@ -118,7 +118,7 @@
         const auto wanted = primary ? forPrimary + forReaders / 4 : forReaders;
         const bool keepOne = pool.size() == 0 && pool.fairShare() > 0 && !drainUntil_;
         auto opening = pool.count(PooledConnectionState::Opening);
-        while ((opening < wanted || (keepOne && opening == 0)) && opening < limits_.opensAtOnce && pool.mayOpen(now)) {
+        while ((opening < wanted || (keepOne && opening == 0)) && opening < limits_.maxOpeningPerMember && pool.mayOpen(now)) {
             openConnection(group, pool, now);
             ++opening;
         }
@@ -142,9 +142,9 @@
     connection.caller = key;
     connection.since = now;
     caller.connection = connection.key;
-    caller.atPrimary = connection.member == group.primary.member;
+    caller.sentToPrimary = connection.member == group.primary.member;
     ++caller.attempts;
-    const auto minPosition = caller.atPrimary ? std::nullopt : required;
+    const auto minPosition = caller.sentToPrimary ? std::nullopt : required;
     if (caller.session.phase() == TransactionPhase::None) {
         sendStatement(caller, connection, minPosition, {}, now);
         return;
@@ -186,12 +186,12 @@
     if (retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites) {
         group.stalledSince = group.stalledSince.value_or(now);
     }
-    const auto late = wholeMilliseconds(pool.replyTime().withMargin(limits_.lateFactor));
+    const auto late = wholeMilliseconds(pool.replyTime().withMargin(limits_.overdueFactor));
     auto due = caller.giveUpAt;
     if (retryClass == RetryClass::Read && caller.attempts < limits_.maxAttempts) {
-        due = std::min<TimePoint>(due, now + std::max(limits_.readPatience, late));
+        due = std::min<TimePoint>(due, now + std::max(limits_.hedgeDelay, late));
     } else if (retryClass == RetryClass::InTransaction) {
-        due = std::min<TimePoint>(due, now + std::max(limits_.transactionPatience, late));
+        due = std::min<TimePoint>(due, now + std::max(limits_.transactionReplyTimeout, late));
     }
     setTimer(connection.caller, caller, due);
     actions_.emplace_back(SendToMember{connection.key, std::move(requests)});
@@ -205,7 +205,7 @@
         connection.values.begin(), connection.values.end(), [&values](const auto &held) { return !values.contains(held.first); });
     const auto add = [&](MemberRequest request) {
         requests.push_back(std::move(request));
-        expectReply(connection, ReplyPurpose::Setup, now, ownPatience);
+        expectReply(connection, ReplyPurpose::Setup, now, ownRequestTimeout);
     };
     if (surplus) {
         add(MemberRequest{MemberVerb::ResetSession});
@@ -228,9 +228,9 @@
     }
 }
 
-void Engine::expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds patience)
+void Engine::expectReply(PooledConnection &connection, ReplyPurpose purpose, TimePoint now, Milliseconds timeout)
 {
-    connection.awaited.push_back(AwaitedReply{purpose, now, now + patience});
+    connection.awaited.push_back(AwaitedReply{purpose, now, now + timeout});
 }
 
 /// Asks the primary for its position where reads depend on it and no statement brought it lately.
@@ -250,7 +250,7 @@
     group.probedAt = now;
     connection->state = PooledConnectionState::AwaitingReplies;
     connection->since = now;
-    expectReply(*connection, ReplyPurpose::Probe, now, ownPatience);
+    expectReply(*connection, ReplyPurpose::Probe, now, ownRequestTimeout);
     actions_.emplace_back(SendToMember{connection->key, {MemberRequest{MemberVerb::Status}}});
 }
 
--- a/src/relay/memberpool.cpp
+++ b/src/relay/memberpool.cpp
@@ -71,12 +71,12 @@
 
 MemberConnectionKey MemberPool::surplusConnection(TimePoint now) const noexcept
 {
-    const auto patience = idleTimeout(now);
-    if (!patience) {
+    const auto timeout = idleTimeout(now);
+    if (!timeout) {
         return 0;
     }
     for (const auto &[key, connection] : connections_) {
-        if (connection.state == PooledConnectionState::Idle && now - connection.since >= *patience) {
+        if (connection.state == PooledConnectionState::Idle && now - connection.since >= *timeout) {
             return key;
         }
     }
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -282,7 +282,7 @@
     driver.open(1);
     driver.say(1, StatementKind::Write);
     driver.believe("p", 1, true);
-    driver.engine.seal(GroupName{"g"}, driver.now);
+    driver.engine.fence(GroupName{"g"}, driver.now);
     driver.settle();
     driver.answerNext();
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::OutcomeUnknown);
@@ -431,7 +431,7 @@
     options.consistency = Consistency::Current;
     options.memberConnections = 3;
     options.liveProxies = 1;
-    options.limits.leastBorrowed = 1;
+    options.limits.minSurplusConnections = 1;
     RelayDriver driver(options);
     driver.open(1);
     driver.say(1, StatementKind::Read);
