--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -63,9 +63,9 @@
     return router;
 }
 
-ReadNeed agedRead(std::int64_t time)
+ReadRequirements agedRead(std::int64_t time)
 {
-    return ReadNeed{markOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
+    return ReadRequirements{markOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
 }
 
 AdmissionRequest replicaRead(std::int64_t round, std::int64_t window)
@@ -79,7 +79,7 @@
     measure("route and verify a read", [&](std::int64_t round) {
         ReadPlan plan{agedRead(100'000 + round % 1'000)};
         const auto step = router.route(plan, at(100'000 + round % 1'000));
-        const auto *ask = std::get_if<AskMember>(&step);
+        const auto *ask = std::get_if<ReadFromMember>(&step);
         return ask != nullptr && router.verify(plan, ask->member, markOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
     });
     AdmissionQueue queue;
@@ -95,7 +95,7 @@
         ++position;
         router.confirm(at(200'000 + round * 100), markOf(position));
         router.report(reportOf("ledger-1-b", position), at(200'000 + round * 100 + 50));
-        return router.highestSeen().position;
+        return router.highestReported().position;
     });
 }
 
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -35,7 +35,7 @@
         if (const auto *give = std::get_if<GiveUpRead>(&step)) {
             return failedAnswer(give->error);
         }
-        if (const auto *ask = std::get_if<AskMember>(&step)) {
+        if (const auto *ask = std::get_if<ReadFromMember>(&step)) {
             answer = performAsk(plan, *ask);
         } else if (const auto *await = std::get_if<AwaitReplica>(&step)) {
             performAwait(await->until);
@@ -54,14 +54,14 @@
 std::optional<Error> ReadFlow::checkToken()
 {
     const auto mark = session_.find(core_.options.group);
-    if (!mark || checkAgainst(*mark, core_.router.highestSeen(), std::nullopt) == TokenStanding::Reached) {
+    if (!mark || checkAgainst(*mark, core_.router.highestReported(), std::nullopt) == TokenStanding::Reached) {
         return std::nullopt;
     }
     const auto result = core_.confirmPrimary(lock_, deadline_);
     if (!result || !result->legitimate) {
         return std::nullopt;
     }
-    if (checkAgainst(*mark, core_.router.highestSeen(), result->readMark) != TokenStanding::Ahead) {
+    if (checkAgainst(*mark, core_.router.highestReported(), result->readMark) != TokenStanding::Ahead) {
         return std::nullopt;
     }
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
@@ -83,7 +83,7 @@
     return std::nullopt;
 }
 
-std::optional<Answer> ReadFlow::performAsk(ReadPlan &plan, const AskMember &ask)
+std::optional<Answer> ReadFlow::performAsk(ReadPlan &plan, const ReadFromMember &ask)
 {
     const auto lane = ask.isPrimary ? Lane::Primary : Lane::Replica;
     const auto ticket = core_.admit(lock_, lane, statement_.service, deadline_);
@@ -117,7 +117,7 @@
     return judge(plan, ask, *reply);
 }
 
-std::optional<Answer> ReadFlow::judge(ReadPlan &plan, const AskMember &ask, const MemberReply &reply)
+std::optional<Answer> ReadFlow::judge(ReadPlan &plan, const ReadFromMember &ask, const MemberReply &reply)
 {
     if (reply.refusal == Refusal::StatementFailed) {
         return failedAnswer(errorFor(*reply.refusal, reply.description));
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -20,8 +20,8 @@
     /// Has the primary confirmed; an answer when that is not to be had in time.
     [[nodiscard]] std::optional<Answer> performConfirm();
     /// Asks one member; an answer when it is fresh enough or final.
-    [[nodiscard]] std::optional<Answer> performAsk(ReadPlan &plan, const AskMember &ask);
-    [[nodiscard]] std::optional<Answer> judge(ReadPlan &plan, const AskMember &ask, const MemberReply &reply);
+    [[nodiscard]] std::optional<Answer> performAsk(ReadPlan &plan, const ReadFromMember &ask);
+    [[nodiscard]] std::optional<Answer> judge(ReadPlan &plan, const ReadFromMember &ask, const MemberReply &reply);
     /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
     [[nodiscard]] bool waitLasting(const Mark &mark);
     void performAwait(TimePoint until);
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -30,7 +30,7 @@
 
 Answer TransactionFlow::begin()
 {
-    const auto room = session_.checkRoom(core_.options.group);
+    const auto room = session_.checkCapacity(core_.options.group);
     if (!room) {
         return failedAnswer(room.error());
     }
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -25,7 +25,7 @@
 
 Answer WriteFlow::run()
 {
-    const auto room = session_.checkRoom(core_.options.group);
+    const auto room = session_.checkCapacity(core_.options.group);
     if (!room) {
         return failedAnswer(room.error());
     }
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -318,7 +318,7 @@
 
 bool Engine::lacksPrimary(const Caller &caller, const Group &group, TimePoint now) const
 {
-    const bool needed = needsPrimary(caller) || !group.history.markCovering(caller.freshFrom - caller.route.maxStaleness);
+    const bool needed = needsPrimary(caller) || !group.history.positionCovering(caller.freshFrom - caller.route.maxStaleness);
     return needed && !group.primary.usable(now);
 }
 
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -55,7 +55,7 @@
         return std::nullopt;
     }
     group.evidenceUsedAt = now;
-    auto required = group.history.markCovering(caller.freshFrom - caller.route.maxStaleness);
+    auto required = group.history.positionCovering(caller.freshFrom - caller.route.maxStaleness);
     if (required && caller.route.consistency == Consistency::ReadYourWrites && caller.session.lastCommit()) {
         required = std::max(*required, *caller.session.lastCommit());
     }
@@ -239,7 +239,7 @@
     if (now - group.evidenceUsedAt > limits_.probeInterval * idleBounds || now - group.probedAt < limits_.probeInterval) {
         return;
     }
-    if (group.history.markCovering(now - limits_.probeInterval)) {
+    if (group.history.positionCovering(now - limits_.probeInterval)) {
         return;
     }
     auto *pool = primaryPool(group, now);
--- a/src/sessions/freshness.cpp
+++ b/src/sessions/freshness.cpp
@@ -20,18 +20,18 @@
 
 void FreshnessHistory::confirm(TimePoint began, const Mark &bound)
 {
-    if (marks_.size() > 0 && began < marks_.last().time) {
+    if (positions_.size() > 0 && began < positions_.last().time) {
         return;
     }
     // What was acknowledged before an earlier round lies within this mark too, so a higher one of an earlier round is not needed.
-    while (marks_.size() > 0 && marks_.last().mark > bound) {
-        marks_.removeLast();
+    while (positions_.size() > 0 && positions_.last().position > bound) {
+        positions_.removeLast();
     }
-    if (marks_.size() > 0 && (marks_.last().mark == bound || marks_.last().time == began)) {
-        marks_.last().time = began;
+    if (positions_.size() > 0 && (positions_.last().position == bound || positions_.last().time == began)) {
+        positions_.last().time = began;
         return;
     }
-    marks_.append(began, bound);
+    positions_.append(began, bound);
 }
 
 } // namespace cardamomstep
--- a/src/sessions/freshness.h
+++ b/src/sessions/freshness.h
@@ -4,7 +4,7 @@
 #include "base/mark.h"
 #include "base/time.h"
 #include "sessions/fwd.h"
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <cstddef>
 #include <optional>
@@ -31,7 +31,7 @@
 {
 public:
     /// Entries kept.
-    static constexpr std::size_t capacity = impl::TimedMarks::capacity;
+    static constexpr std::size_t capacity = impl::TimedPositions::capacity;
 
     /// Adds that every write acknowledged before \a began has a mark of at most \a bound.
     ///
@@ -41,19 +41,19 @@
     /// The lowest known mark that covers every write acknowledged before \a time.
     ///
     /// Returns nothing when no round began at or after \a time; a new round is needed then.
-    [[nodiscard]] std::optional<Mark> markCovering(TimePoint time) const noexcept
+    [[nodiscard]] std::optional<Mark> positionCovering(TimePoint time) const noexcept
     {
-        return marks_.markAt(time);
+        return positions_.positionAt(time);
     }
 
     /// Number of entries held.
     [[nodiscard]] std::size_t size() const noexcept
     {
-        return marks_.size();
+        return positions_.size();
     }
 
 private:
-    impl::TimedMarks marks_;
+    impl::TimedPositions positions_;
 };
 
 } // namespace cardamomstep
--- a/src/sessions/fwd.h
+++ b/src/sessions/fwd.h
@@ -8,7 +8,7 @@
 enum class TokenStanding : std::uint8_t;
 class SessionToken;
 class FreshnessHistory;
-struct ReadNeed;
+struct ReadRequirements;
 class ReadPlan;
 class ReadRouter;
 
--- a/src/sessions/impl/timedmarks.cpp
+++ b/src/sessions/impl/timedpositions.cpp
@@ -1,20 +1,20 @@
 // A bounded series of times and rising log marks.
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <algorithm>
 
 namespace cardamomstep::impl {
 
-void TimedMarks::append(TimePoint time, const Mark &mark)
+void TimedPositions::append(TimePoint time, const Mark &position)
 {
     if (size_ == capacity) {
         dropDensest(time);
     }
-    pairs_[size_] = Pair{time, mark};
+    pairs_[size_] = Pair{time, position};
     ++size_;
 }
 
-void TimedMarks::dropDensest(TimePoint now)
+void TimedPositions::dropDensest(TimePoint now)
 {
     std::size_t densest = 1;
     double least = 0;
@@ -30,20 +30,21 @@
     --size_;
 }
 
-std::optional<Mark> TimedMarks::markAt(TimePoint time) const noexcept
+std::optional<Mark> TimedPositions::positionAt(TimePoint time) const noexcept
 {
     const auto *end = pairs_.data() + size_;
     const auto *place = std::lower_bound(pairs_.data(), end, time, [](const Pair &pair, TimePoint wanted) { return pair.time < wanted; });
     if (place == end) {
         return std::nullopt;
     }
-    return place->mark;
+    return place->position;
 }
 
-std::optional<TimePoint> TimedMarks::timeOf(const Mark &mark) const noexcept
+std::optional<TimePoint> TimedPositions::timeOf(const Mark &position) const noexcept
 {
     const auto *end = pairs_.data() + size_;
-    const auto *place = std::lower_bound(pairs_.data(), end, mark, [](const Pair &pair, const Mark &wanted) { return pair.mark < wanted; });
+    const auto *place =
+        std::lower_bound(pairs_.data(), end, position, [](const Pair &pair, const Mark &wanted) { return pair.position < wanted; });
     if (place == end) {
         return std::nullopt;
     }
--- a/src/sessions/impl/timedmarks.h
+++ b/src/sessions/impl/timedpositions.h
@@ -13,7 +13,7 @@
 /// Holds (time, mark) pairs in which both rise.
 ///
 /// When it is full, the pair is dropped whose neighbours lie closest together in proportion to their age.
-class TimedMarks
+class TimedPositions
 {
 public:
     /// Pairs kept.
@@ -21,11 +21,11 @@
 
     struct Pair {
         TimePoint time;
-        Mark mark;
+        Mark position;
     };
 
     /// Adds a pair at the end; \a time must not lie before the last one and \a mark must lie above it.
-    void append(TimePoint time, const Mark &mark);
+    void append(TimePoint time, const Mark &position);
 
     /// Removes the last pair.
     void removeLast() noexcept
@@ -44,10 +44,10 @@
     }
 
     /// The mark of the first pair at or after \a time.
-    [[nodiscard]] std::optional<Mark> markAt(TimePoint time) const noexcept;
+    [[nodiscard]] std::optional<Mark> positionAt(TimePoint time) const noexcept;
 
     /// The time of the first pair whose mark is at or beyond \a mark.
-    [[nodiscard]] std::optional<TimePoint> timeOf(const Mark &mark) const noexcept;
+    [[nodiscard]] std::optional<TimePoint> timeOf(const Mark &position) const noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept
     {
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -54,14 +54,14 @@
 void ReadRouter::report(const MemberReport &report, TimePoint now)
 {
     auto *member = find(report.member);
-    if (member == nullptr || (member->known && now < member->seenAt)) {
+    if (member == nullptr || (member->positionKnown && now < member->positionObservedAt)) {
         return;
     }
     member->leaving = report.leaving;
     if (indexOf(report.member) == primary_) {
-        learnPrimaryMark(report.log, now);
+        recordPrimaryPosition(report.log, now);
     }
-    learnMark(*member, report.log, now);
+    recordPosition(*member, report.log, now);
 }
 
 void ReadRouter::setPrimary(const MemberName &primary)
@@ -77,8 +77,8 @@
 void ReadRouter::confirm(TimePoint began, const Mark &bound)
 {
     history_.confirm(began, bound);
-    learnPrimaryMark(bound, began);
-    highestSeen_ = std::max(highestSeen_, bound);
+    recordPrimaryPosition(bound, began);
+    highestReported_ = std::max(highestReported_, bound);
 }
 
 void ReadRouter::setSuspect(const MemberName &member, bool suspect)
@@ -105,16 +105,16 @@
 
 ReadStep ReadRouter::route(ReadPlan &plan, TimePoint now)
 {
-    if (now >= plan.need_.deadline) {
+    if (now >= plan.requirements_.deadline) {
         return giveUp(plan, now);
     }
-    if (auto step = settleRequired(plan, now)) {
+    if (auto step = resolveRequired(plan, now)) {
         return *std::move(step);
     }
     const auto replica = bestReplica(plan, now);
     const auto primary = primaryCandidate(plan, now);
     if (replica && (!primary || replica->cost < primary->cost)) {
-        return AskMember{members_[replica->index].name, false, *plan.required_};
+        return ReadFromMember{members_[replica->index].name, false, *plan.required_};
     }
     if (!replica) {
         if (const auto until = waitForReplica(plan, now)) {
@@ -122,29 +122,29 @@
         }
     }
     if (primary) {
-        return AskMember{members_[primary->index].name, true, *plan.required_};
+        return ReadFromMember{members_[primary->index].name, true, *plan.required_};
     }
     return giveUp(plan, now);
 }
 
-bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const Mark &mark, TimePoint now)
+bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const Mark &position, TimePoint now)
 {
     auto *found = find(member);
-    const bool fresh = plan.required_ && mark >= *plan.required_;
+    const bool fresh = plan.required_ && position >= *plan.required_;
     if (found == nullptr) {
         return fresh;
     }
     if (fresh) {
-        if (mark > found->mark) {
-            learnMark(*found, mark, now);
+        if (position > found->position) {
+            recordPosition(*found, position, now);
         }
         return true;
     }
     plan.stale_ |= bitOf(indexOf(member));
-    found->mark = mark;
-    found->seenAt = now;
+    found->position = position;
+    found->positionObservedAt = now;
     if (plan.required_) {
-        const auto reached = primaryMarks_.timeOf(*plan.required_).value_or(now);
+        const auto reached = primaryPositions_.timeOf(*plan.required_).value_or(now);
         const auto proved = now - found->roundTrip / 2 - reached;
         found->lag.raiseTo(proved + proved / staleRaiseDivisor);
     }
@@ -159,16 +159,16 @@
     }
 }
 
-std::optional<TimePoint> ReadRouter::coverageExpected(const Mark &mark, TimePoint now) const
+std::optional<TimePoint> ReadRouter::replicationExpected(const Mark &position, TimePoint now) const
 {
     std::vector<TimePoint> expected;
     for (std::size_t index = 0; index < members_.size(); ++index) {
         const auto &member = members_[index];
-        if (index == primary_ || !member.known || !member.listed || member.suspect) {
+        if (index == primary_ || !member.positionKnown || !member.listed || member.suspect) {
             continue;
         }
-        const bool reached = member.mark >= mark;
-        expected.push_back(reached ? now : expectedAt(member, mark, now) + member.roundTrip / 2);
+        const bool reached = member.position >= position;
+        expected.push_back(reached ? now : expectedAt(member, position, now) + member.roundTrip / 2);
     }
     const auto listed = std::count_if(members_.begin(), members_.end(), [](const Member &member) { return member.listed; });
     const auto replicasNeeded = static_cast<std::size_t>(listed) / 2;
@@ -198,36 +198,37 @@
     return maxMembers;
 }
 
-std::optional<ReadStep> ReadRouter::settleRequired(ReadPlan &plan, TimePoint /*now*/) const
+std::optional<ReadStep> ReadRouter::resolveRequired(ReadPlan &plan, TimePoint /*now*/) const
 {
     if (plan.required_) {
         return std::nullopt;
     }
-    const auto &need = plan.need_;
-    const auto confirmed = history_.markCovering(need.arrived);
-    if (need.token) {
-        const auto standing = checkAgainst(*need.token, highestSeen_, confirmed);
+    const auto &requirements = plan.requirements_;
+    const auto confirmed = history_.positionCovering(requirements.arrived);
+    if (requirements.sessionPosition) {
+        const auto standing = checkAgainst(*requirements.sessionPosition, highestReported_, confirmed);
         if (standing == TokenStanding::Unproven) {
             return CollectReports{};
         }
         if (standing == TokenStanding::Ahead) {
-            return GiveUpRead{Error{ErrorKind::TokenAhead, "the session token names " + toText(*need.token) + ", beyond the group's log"}};
+            return GiveUpRead{Error{ErrorKind::TokenAhead,
+                                    "the session token names " + toText(*requirements.sessionPosition) + ", beyond the group's log"}};
         }
     }
-    const auto age = std::min(need.acceptedAge.value_or(Milliseconds{0}), longestAge);
-    const auto covering = history_.markCovering(need.arrived - age);
+    const auto age = std::min(requirements.acceptedAge.value_or(Milliseconds{0}), longestAge);
+    const auto covering = history_.positionCovering(requirements.arrived - age);
     if (!covering) {
         return CollectReports{};
     }
-    plan.required_ = std::max(*covering, need.token.value_or(Mark{}));
+    plan.required_ = std::max(*covering, requirements.sessionPosition.value_or(Mark{}));
     return std::nullopt;
 }
 
 bool ReadRouter::usable(std::size_t index, const ReadPlan &plan, TimePoint now) const noexcept
 {
     const auto &member = members_[index];
-    const bool inTime = now + member.roundTrip < plan.need_.deadline;
-    return member.known && member.listed && !member.leaving && !member.suspect && inTime && (plan.failed_ & bitOf(index)) == 0;
+    const bool inTime = now + member.roundTrip < plan.requirements_.deadline;
+    return member.positionKnown && member.listed && !member.leaving && !member.suspect && inTime && (plan.failed_ & bitOf(index)) == 0;
 }
 
 std::optional<ReadRouter::Candidate> ReadRouter::bestReplica(const ReadPlan &plan, TimePoint now) const
@@ -239,7 +240,7 @@
         }
         const auto &member = members_[index];
         auto cost = costOf(member);
-        if (member.mark < *plan.required_) {
+        if (member.position < *plan.required_) {
             const bool likely = expectedAt(member, *plan.required_, now) <= now + member.roundTrip / 2;
             if (!likely || (plan.stale_ & bitOf(index)) != 0) {
                 continue;
@@ -263,9 +264,9 @@
 
 std::optional<TimePoint> ReadRouter::waitForReplica(ReadPlan &plan, TimePoint now) const
 {
-    const auto waitEnd = plan.waitEnd_.value_or(now + limits_.patience);
+    const auto waitEnd = plan.waitEnd_.value_or(now + limits_.maxReplicaWait);
     const auto reserve = primary_ < members_.size() ? 2 * members_[primary_].roundTrip : Microseconds{0};
-    if (now >= waitEnd || waitEnd + reserve >= plan.need_.deadline) {
+    if (now >= waitEnd || waitEnd + reserve >= plan.requirements_.deadline) {
         return std::nullopt;
     }
     std::optional<TimePoint> earliest;
@@ -287,7 +288,7 @@
 
 GiveUpRead ReadRouter::giveUp(const ReadPlan &plan, TimePoint now) const
 {
-    if (now + limits_.stalePenalty >= plan.need_.deadline) {
+    if (now + limits_.stalePenalty >= plan.requirements_.deadline) {
         return GiveUpRead{
             Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.comingBackAfter(retryAfterNotFresh)};
     }
@@ -300,13 +301,13 @@
 
 TimePoint ReadRouter::expectedAt(const Member &member, const Mark &wanted, TimePoint now) const noexcept
 {
-    const auto reached = primaryMarks_.timeOf(wanted).value_or(now);
+    const auto reached = primaryPositions_.timeOf(wanted).value_or(now);
     const auto usual = reached + member.lag.withMargin(lagMargin);
-    if (usual >= member.seenAt) {
+    if (usual >= member.positionObservedAt) {
         return usual;
     }
     // It is late already: the longer it has been late, the longer it is likely to stay so.
-    return member.seenAt + (member.seenAt - usual) / 2 + member.roundTrip;
+    return member.positionObservedAt + (member.positionObservedAt - usual) / 2 + member.roundTrip;
 }
 
 Microseconds ReadRouter::costOf(const Member &member) const noexcept
@@ -315,22 +316,22 @@
     return member.roundTrip + inFront * limits_.queuePenalty;
 }
 
-void ReadRouter::learnMark(Member &member, const Mark &mark, TimePoint now)
+void ReadRouter::recordPosition(Member &member, const Mark &position, TimePoint now)
 {
-    if (member.known && mark > member.mark) {
-        const auto reached = primaryMarks_.timeOf(mark).value_or(now);
+    if (member.positionKnown && position > member.position) {
+        const auto reached = primaryPositions_.timeOf(position).value_or(now);
         member.lag.observe(std::max(Microseconds{0}, now - reached));
     }
-    member.known = true;
-    member.mark = mark;
-    member.seenAt = now;
-    highestSeen_ = std::max(highestSeen_, mark);
+    member.positionKnown = true;
+    member.position = position;
+    member.positionObservedAt = now;
+    highestReported_ = std::max(highestReported_, position);
 }
 
-void ReadRouter::learnPrimaryMark(const Mark &mark, TimePoint now)
+void ReadRouter::recordPrimaryPosition(const Mark &position, TimePoint now)
 {
-    if (primaryMarks_.size() == 0 || (mark > primaryMarks_.last().mark && now >= primaryMarks_.last().time)) {
-        primaryMarks_.append(now, mark);
+    if (primaryPositions_.size() == 0 || (position > primaryPositions_.last().position && now >= primaryPositions_.last().time)) {
+        primaryPositions_.append(now, position);
     }
 }
 
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -9,7 +9,7 @@
 #include "members/member.h"
 #include "sessions/freshness.h"
 #include "sessions/fwd.h"
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <cstdint>
 #include <optional>
@@ -19,9 +19,9 @@
 namespace cardamomstep {
 
 /// What one read asks of the data it sees.
-struct ReadNeed {
+struct ReadRequirements {
     /// The session's mark in this group; nothing when it has not written there.
-    std::optional<Mark> token;
+    std::optional<Mark> sessionPosition;
     /// Age of data that the caller accepts, counted back from `arrived`; without it the read is current.
     std::optional<Milliseconds> acceptedAge;
     /// When the read arrived at this process.
@@ -36,13 +36,13 @@
 };
 
 /// Send the read to this member, then verify its reply.
-struct AskMember {
+struct ReadFromMember {
     MemberName member;
     bool isPrimary = false;
     /// The reply's mark must reach this.
     Mark required;
 
-    [[nodiscard]] bool operator==(const AskMember &) const = default;
+    [[nodiscard]] bool operator==(const ReadFromMember &) const = default;
 };
 
 /// Route again when a report arrives, at the latest at `until`: a replica is about to be fresh enough.
@@ -60,20 +60,20 @@
 };
 
 /// The next step of a read.
-using ReadStep = std::variant<CollectReports, AskMember, AwaitReplica, GiveUpRead>;
+using ReadStep = std::variant<CollectReports, ReadFromMember, AwaitReplica, GiveUpRead>;
 
 /// The progress of one read; held by whoever carries it out and handed to the router at each step.
 class ReadPlan
 {
 public:
-    explicit ReadPlan(const ReadNeed &need) noexcept
-        : need_(need)
+    explicit ReadPlan(const ReadRequirements &requirements) noexcept
+        : requirements_(requirements)
     {
     }
 
-    [[nodiscard]] const ReadNeed &need() const noexcept
+    [[nodiscard]] const ReadRequirements &requirements() const noexcept
     {
-        return need_;
+        return requirements_;
     }
 
     /// The mark that an answer must reach, once it is known.
@@ -85,7 +85,7 @@
 private:
     friend class ReadRouter;
 
-    ReadNeed need_;
+    ReadRequirements requirements_;
     std::optional<Mark> required_;
     /// Members that failed this read or answered it too old; bit N stands for the member at index N of the router's members.
     std::uint32_t failed_ = 0;
@@ -97,7 +97,7 @@
 /// Settings of the router.
 struct ReadRouterLimits {
     /// Longest wait for a replica that is about to be fresh enough.
-    Microseconds patience{15'000};
+    Microseconds maxReplicaWait{15'000};
     /// Extra cost of asking a member that may prove stale.
     Microseconds stalePenalty{6'000};
     /// Extra cost of using the primary, so that its slots are kept for writes.
@@ -165,7 +165,7 @@
     ///
     /// Before it is answered, a majority must be known to hold \a mark too, or a promotion may drop what the read saw.
     /// A stale reply raises the estimate of that member's lag, and the plan asks it no more.
-    [[nodiscard]] bool verify(ReadPlan &plan, const MemberName &member, const Mark &mark, TimePoint now);
+    [[nodiscard]] bool verify(ReadPlan &plan, const MemberName &member, const Mark &position, TimePoint now);
 
     /// Takes in that \a member gave no usable reply; the plan asks it no more.
     void failed(ReadPlan &plan, const MemberName &member);
@@ -174,12 +174,12 @@
     ///
     /// Returns nothing when too few replicas are usable to make up a majority. A write that waits for coverage is told this time;
     /// see WriteAttempt::coverageExpected().
-    [[nodiscard]] std::optional<TimePoint> coverageExpected(const Mark &mark, TimePoint now) const;
+    [[nodiscard]] std::optional<TimePoint> replicationExpected(const Mark &position, TimePoint now) const;
 
     /// The greatest log mark in any report.
-    [[nodiscard]] const Mark &highestSeen() const noexcept
+    [[nodiscard]] const Mark &highestReported() const noexcept
     {
-        return highestSeen_;
+        return highestReported_;
     }
 
     [[nodiscard]] const FreshnessHistory &history() const noexcept
@@ -191,12 +191,12 @@
     struct Member {
         MemberName name;
         bool listed = true;
-        bool known = false;
+        bool positionKnown = false;
         bool leaving = false;
         bool suspect = false;
         /// Last entry known to be in its log, and when that was learned.
-        Mark mark;
-        TimePoint seenAt;
+        Mark position;
+        TimePoint positionObservedAt;
         /// Time between the primary's and this member's reaching a mark.
         SmoothedTime lag;
         Microseconds roundTrip{1000};
@@ -212,7 +212,7 @@
     [[nodiscard]] Member *find(const MemberName &name) noexcept;
     void add(const MemberName &name);
     [[nodiscard]] std::size_t indexOf(const MemberName &name) const noexcept;
-    [[nodiscard]] std::optional<ReadStep> settleRequired(ReadPlan &plan, TimePoint now) const;
+    [[nodiscard]] std::optional<ReadStep> resolveRequired(ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] std::optional<Candidate> bestReplica(const ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] std::optional<Candidate> primaryCandidate(const ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] std::optional<TimePoint> waitForReplica(ReadPlan &plan, TimePoint now) const;
@@ -220,8 +220,8 @@
     [[nodiscard]] bool usable(std::size_t index, const ReadPlan &plan, TimePoint now) const noexcept;
     [[nodiscard]] TimePoint expectedAt(const Member &member, const Mark &wanted, TimePoint now) const noexcept;
     [[nodiscard]] Microseconds costOf(const Member &member) const noexcept;
-    void learnMark(Member &member, const Mark &mark, TimePoint now);
-    void learnPrimaryMark(const Mark &mark, TimePoint now);
+    void recordPosition(Member &member, const Mark &position, TimePoint now);
+    void recordPrimaryPosition(const Mark &position, TimePoint now);
 
     ReadRouterLimits limits_;
     FreshnessHistory history_;
@@ -230,8 +230,8 @@
     /// Index of the primary; maxMembers when it is not known.
     std::size_t primary_ = maxMembers;
     /// When the primary was first seen at each mark.
-    impl::TimedMarks primaryMarks_;
-    Mark highestSeen_;
+    impl::TimedPositions primaryPositions_;
+    Mark highestReported_;
 };
 
 } // namespace cardamomstep
--- a/src/sessions/token.cpp
+++ b/src/sessions/token.cpp
@@ -46,11 +46,11 @@
         return invalid("malformed entry");
     }
     auto group = impl::percentDecoded(text.substr(0, equals));
-    const auto mark = parseMark(text.substr(equals + 1));
-    if (!group || !mark) {
+    const auto position = parseMark(text.substr(equals + 1));
+    if (!group || !position) {
         return invalid("malformed entry");
     }
-    return SessionToken::Entry{GroupName{std::move(*group)}, *mark};
+    return SessionToken::Entry{GroupName{std::move(*group)}, *position};
 }
 
 auto lowerBound(const std::vector<SessionToken::Entry> &entries, const GroupName &group)
@@ -111,7 +111,7 @@
         }
         text += impl::percentEncoded(entry.group.text());
         text += '=';
-        text += toText(entry.mark);
+        text += toText(entry.position);
     }
     const auto checksum = checksumOf(text);
     return text + "!" + checksum;
@@ -123,10 +123,10 @@
     if (place == entries_.end() || place->group != group) {
         return std::nullopt;
     }
-    return place->mark;
+    return place->position;
 }
 
-Result<Success> SessionToken::checkRoom(const GroupName &group) const
+Result<Success> SessionToken::checkCapacity(const GroupName &group) const
 {
     if (find(group)) {
         return Success{};
@@ -140,24 +140,24 @@
     return Success{};
 }
 
-Result<Success> SessionToken::merge(const GroupName &group, const Mark &mark)
+Result<Success> SessionToken::merge(const GroupName &group, const Mark &position)
 {
-    auto room = checkRoom(group);
+    auto room = checkCapacity(group);
     if (!room) {
         return room;
     }
     const auto place = entries_.begin() + (lowerBound(entries_, group) - entries_.cbegin());
     if (place == entries_.end() || place->group != group) {
-        entries_.insert(place, Entry{group, mark});
+        entries_.insert(place, Entry{group, position});
         return Success{};
     }
-    place->mark = std::max(place->mark, mark);
+    place->position = std::max(place->position, position);
     return Success{};
 }
 
-TokenStanding checkAgainst(const Mark &mark, const Mark &highestSeen, const std::optional<Mark> &confirmed) noexcept
+TokenStanding checkAgainst(const Mark &position, const Mark &highestReported, const std::optional<Mark> &confirmed) noexcept
 {
-    if (mark <= highestSeen || (confirmed && mark <= *confirmed)) {
+    if (position <= highestReported || (confirmed && position <= *confirmed)) {
         return TokenStanding::Reached;
     }
     return confirmed ? TokenStanding::Ahead : TokenStanding::Unproven;
--- a/tests/sessions/test_freshness.cpp
+++ b/tests/sessions/test_freshness.cpp
@@ -45,7 +45,7 @@
             const auto began = now - *rc::gen::inRange(0, 9'000);
             history.confirm(at(began), markOf(position));
             const auto asked = at(now - *rc::gen::inRange<std::int64_t>(0, 3'000'000));
-            const auto mark = history.markCovering(asked);
+            const auto mark = history.positionCovering(asked);
             for (const auto &[time, written] : acknowledged) {
                 RC_ASSERT(!mark || time >= asked || markOf(written) <= *mark);
             }
@@ -65,7 +65,7 @@
     }
     for (const std::int64_t age : {50'000, 1'000'000, 30'000'000, 600'000'000}) {
         const auto exact = static_cast<std::uint64_t>((hour - age) / step);
-        const auto mark = history.markCovering(at(hour - age));
+        const auto mark = history.positionCovering(at(hour - age));
         cr_assert(bool(mark));
         cr_assert(mark->position >= exact);
         const auto tooStrictBy = static_cast<double>(mark->position - exact) * step / static_cast<double>(age);
@@ -77,10 +77,10 @@
 Test(sessions, aTimeAfterTheLastRoundHasNoAnswer)
 {
     FreshnessHistory history;
-    cr_assert(!history.markCovering(at(0)));
+    cr_assert(!history.positionCovering(at(0)));
     history.confirm(at(100), markOf(5));
-    cr_assert(history.markCovering(at(100)) == markOf(5));
-    cr_assert(!history.markCovering(at(101)));
+    cr_assert(history.positionCovering(at(100)) == markOf(5));
+    cr_assert(!history.positionCovering(at(101)));
 }
 
 Test(sessions, aLaterRoundWithALowerMarkIsTheTighterProof)
@@ -88,7 +88,7 @@
     FreshnessHistory history;
     history.confirm(at(100), markOf(12));
     history.confirm(at(200), markOf(11));
-    cr_assert(history.markCovering(at(100)) == markOf(11));
+    cr_assert(history.positionCovering(at(100)) == markOf(11));
     history.confirm(at(150), markOf(20));
-    cr_assert(history.markCovering(at(200)) == markOf(11));
+    cr_assert(history.positionCovering(at(200)) == markOf(11));
 }
--- a/tests/sessions/test_readrouter.cpp
+++ b/tests/sessions/test_readrouter.cpp
@@ -42,9 +42,9 @@
     return report;
 }
 
-ReadNeed needAt(std::int64_t arrived, std::optional<Milliseconds> age = std::nullopt, std::optional<Mark> token = std::nullopt)
+ReadRequirements needAt(std::int64_t arrived, std::optional<Milliseconds> age = std::nullopt, std::optional<Mark> token = std::nullopt)
 {
-    return ReadNeed{token, age, at(arrived), at(arrived + 300'000)};
+    return ReadRequirements{token, age, at(arrived), at(arrived + 300'000)};
 }
 
 ReadRouter routerWithMembers()
@@ -66,8 +66,8 @@
 
 std::size_t askedMember(const ReadStep &step)
 {
-    cr_assert(is<AskMember>(step));
-    return static_cast<std::size_t>(std::get<AskMember>(step).member.text().back() - '0');
+    cr_assert(is<ReadFromMember>(step));
+    return static_cast<std::size_t>(std::get<ReadFromMember>(step).member.text().back() - '0');
 }
 
 ErrorKind givenUp(const ReadStep &step)
@@ -177,8 +177,8 @@
         router.confirm(at(round * 1000), markOf(100));
         ReadPlan plan{needAt(round * 1000)};
         const auto step = router.route(plan, at(round * 1000 + 100));
-        cr_assert(is<AskMember>(step));
-        cr_assert(std::get<AskMember>(step).member == fresh, "a member that is no longer listed gets no reads, whatever it reports");
+        cr_assert(is<ReadFromMember>(step));
+        cr_assert(std::get<ReadFromMember>(step).member == fresh, "a member that is no longer listed gets no reads, whatever it reports");
     }
 }
 
@@ -223,7 +223,7 @@
     auto step = router.route(plan, at(now));
     while (!is<GiveUpRead>(step)) {
         now += 7'000;
-        if (const auto *ask = std::get_if<AskMember>(&step)) {
+        if (const auto *ask = std::get_if<ReadFromMember>(&step)) {
             cr_assert(ask->member == nameOf(2));
             cr_assert(!router.verify(plan, nameOf(2), markOf(8), at(now)));
         }
@@ -246,14 +246,14 @@
     }
     const std::int64_t now = 5'100'000;
     router.report(reportOf(0, 51), at(now));
-    const auto soon = router.coverageExpected(markOf(51), at(now));
+    const auto soon = router.replicationExpected(markOf(51), at(now));
     cr_assert(soon && *soon > at(now) && *soon < at(now + 20'000), "the near replica takes 5 ms");
-    cr_assert(router.coverageExpected(markOf(50), at(now)) == at(now), "a majority has it already");
+    cr_assert(router.replicationExpected(markOf(50), at(now)) == at(now), "a majority has it already");
     router.setSuspect(nameOf(1), true);
-    const auto late = router.coverageExpected(markOf(51), at(now));
+    const auto late = router.replicationExpected(markOf(51), at(now));
     cr_assert(late && *late > at(now + 80'000), "the other one is 100 ms behind");
     router.setSuspect(nameOf(2), true);
-    cr_assert(!router.coverageExpected(markOf(51), at(now)));
+    cr_assert(!router.replicationExpected(markOf(51), at(now)));
 }
 
 // A plan ends in a bounded number of steps and its required mark never moves, whatever is reported meanwhile.
@@ -272,7 +272,7 @@
             if (is<GiveUpRead>(step)) {
                 break;
             }
-            if (const auto *ask = std::get_if<AskMember>(&step)) {
+            if (const auto *ask = std::get_if<ReadFromMember>(&step)) {
                 now += 7'000;
                 const auto position = *rc::gen::inRange<std::uint64_t>(0, 12);
                 if (*rc::gen::inRange(0, 3) == 0) {
@@ -357,7 +357,7 @@
     static constexpr std::int64_t idleFor = 20'000;
 
     struct Running {
-        explicit Running(std::size_t readIndex, const ReadNeed &need)
+        explicit Running(std::size_t readIndex, const ReadRequirements &need)
             : index(readIndex)
             , plan(need)
         {
--- a/tests/sessions/test_token.cpp
+++ b/tests/sessions/test_token.cpp
@@ -83,7 +83,7 @@
     }
     cr_assert(token.format().size() <= SessionToken::maxBytes);
     cr_assert(bool(SessionToken::parse(token.format())));
-    const auto refused = token.checkRoom(GroupName{"one more"});
+    const auto refused = token.checkCapacity(GroupName{"one more"});
     cr_assert(!refused && refused.error().kind == ErrorKind::TooLarge);
     cr_assert(refused.error().ran == Ran::No);
     cr_assert(token.entries().size() == SessionToken::maxGroups);
