--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -116,7 +116,7 @@
 {
     RetryBudget budget;
     measure("carry a write through its attempt", [&](std::int64_t round) {
-        WriteNeed need;
+        WriteRequirements need;
         need.fingerprint = 5;
         need.deadline = at(round + 300'000);
         WriteAttempt attempt{need, budget};
@@ -124,7 +124,7 @@
         MemberReply reply;
         reply.mark = markOf(round);
         (void)attempt.replied(reply, at(round + 5'000));
-        return attempt.covered(reply.mark).index();
+        return attempt.replicated(reply.mark).index();
     });
 }
 
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -419,7 +419,7 @@
     }
 }
 
-LeaderView GroupCore::leader() const
+LeaderInfo GroupCore::leader() const
 {
     const auto view = monitor.primary();
     if (!view) {
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -103,7 +103,7 @@
     [[nodiscard]] std::optional<RoundResult> confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
     /// The primary as writes see it; term 0 when there is none.
-    [[nodiscard]] LeaderView leader() const;
+    [[nodiscard]] LeaderInfo leader() const;
 
     [[nodiscard]] Member *find(const MemberName &name);
 
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -103,7 +103,7 @@
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
-        const bool inheritedForGood = leader.startCovered && leader.term == reply.report.adopted && reply.mark.term < leader.term;
+        const bool inheritedForGood = leader.startReplicated && leader.term == reply.report.adopted && reply.mark.term < leader.term;
         if (inheritedForGood || core_.acks.coverage(reply.mark) == Coverage::Covered) {
             break;
         }
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -61,19 +61,19 @@
         }
         if (const auto *sending = std::get_if<SendWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
-        } else if (const auto *ask = std::get_if<AskOutcome>(&step)) {
+        } else if (const auto *ask = std::get_if<QueryOutcome>(&step)) {
             step = performAsk(attempt, *ask);
-        } else if (const auto *coverage = std::get_if<WaitCoverage>(&step)) {
-            step = performCoverage(attempt, coverage->mark);
+        } else if (const auto *coverage = std::get_if<WaitQuorum>(&step)) {
+            step = performCoverage(attempt, coverage->position);
         } else {
             step = performWaitPrimary(attempt);
         }
     }
 }
 
-WriteNeed WriteFlow::need(bool isCommit) const
+WriteRequirements WriteFlow::need(bool isCommit) const
 {
-    WriteNeed need;
+    WriteRequirements need;
     need.fingerprint = fingerprintOf(statement_);
     need.idempotent = statement_.idempotent;
     need.commit = isCommit;
@@ -129,7 +129,7 @@
     return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
-WriteStep WriteFlow::performAsk(WriteAttempt &attempt, const AskOutcome &ask)
+WriteStep WriteFlow::performAsk(WriteAttempt &attempt, const QueryOutcome &ask)
 {
     if (steadyNow() < ask.notBefore) {
         Waiter waiter;
@@ -138,13 +138,13 @@
     }
     // The news may be only that the start of the same term is covered: then the question is asked now, not put off again.
     auto current = attempt.primaryChanged(core_.leader(), steadyNow());
-    const auto *stillAsked = std::get_if<AskOutcome>(&current);
+    const auto *stillAsked = std::get_if<QueryOutcome>(&current);
     if (stillAsked == nullptr || stillAsked->term != ask.term) {
         return current;
     }
     const auto view = core_.monitor.primary();
     if (!view || view->term != ask.term) {
-        return attempt.outcomeFailed(steadyNow());
+        return attempt.onOutcomeFailed(steadyNow());
     }
     const auto *member = core_.find(view->member);
     HttpControlLink link(member->address, core_.options.identity);
@@ -155,10 +155,10 @@
     lock_.lock();
     const auto *reply = std::get_if<OutcomeReply>(&result);
     if (reply == nullptr) {
-        return attempt.outcomeFailed(steadyNow());
+        return attempt.onOutcomeFailed(steadyNow());
     }
     core_.onState(view->member, reply->report.log, reply->report.adopted, sentAt);
-    return attempt.outcome(*reply, steadyNow());
+    return attempt.onOutcome(*reply, steadyNow());
 }
 
 WriteStep WriteFlow::performCoverage(WriteAttempt &attempt, const Mark &mark)
@@ -170,12 +170,12 @@
         const auto now = steadyNow();
         const auto coverage = core_.acks.coverage(mark);
         if (coverage == Coverage::Covered) {
-            return attempt.covered(mark);
+            return attempt.replicated(mark);
         }
         const auto leader = core_.leader();
         if (coverage == Coverage::Superseded || leader.term > mark.term) {
             auto step = attempt.primaryChanged(leader, now);
-            if (!std::holds_alternative<WaitCoverage>(step)) {
+            if (!std::holds_alternative<WaitQuorum>(step)) {
                 return step;
             }
         }
@@ -212,11 +212,11 @@
     answer.error = result.error;
     answer.rows = result.rows;
     answer.rowCount = result.rowCount;
-    answer.mark = result.mark;
+    answer.mark = result.position;
     answer.servedBy = servedBy_;
     answer.session = statement_.session;
     if (!result.error) {
-        answer.session = sessionAfter(session_, core_.options.group, result.mark);
+        answer.session = sessionAfter(session_, core_.options.group, result.position);
     }
     return answer;
 }
--- a/src/owner/impl/writeflow.h
+++ b/src/owner/impl/writeflow.h
@@ -25,10 +25,10 @@
     using Sender = std::function<LinkResult<MemberReply>(const Term &)>;
 
     [[nodiscard]] Answer drive(bool isCommit, const Sender &send);
-    [[nodiscard]] WriteNeed need(bool isCommit) const;
+    [[nodiscard]] WriteRequirements need(bool isCommit) const;
     [[nodiscard]] LinkResult<MemberReply> sendOnce(const Term &term);
     [[nodiscard]] WriteStep performSend(WriteAttempt &attempt, const Term &term, const Sender &send);
-    [[nodiscard]] WriteStep performAsk(WriteAttempt &attempt, const AskOutcome &ask);
+    [[nodiscard]] WriteStep performAsk(WriteAttempt &attempt, const QueryOutcome &ask);
     [[nodiscard]] WriteStep performCoverage(WriteAttempt &attempt, const Mark &mark);
     [[nodiscard]] WriteStep performWaitPrimary(WriteAttempt &attempt);
     [[nodiscard]] Answer toAnswer(const AnswerWrite &result) const;
--- a/src/owner/transactions.cpp
+++ b/src/owner/transactions.cpp
@@ -68,7 +68,7 @@
 std::optional<Transactions::Use> Transactions::yieldIdle(const GroupName &group)
 {
     const std::lock_guard lock(mutex_);
-    const auto yielded = registry_.yieldIdle(group, steadyNow());
+    const auto yielded = registry_.evictIdle(group, steadyNow());
     return yielded ? unpin(*yielded) : std::nullopt;
 }
 
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -18,7 +18,7 @@
     : limits_(limits)
 {
     for (auto &lane : lanes_) {
-        lane.serviceTime = SmoothedTime{limits.firstServiceTime};
+        lane.serviceTime = SmoothedTime{limits.initialServiceTime};
     }
     setShares({});
 }
@@ -43,7 +43,7 @@
     }
     shares_.push_back(ServiceShare{ServiceName{}, std::max(rest, 0.0)});
     for (auto &lane : lanes_) {
-        lane.credits.assign(shares_.size(), static_cast<double>(limits_.shareMemory.count()));
+        lane.credits.assign(shares_.size(), static_cast<double>(limits_.maxShareCredit.count()));
         for (auto &waiting : lane.waiting) {
             waiting.share = shareOf(before[waiting.share].service);
         }
@@ -60,7 +60,7 @@
     settleCredits(lane, now);
     expire(lane, now, actions);
     const Waiting candidate{request.ticket, shareOf(request.service), request.deadline};
-    if (!fits(lane, candidate, now) || !makeRoom(lane, candidate, now, actions)) {
+    if (!fits(lane, candidate, now) || !evictFor(lane, candidate, now, actions)) {
         actions.emplace_back(refuse(lane, request.ticket, now));
         return actions;
     }
@@ -169,7 +169,7 @@
 {
     const auto passed = static_cast<double>((now - lane.settledAt).count()) * lane.slots;
     lane.settledAt = now;
-    const auto most = static_cast<double>(limits_.shareMemory.count());
+    const auto most = static_cast<double>(limits_.maxShareCredit.count());
     for (std::size_t index = 0; index < shares_.size(); ++index) {
         lane.credits[index] = std::min(most, lane.credits[index] + passed * shares_[index].guaranteed);
     }
@@ -177,7 +177,7 @@
 
 void AdmissionQueue::charge(LaneState &lane, std::size_t share, Microseconds used) const
 {
-    const auto most = static_cast<double>(limits_.shareMemory.count());
+    const auto most = static_cast<double>(limits_.maxShareCredit.count());
     lane.credits[share] = std::max(-most, lane.credits[share] - static_cast<double>(used.count()));
 }
 
@@ -230,7 +230,7 @@
     return static_cast<std::size_t>(count);
 }
 
-bool AdmissionQueue::makeRoom(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const
+bool AdmissionQueue::evictFor(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const
 {
     if (lane.waiting.size() < limits_.maxWaiting) {
         return true;
--- a/src/requests/admission.h
+++ b/src/requests/admission.h
@@ -65,12 +65,12 @@
     /// Requests that may wait in one lane.
     std::uint32_t maxWaiting = 64;
     /// Estimate of one request's time in a slot before any was measured.
-    Microseconds firstServiceTime{5'000};
+    Microseconds initialServiceTime{5'000};
     /// Shortest and longest time to come back that a refusal names.
     Milliseconds minRetryAfter{10};
     Milliseconds maxRetryAfter{5'000};
     /// How much slot time a service may save up, or overdraw, against its share.
-    Microseconds shareMemory{200'000};
+    Microseconds maxShareCredit{200'000};
 };
 
 /// Slots and the short queue in front of them, for one database group.
@@ -145,7 +145,7 @@
     void charge(LaneState &lane, std::size_t share, Microseconds used) const;
     void expire(LaneState &lane, TimePoint now, Actions &actions) const;
     void dispatch(LaneState &lane, TimePoint now, Actions &actions) const;
-    [[nodiscard]] bool makeRoom(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const;
+    [[nodiscard]] bool evictFor(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const;
     [[nodiscard]] std::size_t preferredWaiting(const LaneState &lane) const noexcept;
     [[nodiscard]] std::size_t nextInLine(const LaneState &lane) const noexcept;
     [[nodiscard]] bool fits(const LaneState &lane, const Waiting &candidate, TimePoint now) const;
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -14,11 +14,11 @@
 
 } // namespace
 
-WriteStep WriteAttempt::start(const LeaderView &view, TimePoint now)
+WriteStep WriteAttempt::start(const LeaderInfo &leader, TimePoint now)
 {
-    view_ = view;
-    if (need_.goal == WriteGoal::Ask) {
-        mayHaveRun(need_.sentTerm.value_or(anyTerm));
+    leader_ = leader;
+    if (requirements_.goal == WriteGoal::QueryOutcome) {
+        recordMaybeRan(requirements_.sentTerm.value_or(anyTerm));
         return resolve(now, now);
     }
     return sendOrWait(now);
@@ -30,13 +30,13 @@
         return step_;
     }
     if (failure.notSent) {
-        if (failure.fault == LinkFault::Refused && !need_.commit) {
+        if (failure.fault == LinkFault::Refused && !requirements_.commit) {
             return waitForNext(sentTerm_, ErrorKind::EndpointUnreachable, now);
         }
         return sendAgain(Error{ErrorKind::EndpointUnreachable, failure.description}, now);
     }
-    mayHaveRun(sentTerm_);
-    const bool again = need_.idempotent && !need_.commit && timeFor(need_.exchange, now);
+    recordMaybeRan(sentTerm_);
+    const bool again = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
     if (again && budget_->take()) {
         return sendOrWait(now);
     }
@@ -49,74 +49,74 @@
         return step_;
     }
     if (reply.refusal) {
-        return refusedBy(reply, now);
+        return onRefused(reply, now);
     }
     if (reply.mark.term > sentTerm_) {
-        mayHaveRun(sentTerm_);
+        recordMaybeRan(sentTerm_);
         return resolve(now, now);
     }
-    result_.mark = reply.mark;
+    result_.position = reply.mark;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return hold(reply.mark, sentTerm_, now);
+    return awaitQuorum(reply.mark, sentTerm_, now);
 }
 
-WriteStep WriteAttempt::covered(const Mark &mark)
+WriteStep WriteAttempt::replicated(const Mark &position)
 {
-    const auto *waiting = std::get_if<WaitCoverage>(&step_);
-    if (waiting == nullptr || waiting->mark != mark) {
+    const auto *waiting = std::get_if<WaitQuorum>(&step_);
+    if (waiting == nullptr || waiting->position != position) {
         return step_;
     }
     budget_->succeeded();
     result_.ran = Ran::Yes;
-    return keep(result_);
+    return setStep(result_);
 }
 
-WriteStep WriteAttempt::coverageExpected(TimePoint expected, TimePoint now)
+WriteStep WriteAttempt::replicationExpected(TimePoint expected, TimePoint now)
 {
-    if (!std::holds_alternative<WaitCoverage>(step_) || std::max(expected, now) < answerBy()) {
+    if (!std::holds_alternative<WaitQuorum>(step_) || std::max(expected, now) < answerBy()) {
         return step_;
     }
     return giveUp();
 }
 
-WriteStep WriteAttempt::primaryChanged(const LeaderView &view, TimePoint now)
+WriteStep WriteAttempt::primaryChanged(const LeaderInfo &leader, TimePoint now)
 {
-    const bool older = view.term.number != 0 && view.term < std::max(view_.term, passed_);
+    const bool older = leader.term.number != 0 && leader.term < std::max(leader_.term, refusedUpTo_);
     if (answered() || older) {
         return step_;
     }
-    view_ = view;
-    if (view.term.number == 0) {
+    leader_ = leader;
+    if (leader.term.number == 0) {
         return step_;
     }
     if (const auto *waiting = std::get_if<WaitPrimary>(&step_)) {
-        if (view.term <= waiting->above) {
+        if (leader.term <= waiting->above) {
             return step_;
         }
-        return maybeRan_ ? resolve(now, now) : sendOrWait(now);
+        return maybeRanTerm_ ? resolve(now, now) : sendOrWait(now);
     }
-    const auto *asking = std::get_if<AskOutcome>(&step_);
-    const auto *waiting = std::get_if<WaitCoverage>(&step_);
-    const bool askAnew = asking != nullptr && (view.term > asking->term || view.startCovered);
-    const bool mayBeLost = waiting != nullptr && view.term > waiting->mark.term;
+    const auto *asking = std::get_if<QueryOutcome>(&step_);
+    const auto *waiting = std::get_if<WaitQuorum>(&step_);
+    const bool askAnew = asking != nullptr && (leader.term > asking->term || leader.startReplicated);
+    const bool mayBeLost = waiting != nullptr && leader.term > waiting->position.term;
     return askAnew || mayBeLost ? resolve(now, now) : step_;
 }
 
-WriteStep WriteAttempt::outcome(const OutcomeReply &reply, TimePoint now)
+WriteStep WriteAttempt::onOutcome(const OutcomeReply &reply, TimePoint now)
 {
-    if (!std::holds_alternative<AskOutcome>(step_)) {
+    if (!std::holds_alternative<QueryOutcome>(step_)) {
         return step_;
     }
-    return reply.found ? foundOutcome(reply, now) : absentOutcome(reply, now);
+    return reply.found ? onOutcomeFound(reply, now) : onOutcomeAbsent(reply, now);
 }
 
-WriteStep WriteAttempt::outcomeFailed(TimePoint now)
+WriteStep WriteAttempt::onOutcomeFailed(TimePoint now)
 {
-    if (!std::holds_alternative<AskOutcome>(step_)) {
+    if (!std::holds_alternative<QueryOutcome>(step_)) {
         return step_;
     }
-    return resolve(now + need_.askPause, now);
+    return resolve(now + requirements_.outcomeQueryInterval, now);
 }
 
 WriteStep WriteAttempt::wake(TimePoint now)
@@ -134,7 +134,7 @@
         return std::nullopt;
     }
     if (std::holds_alternative<WaitPrimary>(step_)) {
-        return answerBy() - need_.exchange;
+        return answerBy() - requirements_.exchangeTime;
     }
     return answerBy();
 }
@@ -144,14 +144,14 @@
     return std::holds_alternative<AnswerWrite>(step_);
 }
 
-bool WriteAttempt::timeFor(Microseconds span, TimePoint now) const noexcept
+bool WriteAttempt::hasTimeFor(Microseconds span, TimePoint now) const noexcept
 {
     return now + span < answerBy();
 }
 
 TimePoint WriteAttempt::answerBy() const noexcept
 {
-    return need_.deadline - need_.answerMargin;
+    return requirements_.deadline - requirements_.answerMargin;
 }
 
 bool WriteAttempt::inFlight() const noexcept
@@ -159,7 +159,7 @@
     return std::holds_alternative<SendWrite>(step_);
 }
 
-WriteStep WriteAttempt::keep(WriteStep step)
+WriteStep WriteAttempt::setStep(WriteStep step)
 {
     step_ = std::move(step);
     return step_;
@@ -167,30 +167,30 @@
 
 WriteStep WriteAttempt::sendOrWait(TimePoint now)
 {
-    if (!timeFor(need_.exchange, now)) {
-        waitingFor_ = sends_ == 0 ? ErrorKind::WindowTooShort : waitingFor_;
-        step_ = WaitPrimary{passed_};
+    if (!hasTimeFor(requirements_.exchangeTime, now)) {
+        errorIfNotRun_ = sends_ == 0 ? ErrorKind::WindowTooShort : errorIfNotRun_;
+        step_ = WaitPrimary{refusedUpTo_};
         return giveUp();
     }
-    if (view_.term.number == 0 || view_.term <= passed_) {
-        return keep(WaitPrimary{passed_});
+    if (leader_.term.number == 0 || leader_.term <= refusedUpTo_) {
+        return setStep(WaitPrimary{refusedUpTo_});
     }
-    sentTerm_ = view_.term;
+    sentTerm_ = leader_.term;
     ++sends_;
-    return keep(SendWrite{sentTerm_});
+    return setStep(SendWrite{sentTerm_});
 }
 
 WriteStep WriteAttempt::sendAgain(Error otherwise, TimePoint now)
 {
-    if (maybeRan_) {
+    if (maybeRanTerm_) {
         return resolve(now, now);
     }
-    if (need_.commit) {
+    if (requirements_.commit) {
         return fail(Error{ErrorKind::TransactionAborted, "the transaction's connection was lost before the commit was sent"});
     }
     // Each primary is tried once for free; only trying the same one again can multiply load.
-    const bool samePrimary = view_.term == sentTerm_;
-    if (!timeFor(need_.exchange, now) || (samePrimary && !budget_->take())) {
+    const bool samePrimary = leader_.term == sentTerm_;
+    if (!hasTimeFor(requirements_.exchangeTime, now) || (samePrimary && !budget_->take())) {
         return fail(std::move(otherwise));
     }
     return sendOrWait(now);
@@ -198,9 +198,9 @@
 
 WriteStep WriteAttempt::waitForNext(const Term &above, ErrorKind kind, TimePoint now)
 {
-    passed_ = std::max(passed_, above);
-    waitingFor_ = kind;
-    if (maybeRan_) {
+    refusedUpTo_ = std::max(refusedUpTo_, above);
+    errorIfNotRun_ = kind;
+    if (maybeRanTerm_) {
         return resolve(now, now);
     }
     return sendOrWait(now);
@@ -208,26 +208,26 @@
 
 WriteStep WriteAttempt::resolve(TimePoint notBefore, TimePoint now)
 {
-    if (!timeFor(need_.exchange + (notBefore - now), now)) {
+    if (!hasTimeFor(requirements_.exchangeTime + (notBefore - now), now)) {
         step_ = WaitPrimary{};
         return giveUp();
     }
-    if (view_.term.number == 0) {
-        return keep(WaitPrimary{});
+    if (leader_.term.number == 0) {
+        return setStep(WaitPrimary{});
     }
-    return keep(AskOutcome{view_.term, notBefore});
+    return setStep(QueryOutcome{leader_.term, notBefore});
 }
 
-WriteStep WriteAttempt::hold(const Mark &entry, const Term &leader, TimePoint now)
+WriteStep WriteAttempt::awaitQuorum(const Mark &entry, const Term &leader, TimePoint now)
 {
-    mayHaveRun(leader);
-    step_ = WaitCoverage{std::max(entry, Mark{leader, 0})};
-    return timeFor(Microseconds{0}, now) ? step_ : giveUp();
+    recordMaybeRan(leader);
+    step_ = WaitQuorum{std::max(entry, Mark{leader, 0})};
+    return hasTimeFor(Microseconds{0}, now) ? step_ : giveUp();
 }
 
-WriteStep WriteAttempt::refusedBy(const MemberReply &reply, TimePoint now)
+WriteStep WriteAttempt::onRefused(const MemberReply &reply, TimePoint now)
 {
-    if (maybeRan_) {
+    if (maybeRanTerm_) {
         return resolve(now, now);
     }
     switch (*reply.refusal) {
@@ -242,85 +242,85 @@
     case Refusal::Leaving:
         break;
     }
-    if (need_.commit) {
+    if (requirements_.commit) {
         return fail(Error{ErrorKind::TransactionAborted, "the primary was superseded before the commit ran"});
     }
     return waitForNext(sentTerm_, ErrorKind::Superseded, now);
 }
 
-WriteStep WriteAttempt::foundOutcome(const OutcomeReply &reply, TimePoint now)
+WriteStep WriteAttempt::onOutcomeFound(const OutcomeReply &reply, TimePoint now)
 {
     const bool leads = reply.report.role == MemberRole::Primary && reply.report.log.term == reply.report.adopted;
     if (!leads || reply.mark.term > reply.report.adopted) {
-        return resolve(now + need_.askPause, now);
+        return resolve(now + requirements_.outcomeQueryInterval, now);
     }
-    if (need_.fingerprint && reply.fingerprint != *need_.fingerprint) {
-        const bool ours = reply.report.adopted == *maybeRan_ || provesAbsence(reply);
+    if (requirements_.fingerprint && reply.fingerprint != *requirements_.fingerprint) {
+        const bool ours = reply.report.adopted == *maybeRanTerm_ || provesAbsence(reply);
         return fail(
             Error{ErrorKind::RequestIdReused, "the request id stands in the log with another body"}.withRan(ours ? Ran::No : Ran::Unknown));
     }
-    result_.mark = reply.mark;
+    result_.position = reply.mark;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return hold(reply.mark, reply.report.adopted, now);
+    return awaitQuorum(reply.mark, reply.report.adopted, now);
 }
 
-WriteStep WriteAttempt::absentOutcome(const OutcomeReply &reply, TimePoint now)
+WriteStep WriteAttempt::onOutcomeAbsent(const OutcomeReply &reply, TimePoint now)
 {
     if (!provesAbsence(reply)) {
-        if (need_.goal == WriteGoal::Ask) {
+        if (requirements_.goal == WriteGoal::QueryOutcome) {
             return failUnknown("the request is not in the primary's log and may still arrive there");
         }
-        const bool again = need_.idempotent && !need_.commit && timeFor(need_.exchange, now);
-        return again && budget_->take() ? sendOrWait(now) : resolve(now + need_.askPause, now);
+        const bool again = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
+        return again && budget_->take() ? sendOrWait(now) : resolve(now + requirements_.outcomeQueryInterval, now);
     }
-    maybeRan_.reset();
-    if (need_.goal == WriteGoal::Ask) {
+    maybeRanTerm_.reset();
+    if (requirements_.goal == WriteGoal::QueryOutcome) {
         result_ = AnswerWrite{};
         result_.ran = Ran::No;
-        return keep(result_);
+        return setStep(result_);
     }
-    if (need_.commit) {
+    if (requirements_.commit) {
         return fail(Error{ErrorKind::TransactionAborted, "the commit did not run before its primary was superseded"});
     }
-    waitingFor_ = ErrorKind::Superseded;
+    errorIfNotRun_ = ErrorKind::Superseded;
     return sendOrWait(now);
 }
 
 bool WriteAttempt::provesAbsence(const OutcomeReply &reply) const noexcept
 {
-    const bool covered = view_.startCovered && reply.report.log.term == view_.term;
-    return covered && maybeRan_ && view_.term > *maybeRan_;
+    const bool covered = leader_.startReplicated && reply.report.log.term == leader_.term;
+    return covered && maybeRanTerm_ && leader_.term > *maybeRanTerm_;
 }
 
 WriteStep WriteAttempt::fail(Error error)
 {
     if (answerRule(error.kind).retryable && !error.retryAfter) {
-        error.retryAfter = need_.retryAfter;
+        error.retryAfter = requirements_.retryAfter;
     }
     AnswerWrite answer;
     answer.ran = error.ran;
     answer.error = std::move(error);
     if (answer.ran == Ran::Unknown) {
-        answer.sentTerm = maybeRan_;
+        answer.sentTerm = maybeRanTerm_;
     }
-    return keep(std::move(answer));
+    return setStep(std::move(answer));
 }
 
 WriteStep WriteAttempt::failUnknown(std::string why)
 {
-    if (maybeRan_ == anyTerm) {
-        maybeRan_.reset();
+    if (maybeRanTerm_ == anyTerm) {
+        maybeRanTerm_.reset();
     }
     return fail(Error{ErrorKind::OutcomeUnknown, std::move(why)});
 }
 
-std::string WriteAttempt::waitingText() const
+std::string WriteAttempt::describeWait() const
 {
-    if (const auto *waiting = std::get_if<WaitCoverage>(&step_)) {
-        return "a majority was not seen to hold " + toText(waiting->mark);
+    if (const auto *waiting = std::get_if<WaitQuorum>(&step_)) {
+        return "a majority was not seen to hold " + toText(waiting->position);
     }
-    if (const auto *asking = std::get_if<AskOutcome>(&step_)) {
+    if (const auto *asking = std::get_if<QueryOutcome>(&step_)) {
         return "the primary of term " + toText(asking->term) + " did not tell it";
     }
     return inFlight() ? "the primary did not reply" : "there was no primary to ask";
@@ -329,17 +329,17 @@
 WriteStep WriteAttempt::giveUp()
 {
     if (inFlight()) {
-        mayHaveRun(sentTerm_);
+        recordMaybeRan(sentTerm_);
     }
-    if (maybeRan_) {
-        return failUnknown("the window ended before the outcome was known: " + waitingText());
+    if (maybeRanTerm_) {
+        return failUnknown("the window ended before the outcome was known: " + describeWait());
     }
-    return fail(Error{waitingFor_, "the window ended before the request could run"});
+    return fail(Error{errorIfNotRun_, "the window ended before the request could run"});
 }
 
-void WriteAttempt::mayHaveRun(const Term &term) noexcept
+void WriteAttempt::recordMaybeRan(const Term &term) noexcept
 {
-    maybeRan_ = std::max(maybeRan_.value_or(Term{}), term);
+    maybeRanTerm_ = std::max(maybeRanTerm_.value_or(Term{}), term);
 }
 
 } // namespace cardamomstep
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -17,13 +17,13 @@
 namespace cardamomstep {
 
 /// The group's primary, as the groups slice sees it.
-struct LeaderView {
+struct LeaderInfo {
     /// Term of the primary; number 0 when there is none.
     Term term;
     /// True once a majority of members has the start entry of this term in its log.
-    bool startCovered = false;
+    bool startReplicated = false;
 
-    [[nodiscard]] bool operator==(const LeaderView &) const = default;
+    [[nodiscard]] bool operator==(const LeaderInfo &) const = default;
 };
 
 /// Send the request to the primary of \a term.
@@ -34,18 +34,18 @@
 };
 
 /// Ask the primary of \a term for the outcome of the request id, no earlier than \a notBefore.
-struct AskOutcome {
+struct QueryOutcome {
     Term term;
     TimePoint notBefore;
 
-    [[nodiscard]] bool operator==(const AskOutcome &) const = default;
+    [[nodiscard]] bool operator==(const QueryOutcome &) const = default;
 };
 
 /// Wait until a majority of members has adopted no higher term than \a mark's and has logs at or beyond \a mark.
-struct WaitCoverage {
-    Mark mark;
+struct WaitQuorum {
+    Mark position;
 
-    [[nodiscard]] bool operator==(const WaitCoverage &) const = default;
+    [[nodiscard]] bool operator==(const WaitQuorum &) const = default;
 };
 
 /// Wait for a primary with a term above \a above, or for one of that term whose start entry is covered.
@@ -61,7 +61,7 @@
     /// Set unless the write is acknowledged.
     std::optional<Error> error;
     /// Entry that holds the effect, when it ran.
-    Mark mark;
+    Mark position;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Highest term at which the request was sent and may have run, for an unknown outcome.
@@ -71,16 +71,16 @@
 };
 
 /// The next step of a write.
-using WriteStep = std::variant<SendWrite, AskOutcome, WaitCoverage, WaitPrimary, AnswerWrite>;
+using WriteStep = std::variant<SendWrite, QueryOutcome, WaitQuorum, WaitPrimary, AnswerWrite>;
 
 /// What the caller wants of an attempt.
 enum class WriteGoal : std::uint8_t {
     Run, ///< Run the write.
-    Ask, ///< Only tell whether a request that was sent earlier ran.
+    QueryOutcome, ///< Only tell whether a request that was sent earlier ran.
 };
 
 /// What a write is and how long it may take.
-struct WriteNeed {
+struct WriteRequirements {
     WriteGoal goal = WriteGoal::Run;
     /// For WriteGoal::Ask: the highest term at which the request may have been sent; absent when that is not known.
     std::optional<Term> sentTerm;
@@ -92,11 +92,11 @@
     /// When the answer must have left.
     TimePoint deadline;
     /// Expected time of one exchange with a member.
-    Microseconds exchange{8'000};
+    Microseconds exchangeTime{8'000};
     /// Kept back from the window for the answer's own way.
     Microseconds answerMargin{2'000};
     /// Pause between two outcome questions.
-    Microseconds askPause{20'000};
+    Microseconds outcomeQueryInterval{20'000};
     /// When a caller should ask for an unknown outcome or come back after a refusal.
     Milliseconds retryAfter{200};
 };
@@ -114,14 +114,14 @@
 class WriteAttempt
 {
 public:
-    WriteAttempt(const WriteNeed &need, RetryBudget &budget) noexcept
-        : need_(need)
+    WriteAttempt(const WriteRequirements &requirements, RetryBudget &budget) noexcept
+        : requirements_(requirements)
         , budget_(&budget)
     {
     }
 
     /// Begins; \a view may have no primary yet.
-    [[nodiscard]] WriteStep start(const LeaderView &view, TimePoint now);
+    [[nodiscard]] WriteStep start(const LeaderInfo &leader, TimePoint now);
 
     /// The exchange that SendWrite asked for failed.
     ///
@@ -132,19 +132,19 @@
     [[nodiscard]] WriteStep replied(const MemberReply &reply, TimePoint now);
 
     /// \a mark, as WaitCoverage named it, is covered.
-    [[nodiscard]] WriteStep covered(const Mark &mark);
+    [[nodiscard]] WriteStep replicated(const Mark &position);
 
     /// Coverage is not expected before \a expected; answers at once when that is too late.
-    [[nodiscard]] WriteStep coverageExpected(TimePoint expected, TimePoint now);
+    [[nodiscard]] WriteStep replicationExpected(TimePoint expected, TimePoint now);
 
     /// The group's primary or its coverage changed.
-    [[nodiscard]] WriteStep primaryChanged(const LeaderView &view, TimePoint now);
+    [[nodiscard]] WriteStep primaryChanged(const LeaderInfo &leader, TimePoint now);
 
     /// A member replied to the outcome question.
-    [[nodiscard]] WriteStep outcome(const OutcomeReply &reply, TimePoint now);
+    [[nodiscard]] WriteStep onOutcome(const OutcomeReply &reply, TimePoint now);
 
     /// The outcome question failed.
-    [[nodiscard]] WriteStep outcomeFailed(TimePoint now);
+    [[nodiscard]] WriteStep onOutcomeFailed(TimePoint now);
 
     /// Gives up when it is time to; to be called at nextWake().
     [[nodiscard]] WriteStep wake(TimePoint now);
@@ -160,38 +160,38 @@
 
 private:
     [[nodiscard]] bool answered() const noexcept;
-    [[nodiscard]] bool timeFor(Microseconds span, TimePoint now) const noexcept;
+    [[nodiscard]] bool hasTimeFor(Microseconds span, TimePoint now) const noexcept;
     [[nodiscard]] TimePoint answerBy() const noexcept;
     [[nodiscard]] bool inFlight() const noexcept;
-    [[nodiscard]] WriteStep keep(WriteStep step);
+    [[nodiscard]] WriteStep setStep(WriteStep step);
     [[nodiscard]] WriteStep sendOrWait(TimePoint now);
-    [[nodiscard]] WriteStep sendAgain(Error otherwise, TimePoint now);
+    [[nodiscard]] WriteStep sendAgain(Error failure, TimePoint now);
     [[nodiscard]] WriteStep waitForNext(const Term &above, ErrorKind kind, TimePoint now);
     [[nodiscard]] WriteStep resolve(TimePoint notBefore, TimePoint now);
-    [[nodiscard]] WriteStep hold(const Mark &entry, const Term &leader, TimePoint now);
-    [[nodiscard]] WriteStep refusedBy(const MemberReply &reply, TimePoint now);
-    [[nodiscard]] WriteStep foundOutcome(const OutcomeReply &reply, TimePoint now);
-    [[nodiscard]] WriteStep absentOutcome(const OutcomeReply &reply, TimePoint now);
+    [[nodiscard]] WriteStep awaitQuorum(const Mark &entry, const Term &leader, TimePoint now);
+    [[nodiscard]] WriteStep onRefused(const MemberReply &reply, TimePoint now);
+    [[nodiscard]] WriteStep onOutcomeFound(const OutcomeReply &reply, TimePoint now);
+    [[nodiscard]] WriteStep onOutcomeAbsent(const OutcomeReply &reply, TimePoint now);
     [[nodiscard]] bool provesAbsence(const OutcomeReply &reply) const noexcept;
     [[nodiscard]] WriteStep fail(Error error);
     [[nodiscard]] WriteStep failUnknown(std::string why);
     /// What the attempt was waiting for, for people.
-    [[nodiscard]] std::string waitingText() const;
+    [[nodiscard]] std::string describeWait() const;
     [[nodiscard]] WriteStep giveUp();
-    void mayHaveRun(const Term &term) noexcept;
+    void recordMaybeRan(const Term &term) noexcept;
 
-    WriteNeed need_;
+    WriteRequirements requirements_;
     /// Never null.
     RetryBudget *budget_;
-    LeaderView view_;
+    LeaderInfo leader_;
     /// Term of the newest send.
     Term sentTerm_;
     /// Primaries up to this term refused the request or are gone; it is sent to a later one only.
-    Term passed_;
+    Term refusedUpTo_;
     /// What is answered when no later primary comes in time and nothing ran.
-    ErrorKind waitingFor_ = ErrorKind::NoPrimary;
+    ErrorKind errorIfNotRun_ = ErrorKind::NoPrimary;
     /// Highest term of a send that may have run; absent while none may have.
-    std::optional<Term> maybeRan_;
+    std::optional<Term> maybeRanTerm_;
     std::uint32_t sends_ = 0;
     /// What will be answered once it is covered.
     AnswerWrite result_;
--- a/src/requests/deadline.h
+++ b/src/requests/deadline.h
@@ -14,7 +14,7 @@
 {
 public:
     /// Shortest allowance, for scheduling at both ends.
-    static constexpr Microseconds least{500};
+    static constexpr Microseconds minAllowance{500};
 
     explicit HopMargin(Microseconds first = Microseconds{4'000}) noexcept
         : trip_(first)
@@ -31,7 +31,7 @@
     [[nodiscard]] Microseconds allowance() const noexcept
     {
         const auto margin = trip_.withMargin(2);
-        return margin < least ? least : margin;
+        return margin < minAllowance ? minAllowance : margin;
     }
 
 private:
--- a/src/requests/retrybudget.h
+++ b/src/requests/retrybudget.h
@@ -12,7 +12,7 @@
     /// Retries earned by one success.
     double perSuccess = 0.1;
     /// Most retries that can be saved up; also the balance at the start.
-    double most = 10;
+    double maxBalance = 10;
 };
 
 /// A token bucket that is filled by successes, so that retries cannot multiply the load of a failing group.
@@ -21,14 +21,14 @@
 public:
     explicit RetryBudget(const RetryBudgetLimits &limits = {}) noexcept
         : limits_(limits)
-        , balance_(limits.most)
+        , balance_(limits.maxBalance)
     {
     }
 
     /// Takes in a request that succeeded.
     void succeeded() noexcept
     {
-        balance_ = std::min(limits_.most, balance_ + limits_.perSuccess);
+        balance_ = std::min(limits_.maxBalance, balance_ + limits_.perSuccess);
     }
 
     /// Takes one retry; false when none is left.
--- a/src/requests/transactions.cpp
+++ b/src/requests/transactions.cpp
@@ -45,7 +45,7 @@
 
 Result<OpenTransaction> TransactionRegistry::open(OpenTransaction transaction, TimePoint now)
 {
-    if (!hasRoom()) {
+    if (!hasCapacity()) {
         return Error{ErrorKind::Overloaded, "too many open transactions"}.comingBackAfter(retryAfterFull);
     }
     if (byConnection_.count(transaction.connection) != 0) {
@@ -59,9 +59,9 @@
     return transaction;
 }
 
-bool TransactionRegistry::hasRoom() const noexcept
+bool TransactionRegistry::hasCapacity() const noexcept
 {
-    return open_.size() < limits_.most;
+    return open_.size() < limits_.maxOpen;
 }
 
 Result<OpenTransaction> TransactionRegistry::beginStatement(const TransactionId &id, TimePoint now)
@@ -129,11 +129,11 @@
     return expired;
 }
 
-std::optional<CloseTransaction> TransactionRegistry::yieldIdle(const GroupName &group, TimePoint now)
+std::optional<CloseTransaction> TransactionRegistry::evictIdle(const GroupName &group, TimePoint now)
 {
     const Entry *longest = nullptr;
     for (const auto &[id, entry] : open_) {
-        const bool idle = !entry.running && now - entry.lastUsed >= limits_.idleUnderDemand;
+        const bool idle = !entry.running && now - entry.lastUsed >= limits_.idleTimeoutUnderDemand;
         if (entry.transaction.group == group && idle && (longest == nullptr || entry.lastUsed < longest->lastUsed)) {
             longest = &entry;
         }
@@ -160,15 +160,15 @@
 
 TimePoint TransactionRegistry::expiryOf(const Entry &entry) const noexcept
 {
-    const TimePoint idleEnd = entry.lastUsed + limits_.idle;
-    const TimePoint totalEnd = entry.began + limits_.total;
+    const TimePoint idleEnd = entry.lastUsed + limits_.idleTimeout;
+    const TimePoint totalEnd = entry.began + limits_.maxDuration;
     return std::min(idleEnd, totalEnd);
 }
 
 void TransactionRegistry::remember(const TransactionId &id)
 {
     aborted_.push_back(id);
-    if (aborted_.size() > limits_.remembered) {
+    if (aborted_.size() > limits_.maxRemembered) {
         aborted_.pop_front();
     }
 }
--- a/src/requests/transactions.h
+++ b/src/requests/transactions.h
@@ -22,15 +22,15 @@
 /// Settings of a transaction registry.
 struct TransactionLimits {
     /// Transactions open at once.
-    std::size_t most = 1'000;
+    std::size_t maxOpen = 1'000;
     /// Longest pause between two statements.
-    Milliseconds idle{5'000};
+    Milliseconds idleTimeout{5'000};
     /// Longest pause while a request waits for a connection.
-    Milliseconds idleUnderDemand{1'000};
+    Milliseconds idleTimeoutUnderDemand{1'000};
     /// Longest time from begin to the end.
-    Milliseconds total{30'000};
+    Milliseconds maxDuration{30'000};
     /// Ended transactions that are remembered, to tell an abort from an unknown id.
-    std::size_t remembered = 1'000;
+    std::size_t maxRemembered = 1'000;
 };
 
 /// An open transaction, as the shell needs it.
@@ -71,7 +71,7 @@
     [[nodiscard]] Result<OpenTransaction> open(OpenTransaction transaction, TimePoint now);
 
     /// True when another transaction can be opened; to be asked before a begin is sent.
-    [[nodiscard]] bool hasRoom() const noexcept;
+    [[nodiscard]] bool hasCapacity() const noexcept;
 
     /// Begins a statement in the transaction.
     ///
@@ -92,7 +92,7 @@
     [[nodiscard]] std::vector<CloseTransaction> wake(TimePoint now);
 
     /// Aborts the transaction of \a group that has been idle the longest, if it is over the limit for times of demand.
-    [[nodiscard]] std::optional<CloseTransaction> yieldIdle(const GroupName &group, TimePoint now);
+    [[nodiscard]] std::optional<CloseTransaction> evictIdle(const GroupName &group, TimePoint now);
 
     /// When the first transaction reaches a limit.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
--- a/tests/requests/test_admission.cpp
+++ b/tests/requests/test_admission.cpp
@@ -119,7 +119,7 @@
 Test(requests, aServiceBelowItsPartGoesBeforeOneOnLentSlots)
 {
     AdmissionLimits limits;
-    limits.shareMemory = Microseconds{10'000};
+    limits.maxShareCredit = Microseconds{10'000};
     AdmissionQueue queue{limits};
     queue.setShares({{ServiceName{"small"}, 0.1}, {ServiceName{"large"}, 0.9}});
     (void)queue.request(requestOf(1, 900'000, "small"), at(0));
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -26,9 +26,9 @@
     return Term{number, 9};
 }
 
-WriteNeed needUntil(std::int64_t milliseconds, bool idempotent = false)
+WriteRequirements needUntil(std::int64_t milliseconds, bool idempotent = false)
 {
-    WriteNeed need;
+    WriteRequirements need;
     need.fingerprint = ourFingerprint;
     need.idempotent = idempotent;
     need.deadline = at(milliseconds);
@@ -75,12 +75,12 @@
 
 WriteStep covering(const Mark &mark)
 {
-    return WaitCoverage{mark};
+    return WaitQuorum{mark};
 }
 
 WriteStep asking(const Term &term, TimePoint notBefore)
 {
-    return AskOutcome{term, notBefore};
+    return QueryOutcome{term, notBefore};
 }
 
 template<typename Step>
@@ -98,9 +98,9 @@
     cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendWrite{termOf(3)}});
     const Mark entry{termOf(3), 12};
     cr_assert(attempt.replied(doneAt(entry), at(5)) == covering(entry));
-    cr_assert(is<WaitCoverage>(attempt.covered(Mark{termOf(3), 11})));
-    const auto answer = answerOf(attempt.covered(entry));
-    cr_assert(answer.ran == Ran::Yes && !answer.error && answer.mark == entry);
+    cr_assert(is<WaitQuorum>(attempt.replicated(Mark{termOf(3), 11})));
+    const auto answer = answerOf(attempt.replicated(entry));
+    cr_assert(answer.ran == Ran::Yes && !answer.error && answer.position == entry);
 }
 
 Test(requests, aRepeatedEntryOfAnOlderTermNeedsCoverageOfTheCurrentOne)
@@ -120,10 +120,10 @@
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(attempt.sendFailed(lost(), at(5)) == asking(termOf(3), at(5)));
     // Absent at the same primary proves nothing: the request may still arrive.
-    cr_assert(is<AskOutcome>(attempt.outcome(outcomeAt(termOf(3), std::nullopt), at(10))));
+    cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(3), std::nullopt), at(10))));
     const Mark entry{termOf(3), 12};
-    cr_assert(attempt.outcome(outcomeAt(termOf(3), entry), at(40)) == covering(entry));
-    cr_assert(answerOf(attempt.covered(entry)).ran == Ran::Yes);
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(3), entry), at(40)) == covering(entry));
+    cr_assert(answerOf(attempt.replicated(entry)).ran == Ran::Yes);
     cr_assert(attempt.sends() == 1);
 }
 
@@ -135,10 +135,10 @@
     (void)attempt.sendFailed(lost(), at(5));
     auto onReplica = outcomeAt(termOf(3), Mark{termOf(3), 12});
     onReplica.report.role = MemberRole::Replica;
-    cr_assert(is<AskOutcome>(attempt.outcome(onReplica, at(10))));
+    cr_assert(is<QueryOutcome>(attempt.onOutcome(onReplica, at(10))));
     auto superseded = outcomeAt(termOf(3), Mark{termOf(3), 12});
     superseded.report.adopted = termOf(4);
-    cr_assert(is<AskOutcome>(attempt.outcome(superseded, at(40))));
+    cr_assert(is<QueryOutcome>(attempt.onOutcome(superseded, at(40))));
 }
 
 Test(requests, absenceUnderACoveredHigherTermIsTheProofThatAllowsAResend)
@@ -147,10 +147,10 @@
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.sendFailed(lost(), at(5));
-    cr_assert(is<AskOutcome>(attempt.primaryChanged({termOf(4), false}, at(10))));
-    cr_assert(is<AskOutcome>(attempt.outcome(outcomeAt(termOf(4), std::nullopt), at(20))), "the start entry may still be lost");
-    cr_assert(is<AskOutcome>(attempt.primaryChanged({termOf(4), true}, at(30))));
-    cr_assert(attempt.outcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendWrite{termOf(4)}});
+    cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), false}, at(10))));
+    cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(20))), "the start entry may still be lost");
+    cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), true}, at(30))));
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendWrite{termOf(4)}});
     cr_assert(attempt.sends() == 2);
 }
 
@@ -162,9 +162,9 @@
     (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
     cr_assert(attempt.primaryChanged({termOf(4), true}, at(9)) == asking(termOf(4), at(9)));
     const Mark entry{termOf(3), 12};
-    cr_assert(attempt.outcome(outcomeAt(termOf(4), entry), at(20)) == covering(Mark{termOf(4), 0}));
-    const auto answer = answerOf(attempt.covered(Mark{termOf(4), 0}));
-    cr_assert(answer.ran == Ran::Yes && answer.mark == entry);
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), entry), at(20)) == covering(Mark{termOf(4), 0}));
+    const auto answer = answerOf(attempt.replicated(Mark{termOf(4), 0}));
+    cr_assert(answer.ran == Ran::Yes && answer.position == entry);
 }
 
 Test(requests, failuresBeforeTheFirstByteAreNotRun)
@@ -233,8 +233,8 @@
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
-    cr_assert(is<WaitCoverage>(attempt.coverageExpected(at(500), at(6))));
-    const auto answer = answerOf(attempt.coverageExpected(at(5000), at(6)));
+    cr_assert(is<WaitQuorum>(attempt.replicationExpected(at(500), at(6))));
+    const auto answer = answerOf(attempt.replicationExpected(at(5000), at(6)));
     cr_assert(answer.ran == Ran::Unknown && answer.error->kind == ErrorKind::OutcomeUnknown);
     cr_assert(answer.error->retryAfter && answer.sentTerm == termOf(3));
 }
@@ -259,7 +259,7 @@
     WriteAttempt second{needUntil(1000), budget};
     (void)second.start({termOf(3), true}, at(0));
     (void)second.sendFailed(lost(), at(5));
-    const auto found = answerOf(second.outcome(outcomeAt(termOf(3), Mark{termOf(3), 4}, ourFingerprint + 1), at(9)));
+    const auto found = answerOf(second.onOutcome(outcomeAt(termOf(3), Mark{termOf(3), 4}, ourFingerprint + 1), at(9)));
     cr_assert(found.ran == Ran::No && found.error->kind == ErrorKind::RequestIdReused);
 }
 
@@ -270,7 +270,7 @@
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(10))));
     cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(20))));
-    cr_assert(is<AskOutcome>(attempt.sendFailed(lost(), at(30))), "the budget is spent");
+    cr_assert(is<QueryOutcome>(attempt.sendFailed(lost(), at(30))), "the budget is spent");
     cr_assert(attempt.sends() == 3);
 }
 
@@ -286,9 +286,9 @@
 
     WriteAttempt sent{need, budget};
     (void)sent.start({termOf(3), true}, at(0));
-    cr_assert(is<AskOutcome>(sent.sendFailed(lost(), at(1))));
+    cr_assert(is<QueryOutcome>(sent.sendFailed(lost(), at(1))));
     (void)sent.primaryChanged({termOf(4), true}, at(5));
-    const auto gone = answerOf(sent.outcome(outcomeAt(termOf(4), std::nullopt), at(9)));
+    const auto gone = answerOf(sent.onOutcome(outcomeAt(termOf(4), std::nullopt), at(9)));
     cr_assert(gone.ran == Ran::No && gone.error->kind == ErrorKind::TransactionAborted);
     cr_assert(sent.sends() == 1);
 }
@@ -297,24 +297,24 @@
 {
     RetryBudget budget;
     auto need = needUntil(1000);
-    need.goal = WriteGoal::Ask;
+    need.goal = WriteGoal::QueryOutcome;
     need.fingerprint.reset();
 
     WriteAttempt unknown{need, budget};
-    cr_assert(is<AskOutcome>(unknown.start({termOf(4), true}, at(0))));
-    const auto open = answerOf(unknown.outcome(outcomeAt(termOf(4), std::nullopt), at(8)));
+    cr_assert(is<QueryOutcome>(unknown.start({termOf(4), true}, at(0))));
+    const auto open = answerOf(unknown.onOutcome(outcomeAt(termOf(4), std::nullopt), at(8)));
     cr_assert(open.ran == Ran::Unknown && !open.sentTerm);
 
     need.sentTerm = termOf(3);
     WriteAttempt proved{need, budget};
     (void)proved.start({termOf(4), true}, at(0));
-    const auto absent = answerOf(proved.outcome(outcomeAt(termOf(4), std::nullopt), at(8)));
+    const auto absent = answerOf(proved.onOutcome(outcomeAt(termOf(4), std::nullopt), at(8)));
     cr_assert(absent.ran == Ran::No && !absent.error);
 
     WriteAttempt ran{need, budget};
     (void)ran.start({termOf(4), true}, at(0));
-    (void)ran.outcome(outcomeAt(termOf(4), Mark{termOf(3), 8}), at(8));
-    cr_assert(answerOf(ran.covered(Mark{termOf(4), 0})).ran == Ran::Yes);
+    (void)ran.onOutcome(outcomeAt(termOf(4), Mark{termOf(3), 8}), at(8));
+    cr_assert(answerOf(ran.replicated(Mark{termOf(4), 0})).ran == Ran::Yes);
     cr_assert(ran.sends() == 0);
 }
 
@@ -384,10 +384,10 @@
         return found;
     }
 
-    [[nodiscard]] LeaderView view() const
+    [[nodiscard]] LeaderInfo view() const
     {
         const auto *leader = primary();
-        return leader == nullptr ? LeaderView{} : LeaderView{leader->adopted, covered(leader->adopted, Mark{leader->adopted, 0})};
+        return leader == nullptr ? LeaderInfo{} : LeaderInfo{leader->adopted, covered(leader->adopted, Mark{leader->adopted, 0})};
     }
 
     // Runs a send at the member that leads its term, even when that member was superseded and does not know it.
@@ -457,19 +457,19 @@
             const auto reply = fate == 0 ? std::nullopt : group.arrive(send->term);
             const bool replyLost = fate == 1;
             step = reply && !replyLost ? attempt.replied(*reply, now) : attempt.sendFailed(lost(), now);
-        } else if (const auto *waiting = std::get_if<WaitCoverage>(&step)) {
+        } else if (const auto *waiting = std::get_if<WaitQuorum>(&step)) {
             const auto *leader = group.primary();
-            if (leader != nullptr && leader->adopted == waiting->mark.term && group.covered(leader->adopted, waiting->mark)) {
-                step = attempt.covered(waiting->mark);
+            if (leader != nullptr && leader->adopted == waiting->position.term && group.covered(leader->adopted, waiting->position)) {
+                step = attempt.replicated(waiting->position);
             }
-        } else if (is<AskOutcome>(step)) {
+        } else if (is<QueryOutcome>(step)) {
             const auto *leader = group.primary();
             if (leader == nullptr) {
-                step = attempt.outcomeFailed(now);
+                step = attempt.onOutcomeFailed(now);
             } else {
                 auto reply = outcomeAt(leader->adopted, leader->ours());
                 reply.report.log = leader->last();
-                step = attempt.outcome(reply, now);
+                step = attempt.onOutcome(reply, now);
             }
         }
         step = is<AnswerWrite>(step) ? step : attempt.wake(now);
--- a/tests/requests/test_requests.cpp
+++ b/tests/requests/test_requests.cpp
@@ -130,8 +130,8 @@
 Test(requests, idleAndOldTransactionsAreClosedButNeverUnderAStatement)
 {
     TransactionLimits limits;
-    limits.idle = Milliseconds{100};
-    limits.total = Milliseconds{250};
+    limits.idleTimeout = Milliseconds{100};
+    limits.maxDuration = Milliseconds{250};
     TransactionRegistry registry{InstanceName{"p"}, 1, limits};
     const auto idle = registry.open(transactionOn(1), at(0));
     const auto busy = registry.open(transactionOn(2), at(0));
@@ -148,18 +148,18 @@
 Test(requests, anIdleTransactionYieldsItsConnectionOnDemandOnly)
 {
     TransactionLimits limits;
-    limits.idleUnderDemand = Milliseconds{100};
+    limits.idleTimeoutUnderDemand = Milliseconds{100};
     TransactionRegistry registry{InstanceName{"p"}, 1, limits};
     auto pinned = transactionOn(1);
     pinned.group = GroupName{"g"};
     const auto older = registry.open(pinned, at(0));
     pinned.connection = 2;
     const auto newer = registry.open(pinned, at(10));
-    cr_assert(!registry.yieldIdle(GroupName{"g"}, at(99)), "not idle for long enough");
-    cr_assert(!registry.yieldIdle(GroupName{"other"}, at(500)), "no transaction there");
-    cr_assert(registry.yieldIdle(GroupName{"g"}, at(500)) == (CloseTransaction{older->id, 1}), "the longest idle one first");
+    cr_assert(!registry.evictIdle(GroupName{"g"}, at(99)), "not idle for long enough");
+    cr_assert(!registry.evictIdle(GroupName{"other"}, at(500)), "no transaction there");
+    cr_assert(registry.evictIdle(GroupName{"g"}, at(500)) == (CloseTransaction{older->id, 1}), "the longest idle one first");
     cr_assert(bool(registry.beginStatement(newer->id, at(500))));
-    cr_assert(!registry.yieldIdle(GroupName{"g"}, at(900)), "a running statement is not cut");
+    cr_assert(!registry.evictIdle(GroupName{"g"}, at(900)), "a running statement is not cut");
     const auto later = registry.beginStatement(older->id, at(900));
     cr_assert(!later && later.error().kind == ErrorKind::TransactionAborted);
 }
@@ -167,12 +167,12 @@
 Test(requests, theNumberOfTransactionsIsBounded)
 {
     TransactionLimits limits;
-    limits.most = 2;
-    limits.remembered = 1;
+    limits.maxOpen = 2;
+    limits.maxRemembered = 1;
     TransactionRegistry registry{InstanceName{"p"}, 1, limits};
     const auto first = registry.open(transactionOn(1), at(0));
     (void)registry.open(transactionOn(2), at(0));
-    cr_assert(!registry.hasRoom());
+    cr_assert(!registry.hasCapacity());
     const auto third = registry.open(transactionOn(3), at(0));
     cr_assert(!third && third.error().kind == ErrorKind::Overloaded && third.error().retryAfter);
     (void)registry.connectionLost(1);
