--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -63,9 +63,9 @@
     return router;
 }
 
-ReadNeed agedRead(std::int64_t time)
+ReadRequirements agedRead(std::int64_t time)
 {
-    return ReadNeed{markOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
+    return ReadRequirements{markOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
 }
 
 AdmissionRequest replicaRead(std::int64_t round, std::int64_t window)
@@ -79,7 +79,7 @@
     measure("route and verify a read", [&](std::int64_t round) {
         ReadPlan plan{agedRead(100'000 + round % 1'000)};
         const auto step = router.route(plan, at(100'000 + round % 1'000));
-        const auto *ask = std::get_if<AskMember>(&step);
+        const auto *ask = std::get_if<ReadFromMember>(&step);
         return ask != nullptr && router.verify(plan, ask->member, markOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
     });
     AdmissionQueue queue;
@@ -95,7 +95,7 @@
         ++position;
         router.confirm(at(200'000 + round * 100), markOf(position));
         router.report(reportOf("ledger-1-b", position), at(200'000 + round * 100 + 50));
-        return router.highestSeen().position;
+        return router.highestReported().position;
     });
 }
 
@@ -116,7 +116,7 @@
 {
     RetryBudget budget;
     measure("carry a write through its attempt", [&](std::int64_t round) {
-        WriteNeed need;
+        WriteRequirements need;
         need.fingerprint = 5;
         need.deadline = at(round + 300'000);
         WriteAttempt attempt{need, budget};
@@ -124,7 +124,7 @@
         MemberReply reply;
         reply.mark = markOf(round);
         (void)attempt.replied(reply, at(round + 5'000));
-        return attempt.covered(reply.mark).index();
+        return attempt.replicated(reply.mark).index();
     });
 }
 
@@ -141,12 +141,12 @@
     });
     ConnectionPool pool;
     (void)pool.setAllowed(8, at(0));
-    const auto first = std::get<OpenConnection>(pool.take(at(100'000), at(0))).key;
+    const auto first = std::get<OpenConnection>(pool.acquire(at(100'000), at(0))).key;
     pool.opened(first, at(0));
-    (void)pool.giveBack(first, at(0));
+    (void)pool.release(first, at(0));
     measure("take and give back a connection", [&](std::int64_t round) {
-        (void)pool.take(at(round + 100'000), at(round));
-        return pool.giveBack(first, at(round)) ? 1U : 0U;
+        (void)pool.acquire(at(round + 100'000), at(round));
+        return pool.release(first, at(round)) ? 1U : 0U;
     });
 }
 
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -11,17 +11,17 @@
 namespace cardamomstep::gateway {
 
 /// One group as the proxy sees it.
-[[nodiscard]] inline nlohmann::json toJson(const relay::GroupStatus &group, TimePoint now)
+[[nodiscard]] inline nlohmann::json toJson(const relay::GroupStats &group, TimePoint now)
 {
     return {{"group", group.group.text()},
             {"primary", group.primary.member.text()},
             {"generation", group.primary.generation},
             {"usable", group.primary.usable(now)},
-            {"held", group.primary.held},
+            {"held", group.primary.changeInProgress},
             {"viewLeftMs", wholeMilliseconds(group.primary.validUntil - now).count()},
             {"waiting", group.waiting},
-            {"connections", group.links},
-            {"connectionsLent", group.lentLinks}};
+            {"connections", group.connections},
+            {"connectionsLent", group.connectionsInUse}};
 }
 
 /// The whole page.
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -332,7 +332,7 @@
 
 void GroupCore::setOwners(const std::vector<InstanceName> &owners)
 {
-    quota.setHolders(owners, steadyNow());
+    quota.setOwners(owners, steadyNow());
     refreshSlots();
 }
 
@@ -419,7 +419,7 @@
     }
 }
 
-LeaderView GroupCore::leader() const
+LeaderInfo GroupCore::leader() const
 {
     const auto view = monitor.primary();
     if (!view) {
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/random.h"
-#include "connections/share.h"
+#include "connections/quota.h"
 #include "groups/coverage.h"
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
@@ -103,7 +103,7 @@
     [[nodiscard]] std::optional<RoundResult> confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
     /// The primary as writes see it; term 0 when there is none.
-    [[nodiscard]] LeaderView leader() const;
+    [[nodiscard]] LeaderInfo leader() const;
 
     [[nodiscard]] Member *find(const MemberName &name);
 
@@ -124,7 +124,7 @@
     ReadRouter router;
     AdmissionQueue admission;
     RetryBudget retries;
-    ConnectionShare quota;
+    ConnectionQuota quota;
     Random random;
     std::map<MemberName, std::unique_ptr<Member>> members;
 
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -35,7 +35,7 @@
         if (const auto *give = std::get_if<GiveUpRead>(&step)) {
             return failedAnswer(give->error);
         }
-        if (const auto *read = std::get_if<AskMember>(&step)) {
+        if (const auto *read = std::get_if<ReadFromMember>(&step)) {
             answer = performReadFromMember(plan, *read);
         } else if (const auto *await = std::get_if<AwaitReplica>(&step)) {
             performAwait(await->until);
@@ -54,14 +54,14 @@
 std::optional<Error> ReadFlow::checkToken()
 {
     const auto position = session_.find(core_.options.group);
-    if (!position || checkAgainst(*position, core_.router.highestSeen(), std::nullopt) == TokenStanding::Reached) {
+    if (!position || checkAgainst(*position, core_.router.highestReported(), std::nullopt) == TokenStanding::Reached) {
         return std::nullopt;
     }
     const auto result = core_.confirmPrimary(lock_, deadline_);
     if (!result || !result->legitimate) {
         return std::nullopt;
     }
-    if (checkAgainst(*position, core_.router.highestSeen(), result->readMark) != TokenStanding::Ahead) {
+    if (checkAgainst(*position, core_.router.highestReported(), result->readMark) != TokenStanding::Ahead) {
         return std::nullopt;
     }
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
@@ -83,7 +83,7 @@
     return std::nullopt;
 }
 
-std::optional<Answer> ReadFlow::performReadFromMember(ReadPlan &plan, const AskMember &read)
+std::optional<Answer> ReadFlow::performReadFromMember(ReadPlan &plan, const ReadFromMember &read)
 {
     const auto lane = read.isPrimary ? Lane::Primary : Lane::Replica;
     const auto ticket = core_.admit(lock_, lane, statement_.service, deadline_);
@@ -117,7 +117,7 @@
     return evaluate(plan, read, *reply);
 }
 
-std::optional<Answer> ReadFlow::evaluate(ReadPlan &plan, const AskMember &read, const MemberReply &reply)
+std::optional<Answer> ReadFlow::evaluate(ReadPlan &plan, const ReadFromMember &read, const MemberReply &reply)
 {
     if (reply.refusal == Refusal::StatementFailed) {
         return failedAnswer(errorFor(*reply.refusal, reply.description));
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -20,8 +20,8 @@
     /// Has the primary confirmed; an answer when that is not to be had in time.
     [[nodiscard]] std::optional<Answer> performConfirm();
     /// Asks one member; an answer when it is fresh enough or final.
-    [[nodiscard]] std::optional<Answer> performReadFromMember(ReadPlan &plan, const AskMember &read);
-    [[nodiscard]] std::optional<Answer> evaluate(ReadPlan &plan, const AskMember &read, const MemberReply &reply);
+    [[nodiscard]] std::optional<Answer> performReadFromMember(ReadPlan &plan, const ReadFromMember &read);
+    [[nodiscard]] std::optional<Answer> evaluate(ReadPlan &plan, const ReadFromMember &read, const MemberReply &reply);
     /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
     [[nodiscard]] bool waitDurable(const Mark &position);
     void performAwait(TimePoint until);
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -25,7 +25,7 @@
 
 Answer WriteFlow::run()
 {
-    const auto room = session_.checkRoom(core_.options.group);
+    const auto room = session_.checkCapacity(core_.options.group);
     if (!room) {
         return failedAnswer(room.error());
     }
@@ -61,19 +61,19 @@
         }
         if (const auto *sending = std::get_if<SendWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
-        } else if (const auto *query = std::get_if<AskOutcome>(&step)) {
+        } else if (const auto *query = std::get_if<QueryOutcome>(&step)) {
             step = performQueryOutcome(attempt, *query);
-        } else if (const auto *coverage = std::get_if<WaitCoverage>(&step)) {
-            step = performWaitQuorum(attempt, coverage->mark);
+        } else if (const auto *coverage = std::get_if<WaitQuorum>(&step)) {
+            step = performWaitQuorum(attempt, coverage->position);
         } else {
             step = performWaitPrimary(attempt);
         }
     }
 }
 
-WriteNeed WriteFlow::requirements(bool isCommit) const
+WriteRequirements WriteFlow::requirements(bool isCommit) const
 {
-    WriteNeed need;
+    WriteRequirements need;
     need.fingerprint = fingerprintOf(statement_);
     need.idempotent = statement_.idempotent;
     need.commit = isCommit;
@@ -129,7 +129,7 @@
     return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
-WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const AskOutcome &query)
+WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const QueryOutcome &query)
 {
     if (steadyNow() < query.notBefore) {
         Waiter waiter;
@@ -138,13 +138,13 @@
     }
     // The news may be only that the start of the same term is covered: then the question is asked now, not put off again.
     auto current = attempt.primaryChanged(core_.leader(), steadyNow());
-    const auto *stillAsked = std::get_if<AskOutcome>(&current);
+    const auto *stillAsked = std::get_if<QueryOutcome>(&current);
     if (stillAsked == nullptr || stillAsked->term != query.term) {
         return current;
     }
     const auto view = core_.monitor.primary();
     if (!view || view->term != query.term) {
-        return attempt.outcomeFailed(steadyNow());
+        return attempt.onOutcomeFailed(steadyNow());
     }
     const auto *member = core_.find(view->member);
     HttpControlLink link(member->address, core_.options.identity);
@@ -155,10 +155,10 @@
     lock_.lock();
     const auto *reply = std::get_if<OutcomeReply>(&result);
     if (reply == nullptr) {
-        return attempt.outcomeFailed(steadyNow());
+        return attempt.onOutcomeFailed(steadyNow());
     }
     core_.onState(view->member, reply->report.log, reply->report.adopted, sentAt);
-    return attempt.outcome(*reply, steadyNow());
+    return attempt.onOutcome(*reply, steadyNow());
 }
 
 WriteStep WriteFlow::performWaitQuorum(WriteAttempt &attempt, const Mark &position)
@@ -170,12 +170,12 @@
         const auto now = steadyNow();
         const auto coverage = core_.acks.coverage(position);
         if (coverage == Coverage::Covered) {
-            return attempt.covered(position);
+            return attempt.replicated(position);
         }
         const auto leader = core_.leader();
         if (coverage == Coverage::Superseded || leader.term > position.term) {
             auto step = attempt.primaryChanged(leader, now);
-            if (!std::holds_alternative<WaitCoverage>(step)) {
+            if (!std::holds_alternative<WaitQuorum>(step)) {
                 return step;
             }
         }
@@ -212,11 +212,11 @@
     answer.error = result.error;
     answer.rows = result.rows;
     answer.rowCount = result.rowCount;
-    answer.mark = result.mark;
+    answer.mark = result.position;
     answer.servedBy = servedBy_;
     answer.session = statement_.session;
     if (!result.error) {
-        answer.session = sessionAfter(session_, core_.options.group, result.mark);
+        answer.session = sessionAfter(session_, core_.options.group, result.position);
     }
     return answer;
 }
--- a/src/owner/memberconnections.cpp
+++ b/src/owner/memberconnections.cpp
@@ -30,7 +30,7 @@
 {
     Waiter waiter;
     for (;;) {
-        const auto step = pool_.take(deadline, steadyNow());
+        const auto step = pool_.acquire(deadline, steadyNow());
         if (const auto *reuse = std::get_if<ReuseConnection>(&step)) {
             const auto connection = connections_.at(reuse->key);
             if (connection->checkOpen()) {
@@ -74,7 +74,7 @@
         close(checkout.key);
         return;
     }
-    if (!pool_.giveBack(checkout.key, now)) {
+    if (!pool_.release(checkout.key, now)) {
         connections_.erase(checkout.key);
     }
     waiting_.signalAll();
@@ -109,7 +109,7 @@
 void MemberConnections::onReply(ConnectionKey key, TimePoint now)
 {
     // The blocking exchange has its own timeout, so the detector only measures here.
-    (void)silence_.answered(key, now);
+    (void)silence_.replied(key, now);
 }
 
 std::uint32_t MemberConnections::inUse() const noexcept
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -34,8 +34,8 @@
     for (const auto &[name, config] : routes_.groups()) {
         auto &group = groupState(name);
         group.config = config;
-        share(group);
-        pump(group, now);
+        updatePoolLimits(group);
+        dispatchWaiting(group, now);
     }
 }
 
@@ -67,68 +67,68 @@
             }
             ++pool;
         }
-        share(group);
-        pump(group, now);
+        updatePoolLimits(group);
+        dispatchWaiting(group, now);
     }
 }
 
-void Engine::setPrimary(const GroupName &name, const PrimaryBelief &belief, TimePoint now)
+void Engine::setPrimary(const GroupName &name, const CachedPrimary &primary, TimePoint now)
 {
     auto &group = groupState(name);
-    const bool changed = group.primary.member != belief.member || group.primary.generation != belief.generation;
+    const bool changed = group.primary.member != primary.member || group.primary.generation != primary.generation;
     const bool wasUsable = group.primary.usable(now);
-    group.primary = belief;
+    group.primary = primary;
     if (changed) {
         group.history = FreshnessHistory{};
         group.stalledSince.reset();
     }
-    if (belief.usable(now) && (changed || !wasUsable)) {
-        pump(group, now);
+    if (primary.usable(now) && (changed || !wasUsable)) {
+        dispatchWaiting(group, now);
     }
 }
 
-std::size_t Engine::lastingInFlight(const GroupName &name) const
+std::size_t Engine::durableInFlight(const GroupName &name) const
 {
     return static_cast<std::size_t>(std::count_if(callers_.begin(), callers_.end(), [&name](const auto &entry) {
         const auto &caller = entry.second;
         const bool running = caller.activity == Activity::Running && caller.session.writes(caller.statement);
-        return caller.group == name && caller.link != 0 && caller.atPrimary && (running || caller.session.wrote());
+        return caller.group == name && caller.connection != 0 && caller.sentToPrimary && (running || caller.session.wrote());
     }));
 }
 
-void Engine::seal(const GroupName &name, TimePoint now)
+void Engine::fence(const GroupName &name, TimePoint now)
 {
     for (auto &[key, caller] : callers_) {
-        if (caller.group != name || caller.link == 0 || !caller.atPrimary) {
+        if (caller.group != name || caller.connection == 0 || !caller.sentToPrimary) {
             continue;
         }
-        if (caller.activity != Activity::Resting) {
-            caller.sealed = true;
+        if (caller.activity != Activity::Idle) {
+            caller.fenced = true;
         } else if (caller.session.phase() == TransactionPhase::Open && !caller.session.readOnlyTransaction()) {
-            caller.session.lost();
+            caller.session.transactionLost();
             endTransaction(caller, now);
         }
     }
 }
 
-void Engine::setSharers(const GroupName &name, std::uint32_t sharers)
+void Engine::setPoolCount(const GroupName &name, std::uint32_t poolCount)
 {
     auto &group = groupState(name);
-    if (group.sharers == sharers) {
+    if (group.poolCount == poolCount) {
         return;
     }
-    group.sharers = sharers;
-    share(group);
+    group.poolCount = poolCount;
+    updatePoolLimits(group);
 }
 
 /// Deals the members' connections out: a fair share for each proxy, and what others leave unused.
-void Engine::share(Group &group)
+void Engine::updatePoolLimits(Group &group)
 {
     const auto limit = group.config.memberConnections;
     const auto planned = limit > limits_.reservedConnections ? limit - limits_.reservedConnections : limit;
     // With more proxies than connections the fair share is none: links are opened for a statement and closed soon after.
-    const auto fair = group.sharers == 0 ? 0 : planned / group.sharers;
-    const auto most = std::max<std::uint32_t>(limits_.leastBorrowed, std::min<std::uint32_t>(planned, fair * 2));
+    const auto fair = group.poolCount == 0 ? 0 : planned / group.poolCount;
+    const auto most = std::max<std::uint32_t>(limits_.minSurplusConnections, std::min<std::uint32_t>(planned, fair * 2));
     for (auto &[name, pool] : group.pools) {
         pool.setAllowed(fair, most);
     }
@@ -141,13 +141,13 @@
     }
     drainUntil_ = transactionsUntil;
     for (auto &[key, caller] : callers_) {
-        if (caller.activity == Activity::Resting && caller.session.phase() == TransactionPhase::None) {
-            endAtRest(key, caller, now);
-        } else if (caller.activity == Activity::Resting) {
+        if (caller.activity == Activity::Idle && caller.session.phase() == TransactionPhase::None) {
+            endWhenIdle(key, caller, now);
+        } else if (caller.activity == Activity::Idle) {
             setTimer(key, caller, std::min(caller.wakeAt.value_or(transactionsUntil), transactionsUntil));
         }
     }
-    nextUpkeep_ = now;
+    nextMaintenance_ = now;
 }
 
 void Engine::wake(TimePoint now)
@@ -158,20 +158,20 @@
         setTimer(key, caller, std::nullopt);
         callerDue(key, caller, now);
     }
-    if (now < nextUpkeep_) {
+    if (now < nextMaintenance_) {
         return;
     }
-    nextUpkeep_ = now + upkeepInterval;
+    nextMaintenance_ = now + upkeepInterval;
     for (auto &[name, group] : groups_) {
-        wakeLinks(group, now);
+        maintainConnections(group, now);
         probe(group, now);
-        pump(group, now);
+        dispatchWaiting(group, now);
     }
 }
 
 std::optional<TimePoint> Engine::nextWake() const noexcept
 {
-    return timers_.empty() ? nextUpkeep_ : std::min(nextUpkeep_, timers_.begin()->first);
+    return timers_.empty() ? nextMaintenance_ : std::min(nextMaintenance_, timers_.begin()->first);
 }
 
 Actions Engine::takeActions()
@@ -179,28 +179,28 @@
     return std::exchange(actions_, {});
 }
 
-std::vector<GroupStatus> Engine::status() const
+std::vector<GroupStats> Engine::status() const
 {
-    std::vector<GroupStatus> all;
+    std::vector<GroupStats> all;
     for (const auto &[name, group] : groups_) {
-        GroupStatus status{name, group.primary, group.waiting.size()};
+        GroupStats status{name, group.primary, group.waiting.size()};
         for (const auto &[member, pool] : group.pools) {
-            status.links += pool.size();
-            status.lentLinks += pool.count(LinkPhase::Lent);
+            status.connections += pool.size();
+            status.connectionsInUse += pool.count(PooledConnectionState::InUse);
         }
         all.push_back(status);
     }
     return all;
 }
 
-TimePoint Engine::lastAnswer(const GroupName &group, const MemberName &member) const
+TimePoint Engine::lastReplyAt(const GroupName &group, const MemberName &member) const
 {
     const auto found = groups_.find(group);
     if (found == groups_.end()) {
         return {};
     }
     const auto pool = found->second.pools.find(member);
-    return pool == found->second.pools.end() ? TimePoint{} : pool->second.lastAnswer();
+    return pool == found->second.pools.end() ? TimePoint{} : pool->second.lastReplyAt();
 }
 
 Mark Engine::acknowledged(const GroupName &group) const
--- /dev/null
+++ b/src/relay/engineconnections.cpp
@@ -0,0 +1,302 @@
+// What members answer, and what becomes of statements whose exchange fails.
+#include "relay/engine.h"
+
+#include <algorithm>
+
+namespace cardamomstep::relay {
+
+namespace {
+
+/// A link that does not open within this time is given up.
+constexpr Milliseconds openTimeout{1000};
+
+} // namespace
+
+PooledConnection *Engine::findConnection(MemberConnectionKey key, Group **group, MemberPool **pool)
+{
+    const auto place = connections_.find(key);
+    if (place == connections_.end()) {
+        return nullptr;
+    }
+    *group = &groupState(place->second.first);
+    *pool = &(*group)->pools.at(place->second.second);
+    return (*pool)->find(key);
+}
+
+void Engine::connectionOpened(MemberConnectionKey key, const std::optional<Mark> &position, TimePoint now)
+{
+    Group *group = nullptr;
+    MemberPool *pool = nullptr;
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
+        return;
+    }
+    connection->state = PooledConnectionState::Idle;
+    connection->since = now;
+    if (position && connection->member != group->primary.member) {
+        pool->position = std::max(pool->position, *position);
+    }
+    dispatchWaiting(*group, now);
+}
+
+void Engine::connectionReplied(MemberConnectionKey key, const MemberReply &reply, TimePoint now)
+{
+    Group *group = nullptr;
+    MemberPool *pool = nullptr;
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
+        return;
+    }
+    if (connection->awaited.empty()) {
+        connectionClosed(key, std::nullopt, now);
+        return;
+    }
+    const auto awaited = connection->awaited.front();
+    connection->awaited.pop_front();
+    pool->onContact(now);
+    if (awaited.purpose == ReplyPurpose::Statement) {
+        pool->onReply(now - awaited.sentAt);
+    }
+    recordPosition(*group, *pool, *connection, awaited, reply, now);
+    if (awaited.purpose == ReplyPurpose::Setup && reply.fault) {
+        actions_.emplace_back(CloseMemberConnection{key});
+        connectionClosed(key, std::nullopt, now);
+        return;
+    }
+    if (connection->state == PooledConnectionState::AwaitingReplies) {
+        if (connection->awaited.empty()) {
+            release(*connection, *group, now);
+        }
+        return;
+    }
+    if (awaited.purpose == ReplyPurpose::Begin) {
+        beginReplied(*connection, *group, *pool, reply, now);
+    } else if (awaited.purpose == ReplyPurpose::Statement) {
+        statementReplied(*connection, *group, *pool, reply, now);
+    }
+}
+
+/// Takes positions as evidence: the primary's covers all that was acknowledged before the request left.
+void Engine::recordPosition(Group &group,
+                            MemberPool &pool,
+                            const PooledConnection &connection,
+                            const AwaitedReply &awaited,
+                            const MemberReply &reply,
+                            TimePoint now)
+{
+    if (!reply.position) {
+        return;
+    }
+    if (connection.member == group.primary.member) {
+        if (group.primary.usable(now) && awaited.purpose != ReplyPurpose::Setup) {
+            group.history.confirm(awaited.sentAt, *reply.position);
+        }
+        return;
+    }
+    pool.position = std::max(pool.position, *reply.position);
+}
+
+void Engine::beginReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
+{
+    auto &caller = callers_.at(connection.caller);
+    if (reply.fault) {
+        if (*reply.fault == MemberFault::Lagging) {
+            pool.laggingUntil = now + limits_.laggingPause;
+        }
+        exchangeFailed(connection.caller, caller, ExchangeEnd::Refused, reply.fault, now);
+        return;
+    }
+    caller.session.transactionOpened();
+    sendStatement(caller, connection, std::nullopt, {}, now);
+    (void)group;
+}
+
+void Engine::statementReplied(PooledConnection &connection, Group &group, MemberPool &pool, const MemberReply &reply, TimePoint now)
+{
+    const auto key = connection.caller;
+    auto &caller = callers_.at(key);
+    const auto retryClass = retryClassOf(caller.session, caller.statement);
+    const bool lasting = retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
+    if (lasting && caller.fenced && !reply.fault) {
+        exchangeFailed(key, caller, ExchangeEnd::Broken, std::nullopt, now);
+        return;
+    }
+    if (reply.fault || reply.signature.empty()) {
+        const auto fault = reply.fault.value_or(MemberFault::Unknown);
+        if (fault == MemberFault::Lagging) {
+            pool.laggingUntil = now + limits_.laggingPause;
+        }
+        if (fault == MemberFault::UnknownStatement) {
+            connection.prepared.clear();
+        }
+        exchangeFailed(key, caller, ExchangeEnd::Refused, fault, now);
+        return;
+    }
+    budget_.succeeded();
+    if (lasting) {
+        group.stalledSince.reset();
+        group.acknowledged = std::max(group.acknowledged, reply.position.value_or(Mark{}));
+    }
+    caller.session.statementSucceeded(caller.statement, reply.position);
+    CallerReply answered;
+    answered.rows = reply.rows;
+    answered.signature = reply.signature;
+    answered.state = caller.session.state();
+    answered.position = reply.position;
+    answer(key, caller, std::move(answered), now);
+    if (caller.session.phase() == TransactionPhase::None) {
+        caller.connection = 0;
+        connection.caller = 0;
+        release(connection, group, now);
+    }
+}
+
+/// Sends the statement again where that is harmless and timely, or answers with what is true.
+void Engine::exchangeFailed(CallerKey key, Caller &caller, ExchangeEnd end, std::optional<MemberFault> fault, TimePoint now)
+{
+    const bool announced = caller.session.phase() == TransactionPhase::BeginDeferred;
+    const auto retryClass = announced ? RetryClass::Read : retryClassOf(caller.session, caller.statement);
+    auto outcome = classifyFailure(retryClass, end, fault);
+    Group *group = nullptr;
+    MemberPool *pool = nullptr;
+    auto *connection = findConnection(caller.connection, &group, &pool);
+    const auto member = connection == nullptr ? MemberName{} : connection->member;
+    const bool free = fault == MemberFault::Lagging || fault == MemberFault::UnknownStatement;
+    const bool again = outcome.mayResend && now < caller.giveUpAt && caller.attempts < limits_.maxAttempts && (free || budget_.take());
+    actions_.emplace_back(LogDecision{LogLevel::Info,
+                                      "exchange_failed",
+                                      {{"id", caller.statement.id},
+                                       {"group", caller.group.text()},
+                                       {"member", member.text()},
+                                       {"kind", std::string(answerRule(outcome.error.kind).name)},
+                                       {"end", static_cast<std::int64_t>(end)},
+                                       {"fault", fault ? static_cast<std::int64_t>(*fault) : -1},
+                                       {"after_ms", static_cast<std::int64_t>(wholeMilliseconds(now - caller.sentAt).count())}}});
+    if (again && end == ExchangeEnd::Silent && connection != nullptr && !announced) {
+        connection->caller = 0;
+        connection->state = PooledConnectionState::AwaitingReplies;
+        caller.connection = 0;
+    } else if (end == ExchangeEnd::Silent && connection != nullptr) {
+        pool->failed(now);
+        dropConnection(caller.connection, *group, *pool);
+        caller.connection = 0;
+    } else if (end == ExchangeEnd::Refused && connection != nullptr && (announced || caller.session.phase() == TransactionPhase::None)) {
+        connection->caller = 0;
+        caller.connection = 0;
+        release(*connection, *group, now);
+    }
+    if (again) {
+        if (!member.empty() && fault != MemberFault::UnknownStatement) {
+            caller.failedMembers.push_back(member);
+        }
+        enqueue(key, caller, groupState(caller.group), now);
+        return;
+    }
+    if (answerRule(outcome.error.kind).retryable && outcome.error.ran == Ran::No) {
+        outcome.error = std::move(outcome.error).comingBackAfter(retryAfterOf(groupState(caller.group)));
+    }
+    fail(key, caller, std::move(outcome.error), now);
+}
+
+void Engine::connectionClosed(MemberConnectionKey key, std::optional<MemberFault> refusal, TimePoint now)
+{
+    Group *group = nullptr;
+    MemberPool *pool = nullptr;
+    auto *connection = findConnection(key, &group, &pool);
+    if (connection == nullptr) {
+        return;
+    }
+    const auto lentTo = connection->caller;
+    const bool wasOpening = connection->state == PooledConnectionState::Opening;
+    const bool wasIdle = connection->state == PooledConnectionState::Idle;
+    actions_.emplace_back(LogDecision{LogLevel::Info,
+                                      "link_closed",
+                                      {{"member", connection->member.text()},
+                                       {"opening", static_cast<std::int64_t>(wasOpening ? 1 : 0)},
+                                       {"refusal", refusal ? static_cast<std::int64_t>(*refusal) : -1}}});
+    pool->remove(key);
+    connections_.erase(key);
+    if (refusal == MemberFault::TooManyConnections) {
+        pool->onContact(now);
+        pool->limitReached(now);
+    } else if (!wasIdle) {
+        pool->failed(now);
+    }
+    const auto found = callers_.find(lentTo);
+    if (lentTo == 0 || found == callers_.end()) {
+        return;
+    }
+    auto &caller = found->second;
+    caller.connection = 0;
+    if (caller.activity == Activity::Idle) {
+        caller.session.transactionLost();
+        return;
+    }
+    exchangeFailed(lentTo, caller, ExchangeEnd::Broken, std::nullopt, now);
+}
+
+/// Makes a link free for others.
+void Engine::release(PooledConnection &connection, Group &group, TimePoint now)
+{
+    connection.caller = 0;
+    connection.state = PooledConnectionState::Idle;
+    connection.since = now;
+    auto &pool = group.pools.at(connection.member);
+    const bool leaving = pool.entry().draining && connection.member != group.primary.member;
+    if (leaving) {
+        dropConnection(connection.key, group, pool);
+        return;
+    }
+    dispatchWaiting(group, now);
+    if (const auto surplus = pool.surplusConnection(now); surplus != 0) {
+        dropConnection(surplus, group, pool);
+    }
+}
+
+/// Ends the member's transaction on a link whose caller was answered.
+void Engine::rollBack(PooledConnection &connection, TimePoint now)
+{
+    connection.state = PooledConnectionState::AwaitingReplies;
+    expectReply(connection, ReplyPurpose::Rollback, now, openTimeout);
+    actions_.emplace_back(SendToMember{connection.key, {MemberRequest{MemberVerb::Rollback}}});
+}
+
+void Engine::dropConnection(MemberConnectionKey key, Group & /*group*/, MemberPool &pool)
+{
+    pool.remove(key);
+    connections_.erase(key);
+    actions_.emplace_back(CloseMemberConnection{key});
+}
+
+/// Closes links that are silent, that do not open, or that are not needed.
+void Engine::maintainConnections(Group &group, TimePoint now)
+{
+    for (auto &[name, pool] : group.pools) {
+        std::vector<MemberConnectionKey> silent;
+        for (const auto &[key, connection] : pool.connections()) {
+            const bool unopened = connection.state == PooledConnectionState::Opening && now - connection.since >= openTimeout;
+            const bool unanswered = connection.state == PooledConnectionState::AwaitingReplies && !connection.awaited.empty()
+                && now >= connection.awaited.front().silentAt;
+            if (unopened || unanswered) {
+                silent.push_back(key);
+            }
+        }
+        for (const auto key : silent) {
+            actions_.emplace_back(CloseMemberConnection{key});
+            connectionClosed(key, std::nullopt, now);
+        }
+        const auto surplus = pool.surplusConnection(now);
+        const bool leaving = pool.entry().draining && name != group.primary.member;
+        if (surplus != 0) {
+            dropConnection(surplus, group, pool);
+        }
+        if (!leaving) {
+            continue;
+        }
+        while (auto *idle = pool.bestIdle({})) {
+            dropConnection(idle->key, group, pool);
+        }
+    }
+}
+
+} // namespace cardamomstep::relay
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -50,7 +50,7 @@
     driver.advance(10);
     driver.say(1, StatementKind::Read);
     cr_assert(driver.lastMember() != "p");
-    cr_assert(driver.requests.back().second.mustHold == position(1, 20));
+    cr_assert(driver.requests.back().second.minPosition == position(1, 20));
 }
 
 Test(relay, aSessionReadsItsOwnLastCommit)
@@ -63,7 +63,7 @@
     driver.say(1, StatementKind::Write);
     driver.answerNext(std::nullopt, position(1, 21));
     driver.say(1, StatementKind::Read);
-    cr_assert(driver.requests.back().second.mustHold == position(1, 21) || driver.lastMember() == "p");
+    cr_assert(driver.requests.back().second.minPosition == position(1, 21) || driver.lastMember() == "p");
 }
 
 Test(relay, aReplicaThatLagsIsReplacedByAnotherMember)
@@ -138,7 +138,7 @@
     RelayDriver driver;
     driver.open(1);
     driver.say(1, StatementKind::Write);
-    driver.engine.linkClosed(driver.requests.back().first, std::nullopt, driver.now);
+    driver.engine.connectionClosed(driver.requests.back().first, std::nullopt, driver.now);
     driver.settle();
     cr_assert(driver.members.size() == 1);
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::OutcomeUnknown);
@@ -149,7 +149,7 @@
     RelayDriver driver;
     driver.open(1);
     driver.say(1, StatementKind::Read);
-    driver.engine.linkClosed(driver.requests.back().first, std::nullopt, driver.now);
+    driver.engine.connectionClosed(driver.requests.back().first, std::nullopt, driver.now);
     driver.requests.clear();
     driver.settle();
     driver.advance(200);
@@ -226,7 +226,7 @@
     driver.say(1, StatementKind::Write);
     const auto link = driver.requests.front().first;
     driver.answerNext();
-    driver.engine.linkClosed(link, std::nullopt, driver.now);
+    driver.engine.connectionClosed(link, std::nullopt, driver.now);
     driver.settle();
     driver.say(1, StatementKind::Write);
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::TransactionAborted);
@@ -282,7 +282,7 @@
     driver.open(1);
     driver.say(1, StatementKind::Write);
     driver.believe("p", 1, true);
-    driver.engine.seal(GroupName{"g"}, driver.now);
+    driver.engine.fence(GroupName{"g"}, driver.now);
     driver.settle();
     driver.answerNext();
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::OutcomeUnknown);
@@ -393,12 +393,12 @@
     MemberDirectory directory;
     directory.put(RelayDriver::member("p", "a", true));
     engine.setMembers(directory, now);
-    engine.setSharers(GroupName{"g"}, 1);
+    engine.setPoolCount(GroupName{"g"}, 1);
     engine.wake(now + Seconds{1});
     for (const auto &action : engine.takeActions()) {
-        if (const auto *open = std::get_if<OpenLink>(&action)) {
+        if (const auto *open = std::get_if<OpenMemberConnection>(&action)) {
             cr_assert(open->group == GroupName{"g"});
-            engine.linkOpened(open->link, std::nullopt, now + Seconds{1});
+            engine.connectionOpened(open->connection, std::nullopt, now + Seconds{1});
         }
     }
 }
@@ -431,7 +431,7 @@
     options.consistency = Consistency::Current;
     options.memberConnections = 3;
     options.liveProxies = 1;
-    options.limits.leastBorrowed = 1;
+    options.limits.minSurplusConnections = 1;
     RelayDriver driver(options);
     driver.open(1);
     driver.say(1, StatementKind::Read);
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -1,8 +1,8 @@
 // Tests of the relay's small parts: outcomes, the route book, the directory.
 #include "relay/directory.h"
-#include "relay/outcome.h"
 #include "relay/placement.h"
-#include "relay/routebook.h"
+#include "relay/retrydecision.h"
+#include "relay/routingtable.h"
 
 #include <criterion/criterion.h>
 
@@ -13,28 +13,28 @@
 
 Test(relay, onlyWhatIsHarmlessIsSentAgain)
 {
-    cr_assert(judge(Stake::Read, ExchangeEnd::Broken, std::nullopt).mayResend);
-    cr_assert(!judge(Stake::Write, ExchangeEnd::Broken, std::nullopt).mayResend);
-    cr_assert(!judge(Stake::CommitOfWrites, ExchangeEnd::Silent, std::nullopt).mayResend);
-    cr_assert(judge(Stake::Write, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
-    cr_assert(!judge(Stake::Inside, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
-    cr_assert(!judge(Stake::Write, ExchangeEnd::Refused, MemberFault::Failed).mayResend);
+    cr_assert(classifyFailure(RetryClass::Read, ExchangeEnd::Broken, std::nullopt).mayResend);
+    cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Broken, std::nullopt).mayResend);
+    cr_assert(!classifyFailure(RetryClass::CommitOfWrites, ExchangeEnd::Silent, std::nullopt).mayResend);
+    cr_assert(classifyFailure(RetryClass::Write, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
+    cr_assert(!classifyFailure(RetryClass::InTransaction, ExchangeEnd::Refused, MemberFault::Busy).mayResend);
+    cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Refused, MemberFault::Failed).mayResend);
 }
 
 Test(relay, aLostWriteIsNeverToldAsNotRun)
 {
-    for (const auto stake : {Stake::Write, Stake::CommitOfWrites}) {
+    for (const auto stake : {RetryClass::Write, RetryClass::CommitOfWrites}) {
         for (const auto end : {ExchangeEnd::Broken, ExchangeEnd::Silent}) {
-            cr_assert(judge(stake, end, std::nullopt).error.ran == Ran::Unknown);
+            cr_assert(classifyFailure(stake, end, std::nullopt).error.ran == Ran::Unknown);
         }
     }
-    cr_assert(judge(Stake::Inside, ExchangeEnd::Broken, std::nullopt).error.ran == Ran::No);
-    cr_assert(judge(Stake::CommitOfReads, ExchangeEnd::Silent, std::nullopt).error.ran == Ran::No);
+    cr_assert(classifyFailure(RetryClass::InTransaction, ExchangeEnd::Broken, std::nullopt).error.ran == Ran::No);
+    cr_assert(classifyFailure(RetryClass::CommitOfReads, ExchangeEnd::Silent, std::nullopt).error.ran == Ran::No);
 }
 
 Test(relay, theConfigurationNeverGoesBack)
 {
-    RouteBook book;
+    RoutingTable book;
     Configuration newer;
     newer.version = 9;
     cr_assert(book.accept(newer));
@@ -79,19 +79,19 @@
 Test(relay, smallFleetsShareConnectionsEvenly)
 {
     const auto fleet = fleetOf(6, 3);
-    const auto holders = holdersFor(fleet, 36);
-    cr_assert(holders.perDomain == 0 && holders.sharers == 6);
+    const auto holders = placePools(fleet, 36);
+    cr_assert(holders.poolsPerDomain == 0 && holders.poolCount == 6);
     cr_assert(!forwardTo(fleet, holders, GroupName{"g"}, fleet.instances().front(), 1));
-    cr_assert(holdersFor(fleetOf(7, 3), 14).perDomain == 0, "two for each are enough (convenio-cantabrico)");
-    cr_assert(holdersFor(fleetOf(9, 3), 14).perDomain == 0, "a machine that is added, and one that is replaced, change nothing");
+    cr_assert(placePools(fleetOf(7, 3), 14).poolsPerDomain == 0, "two for each are enough (convenio-cantabrico)");
+    cr_assert(placePools(fleetOf(9, 3), 14).poolsPerDomain == 0, "a machine that is added, and one that is replaced, change nothing");
 }
 
 // convenio-cantabrico-grown: 62 proxies, 40 connections a member. Pools of one let a resting transaction block all of its proxy.
 Test(relay, fewConnectionsAreHeldByFewProxiesOfEachDomain)
 {
     const auto fleet = fleetOf(62, 3);
-    const auto holders = holdersFor(fleet, 38);
-    cr_assert(holders.perDomain == 2 && holders.sharers == 6);
+    const auto holders = placePools(fleet, 38);
+    cr_assert(holders.poolsPerDomain == 2 && holders.poolCount == 6);
     std::map<Address, int> sessions;
     for (const auto &self : fleet.instances()) {
         for (std::uint64_t caller = 0; caller < 10; ++caller) {
