--- a/src/groups/action.h
+++ b/src/groups/action.h
@@ -129,7 +129,7 @@
 using GroupActions = std::vector<GroupAction>;
 
 /// The primary as this owner sees it.
-struct PrimaryView {
+struct PrimaryInfo {
     MemberName member;
     Term term;
     /// True once a majority holds the start entry of the term.
@@ -137,7 +137,7 @@
     /// True while the primary gives no sign of life or its entries reach no majority.
     bool suspected = false;
 
-    [[nodiscard]] bool operator==(const PrimaryView &) const = default;
+    [[nodiscard]] bool operator==(const PrimaryInfo &) const = default;
 };
 
 } // namespace cardamomstep
--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -8,7 +8,7 @@
 struct GroupPolicy;
 struct GroupMember;
 struct PeerSighting;
-struct PrimaryView;
+struct PrimaryInfo;
 enum class OrderKind : std::uint8_t;
 enum class PromotionReason : std::uint8_t;
 enum class NoteKind : std::uint8_t;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -168,7 +168,7 @@
     return wake_;
 }
 
-std::optional<PrimaryView> GroupMonitor::primary() const
+std::optional<PrimaryInfo> GroupMonitor::primary() const
 {
     auto view = primary_;
     if (view) {
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -84,7 +84,7 @@
     [[nodiscard]] TimePoint nextWake() const noexcept;
 
     /// The primary at the highest term known; none while no member is known to lead.
-    [[nodiscard]] std::optional<PrimaryView> primary() const;
+    [[nodiscard]] std::optional<PrimaryInfo> primary() const;
 
     /// What to tell the other owners.
     [[nodiscard]] PeerSighting sighting(TimePoint now) const;
@@ -177,7 +177,7 @@
     Term highest_;
     /// Until when another owner's attempt, seen by its term, is left alone.
     TimePoint foreignUntil_;
-    std::optional<PrimaryView> primary_;
+    std::optional<PrimaryInfo> primary_;
     /// The last member that was known to lead.
     MemberName previousPrimary_;
     /// Other owners' sightings, at most one for each of Suspicion's bounded number of peers.
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorbelief.cpp
@@ -42,7 +42,7 @@
         change.startedAt = promotion_->plan().startedAt;
         promotion_.reset();
     }
-    primary_ = PrimaryView{watch.name(), report.adopted};
+    primary_ = PrimaryInfo{watch.name(), report.adopted};
     previousPrimary_ = watch.name();
     actions_.emplace_back(change);
     clearNeed();
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -20,7 +20,7 @@
 /// What the metrics and status pages show of a group.
 struct GroupSnapshot {
     GroupName group;
-    std::optional<PrimaryView> primary;
+    std::optional<PrimaryInfo> primary;
     std::vector<MemberReport> reports;
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -47,7 +47,7 @@
 Answer OutcomeFlow::run()
 {
     while (steadyNow() < deadline_) {
-        std::optional<PrimaryView> view;
+        std::optional<PrimaryInfo> view;
         {
             std::unique_lock lock(core_.mutex);
             view = core_.monitor.primary();
@@ -69,7 +69,7 @@
     return unknown("no primary could be asked within the window");
 }
 
-std::optional<OutcomeReply> OutcomeFlow::ask(const PrimaryView &view)
+std::optional<OutcomeReply> OutcomeFlow::ask(const PrimaryInfo &view)
 {
     Address address;
     {
--- a/src/owner/impl/outcomeflow.h
+++ b/src/owner/impl/outcomeflow.h
@@ -19,7 +19,7 @@
 private:
     [[nodiscard]] Answer found(const OutcomeReply &reply);
     [[nodiscard]] Answer closeId();
-    [[nodiscard]] std::optional<OutcomeReply> ask(const PrimaryView &view);
+    [[nodiscard]] std::optional<OutcomeReply> ask(const PrimaryInfo &view);
 
     GroupCore &core_;
     const Statement &statement_;
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -34,7 +34,7 @@
     if (!room) {
         return failedAnswer(room.error());
     }
-    std::optional<PrimaryView> view;
+    std::optional<PrimaryInfo> view;
     {
         std::unique_lock lock(core_.mutex);
         Waiter waiter;
@@ -53,7 +53,7 @@
     return beginOn(*view);
 }
 
-Answer TransactionFlow::beginOn(const PrimaryView &view)
+Answer TransactionFlow::beginOn(const PrimaryInfo &view)
 {
     std::unique_lock lock(core_.mutex);
     const auto ticket = core_.admit(lock, Lane::Primary, statement_.service, deadline_);
--- a/src/owner/impl/transactionflow.h
+++ b/src/owner/impl/transactionflow.h
@@ -28,7 +28,7 @@
     [[nodiscard]] Answer rollback();
 
 private:
-    [[nodiscard]] Answer beginOn(const PrimaryView &view);
+    [[nodiscard]] Answer beginOn(const PrimaryInfo &view);
     [[nodiscard]] Answer finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result);
     void closeConnection(const Transactions::Use &use);
     void giveBack(const Transactions::Use &use);
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -227,7 +227,7 @@
     return std::visit(ActionWriter{}, action).dump();
 }
 
-std::string outcomeText(const std::optional<PrimaryView> &primary)
+std::string outcomeText(const std::optional<PrimaryInfo> &primary)
 {
     if (!primary) {
         return "null";
@@ -257,7 +257,7 @@
     return json.dump();
 }
 
-std::string outcomeLine(const std::optional<PrimaryView> &primary, TimePoint now)
+std::string outcomeLine(const std::optional<PrimaryInfo> &primary, TimePoint now)
 {
     return Json{{"at", write(now)}, {"outcome", Json::parse(outcomeText(primary))}}.dump();
 }
--- a/src/trace/grouplines.h
+++ b/src/trace/grouplines.h
@@ -44,7 +44,7 @@
 [[nodiscard]] std::string actionText(const GroupAction &action);
 
 /// \a primary as JSON text.
-[[nodiscard]] std::string outcomeText(const std::optional<PrimaryView> &primary);
+[[nodiscard]] std::string outcomeText(const std::optional<PrimaryInfo> &primary);
 
 /// The first line.
 [[nodiscard]] std::string startLine(const GroupStart &start);
@@ -53,7 +53,7 @@
 [[nodiscard]] std::string stepLine(const GroupInput &input, const GroupActions &actions, TimePoint now);
 
 /// The line that states an outcome.
-[[nodiscard]] std::string outcomeLine(const std::optional<PrimaryView> &primary, TimePoint now);
+[[nodiscard]] std::string outcomeLine(const std::optional<PrimaryInfo> &primary, TimePoint now);
 
 /// Reads the first line; errors are MalformedRequest and UnsupportedVersion.
 [[nodiscard]] Result<GroupStart> readStart(std::string_view line);
