--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -7,7 +7,7 @@
 
 struct GroupPolicy;
 struct GroupMember;
-struct PeerSighting;
+struct PeerObservation;
 struct PrimaryInfo;
 enum class OrderKind : std::uint8_t;
 enum class PromotionReason : std::uint8_t;
--- a/src/groups/impl/suspicion.cpp
+++ b/src/groups/impl/peerobservations.cpp
@@ -1,19 +1,19 @@
 // Bookkeeping of other owners' sightings.
-#include "groups/impl/suspicion.h"
+#include "groups/impl/peerobservations.h"
 
 #include <algorithm>
 
 namespace cardamomstep {
 
-void Suspicion::onSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now)
+void PeerObservations::onObservation(const InstanceName &peer, const PeerObservation &sighting, TimePoint now)
 {
     const auto known = std::find_if(kept_.begin(), kept_.end(), [&](const Kept &kept) { return kept.peer == peer; });
-    const Kept entry{peer, sighting, now, now - sighting.age};
+    const Kept entry{peer, sighting, now, now - sighting.contactAge};
     if (known != kept_.end()) {
         *known = entry;
         return;
     }
-    if (kept_.size() == keptPeers) {
+    if (kept_.size() == maxPeers) {
         const auto oldest = std::min_element(
             kept_.begin(), kept_.end(), [](const Kept &left, const Kept &right) { return left.receivedAt < right.receivedAt; });
         kept_.erase(oldest);
@@ -21,14 +21,14 @@
     kept_.push_back(entry);
 }
 
-PeerVotes Suspicion::votes(const Term &term, TimePoint since) const noexcept
+PeerVotes PeerObservations::votes(const Term &term, TimePoint since) const noexcept
 {
     PeerVotes votes;
     for (const auto &kept : kept_) {
-        if (kept.sighting.primary.empty() || kept.sighting.term < term) {
+        if (kept.observation.primary.empty() || kept.observation.term < term) {
             continue;
         }
-        if (kept.heardAt > since) {
+        if (kept.lastContactAt > since) {
             ++votes.alive;
         } else if (kept.receivedAt > since) {
             ++votes.dead;
@@ -37,12 +37,12 @@
     return votes;
 }
 
-Mark Suspicion::furthestLog(const MemberName &primary, const Term &term) const noexcept
+Mark PeerObservations::furthestLog(const MemberName &primary, const Term &term) const noexcept
 {
     Mark furthest;
     for (const auto &kept : kept_) {
-        if (kept.sighting.primary == primary && kept.sighting.term == term) {
-            furthest = std::max(furthest, kept.sighting.log);
+        if (kept.observation.primary == primary && kept.observation.term == term) {
+            furthest = std::max(furthest, kept.observation.log);
         }
     }
     return furthest;
--- a/src/groups/impl/suspicion.h
+++ b/src/groups/impl/peerobservations.h
@@ -4,7 +4,7 @@
 #include "base/ids.h"
 #include "base/mark.h"
 #include "base/time.h"
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 
 #include <cstddef>
 #include <vector>
@@ -18,11 +18,11 @@
 };
 
 /// The other owners' sightings of a group's primary.
-class Suspicion
+class PeerObservations
 {
 public:
     /// Takes in what \a peer says; at most a fixed number of peers is kept, the oldest is dropped first.
-    void onSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now);
+    void onObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now);
 
     /// Counts the peers that heard the primary of \a term, or one of a higher term, after \a since, and those that told
     /// after \a since that they have not heard it. Other peers are not counted.
@@ -32,14 +32,14 @@
     [[nodiscard]] Mark furthestLog(const MemberName &primary, const Term &term) const noexcept;
 
 private:
-    static constexpr std::size_t keptPeers = 4;
+    static constexpr std::size_t maxPeers = 4;
 
     struct Kept {
         InstanceName peer;
-        PeerSighting sighting;
+        PeerObservation observation;
         TimePoint receivedAt;
         /// When the peer last heard the primary.
-        TimePoint heardAt;
+        TimePoint lastContactAt;
     };
 
     std::vector<Kept> kept_;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -99,11 +99,11 @@
     return settle(now);
 }
 
-GroupActions GroupMonitor::onPeerSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now)
+GroupActions GroupMonitor::onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now)
 {
     begin(now);
-    suspicion_.onSighting(peer, sighting, now);
-    noteTerm(sighting.highest, now);
+    peerObservations_.onObservation(peer, observation, now);
+    noteTerm(observation.highest, now);
     return settle(now);
 }
 
@@ -177,19 +177,19 @@
     return view;
 }
 
-PeerSighting GroupMonitor::sighting(TimePoint now) const
+PeerObservation GroupMonitor::observation(TimePoint now) const
 {
-    PeerSighting sighting;
-    sighting.highest = highest_;
+    PeerObservation observation;
+    observation.highest = highest_;
     if (!primary_) {
-        return sighting;
+        return observation;
     }
     const auto *watch = find(primary_->member);
-    sighting.primary = primary_->member;
-    sighting.term = primary_->term;
-    sighting.log = watch->report()->log;
-    sighting.age = wholeMilliseconds(now - watch->heardAt());
-    return sighting;
+    observation.primary = primary_->member;
+    observation.term = primary_->term;
+    observation.log = watch->report()->log;
+    observation.contactAge = wholeMilliseconds(now - watch->heardAt());
+    return observation;
 }
 
 std::optional<MemberReport> GroupMonitor::lastReport(const MemberName &member) const
@@ -198,7 +198,7 @@
     return watch == nullptr ? std::nullopt : watch->report();
 }
 
-std::optional<Microseconds> GroupMonitor::age(const MemberName &member, TimePoint now) const
+std::optional<Microseconds> GroupMonitor::contactAge(const MemberName &member, TimePoint now) const
 {
     const auto *watch = find(member);
     if (watch == nullptr || !watch->everHeard()) {
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -7,11 +7,11 @@
 #include "base/time.h"
 #include "groups/action.h"
 #include "groups/impl/memberwatch.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
 #include "groups/member.h"
+#include "groups/peerobservation.h"
 #include "groups/policy.h"
-#include "groups/sighting.h"
 #include "groups/switchover.h"
 #include "members/member.h"
 
@@ -58,7 +58,7 @@
     onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now);
 
     /// Another owner told what it knows.
-    [[nodiscard]] GroupActions onPeerSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now);
+    [[nodiscard]] GroupActions onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now);
 
     /// A statement's exchange with \a member succeeded: a sign of life. Refusals by the member count too.
     [[nodiscard]] GroupActions onStatementEvidence(const MemberName &member, TimePoint now);
@@ -87,13 +87,13 @@
     [[nodiscard]] std::optional<PrimaryInfo> primary() const;
 
     /// What to tell the other owners.
-    [[nodiscard]] PeerSighting sighting(TimePoint now) const;
+    [[nodiscard]] PeerObservation observation(TimePoint now) const;
 
     /// The last report of \a member; none when it has not reported.
     [[nodiscard]] std::optional<MemberReport> lastReport(const MemberName &member) const;
 
     /// Time since the last sign of life of \a member; none when there was none or the member is unknown.
-    [[nodiscard]] std::optional<Microseconds> age(const MemberName &member, TimePoint now) const;
+    [[nodiscard]] std::optional<Microseconds> contactAge(const MemberName &member, TimePoint now) const;
 
     /// True while an own attempt is under way.
     [[nodiscard]] bool promoting() const noexcept;
@@ -181,7 +181,7 @@
     /// The last member that was known to lead.
     MemberName previousPrimary_;
     /// Other owners' sightings, at most one for each of Suspicion's bounded number of peers.
-    Suspicion suspicion_;
+    PeerObservations peerObservations_;
     /// How many promotions in a row did not mend replication.
     unsigned stalledPromotions_ = 0;
     TimePoint peersAskedAt_;
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorbelief.cpp
@@ -99,7 +99,7 @@
         return {};
     }
     const auto *watch = find(primary_->member);
-    return std::max(watch->report()->log, suspicion_.furthestLog(primary_->member, primary_->term));
+    return std::max(watch->report()->log, peerObservations_.furthestLog(primary_->member, primary_->term));
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitorneed.cpp
+++ b/src/groups/monitorneed.cpp
@@ -113,7 +113,7 @@
 // This owner's own verdict is one vote for a dead primary; a suspicion needs more votes for than against it.
 bool GroupMonitor::heldBack(const Term &term, TimePoint since) const
 {
-    const auto votes = suspicion_.votes(term, since);
+    const auto votes = peerObservations_.votes(term, since);
     const auto dead = votes.dead + 1;
     return votes.alive >= dead;
 }
--- a/src/groups/sighting.h
+++ b/src/groups/peerobservation.h
@@ -8,7 +8,7 @@
 namespace cardamomstep {
 
 /// Another owner's latest knowledge of a primary.
-struct PeerSighting {
+struct PeerObservation {
     /// The primary it believes in; empty when it knows of none.
     MemberName primary;
     /// Term of that primary.
@@ -18,9 +18,9 @@
     /// Last entry of the primary's log that it saw.
     Mark log;
     /// Time since its last sign of life from the primary.
-    Milliseconds age{0};
+    Milliseconds contactAge{0};
 
-    [[nodiscard]] bool operator==(const PeerSighting &) const = default;
+    [[nodiscard]] bool operator==(const PeerObservation &) const = default;
 };
 
 } // namespace cardamomstep
--- a/src/owner/groupowner.cpp
+++ b/src/owner/groupowner.cpp
@@ -66,10 +66,10 @@
     core_->feed(trace::SetPolicy{policy});
 }
 
-void GroupOwner::onPeerSighting(const InstanceName &peer, const PeerSighting &sighting)
+void GroupOwner::onPeerSighting(const InstanceName &peer, const PeerObservation &sighting)
 {
     const std::lock_guard lock(core_->mutex);
-    core_->feed(trace::Sighting{peer, sighting});
+    core_->feed(trace::Observation{peer, sighting});
 }
 
 void GroupOwner::hold(Milliseconds span)
@@ -117,10 +117,10 @@
     return std::any_of(core_->members.begin(), core_->members.end(), hasWaiters);
 }
 
-PeerSighting GroupOwner::sighting() const
+PeerObservation GroupOwner::sighting() const
 {
     const std::lock_guard lock(core_->mutex);
-    return core_->monitor.sighting(steadyNow());
+    return core_->monitor.observation(steadyNow());
 }
 
 std::vector<MemberName> GroupOwner::busyMembers() const
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -1,7 +1,7 @@
 // The owner of one database group on this proxy: carries its statements and looks after its primary.
 #pragma once
 
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 #include "owner/fwd.h"
 #include "owner/options.h"
 #include "owner/transactions.h"
@@ -49,7 +49,7 @@
     void setPolicy(const GroupPolicy &policy);
 
     /// Takes in what another owner knows.
-    void onPeerSighting(const InstanceName &peer, const PeerSighting &sighting);
+    void onPeerSighting(const InstanceName &peer, const PeerObservation &sighting);
 
     /// Takes in that another owner holds writes for \a span; zero releases them.
     void hold(Milliseconds span);
@@ -70,7 +70,7 @@
     [[nodiscard]] bool waitsForConnection() const;
 
     /// What to tell the other owners.
-    [[nodiscard]] PeerSighting sighting() const;
+    [[nodiscard]] PeerObservation sighting() const;
 
     /// Members at which this proxy has statements or transactions.
     [[nodiscard]] std::vector<MemberName> busyMembers() const;
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -274,7 +274,7 @@
     message.set_term(toText(sighting.seen.term));
     message.set_highest(toText(sighting.seen.highest));
     message.set_log(toText(sighting.seen.log));
-    message.set_age_ms(sighting.seen.age.count());
+    message.set_age_ms(sighting.seen.contactAge.count());
     message.set_hold_ms(sighting.hold ? sighting.hold->count() : absent);
     message.set_revision(sighting.revision.value);
     message.set_transactions(sighting.transactions);
@@ -293,7 +293,7 @@
     sighting.seen.term = termOrNone(message.term());
     sighting.seen.highest = termOrNone(message.highest());
     sighting.seen.log = markOrNone(message.log());
-    sighting.seen.age = Milliseconds{message.age_ms()};
+    sighting.seen.contactAge = Milliseconds{message.age_ms()};
     if (message.hold_ms() >= 0) {
         sighting.hold = Milliseconds{message.hold_ms()};
     }
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -4,7 +4,7 @@
 #include "base/ids.h"
 #include "base/time.h"
 #include "configuration/spread.h"
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 #include "membership/view.h"
 #include "peer/fwd.h"
 
@@ -26,7 +26,7 @@
 struct Sighting {
     InstanceName from;
     GroupName group;
-    PeerSighting seen;
+    PeerObservation seen;
     /// Hold writes for this long; zero releases them; absent says nothing about it.
     std::optional<Milliseconds> hold;
     /// Members at which the sender has statements or transactions.
--- a/src/trace/groupinput.cpp
+++ b/src/trace/groupinput.cpp
@@ -34,9 +34,9 @@
     {
         return monitor_.onOrderFailure(input.member, input.kind, input.term, input.failure, now_);
     }
-    GroupActions operator()(const Sighting &input)
+    GroupActions operator()(const Observation &input)
     {
-        return monitor_.onPeerSighting(input.peer, input.sighting, now_);
+        return monitor_.onPeerObservation(input.peer, input.observation, now_);
     }
     GroupActions operator()(const StatementEvidence &input)
     {
--- a/src/trace/groupinput.h
+++ b/src/trace/groupinput.h
@@ -39,9 +39,9 @@
     LinkFailure failure;
 };
 /// GroupMonitor::onPeerSighting().
-struct Sighting {
+struct Observation {
     InstanceName peer;
-    PeerSighting sighting;
+    PeerObservation observation;
 };
 /// GroupMonitor::onStatementEvidence().
 struct StatementEvidence {
@@ -74,7 +74,7 @@
                                 ReportFailure,
                                 OrderReply,
                                 OrderFailure,
-                                Sighting,
+                                Observation,
                                 StatementEvidence,
                                 SetRank,
                                 SetMembers,
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -108,9 +108,9 @@
                 {"term", toText(input.term)},
                 {"failure", write(input.failure)}};
     }
-    Json operator()(const Sighting &input) const
+    Json operator()(const Observation &input) const
     {
-        return {{"kind", "peer-sighting"}, {"peer", input.peer.text()}, {"sighting", write(input.sighting)}};
+        return {{"kind", "peer-sighting"}, {"peer", input.peer.text()}, {"sighting", write(input.observation)}};
     }
     Json operator()(const StatementEvidence &input) const
     {
@@ -167,7 +167,7 @@
             memberIn(json), impl::readOrder(json.at("order")), impl::readTerm(json.at("term")), impl::readFailure(json.at("failure"))};
     }
     if (kind == "peer-sighting") {
-        return Sighting{InstanceName{json.at("peer").get<std::string>()}, impl::readSighting(json.at("sighting"))};
+        return Observation{InstanceName{json.at("peer").get<std::string>()}, impl::readObservation(json.at("sighting"))};
     }
     if (kind == "statement-evidence") {
         return StatementEvidence{memberIn(json)};
--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -113,13 +113,13 @@
     return {{"accepted", reply.accepted}, {"report", write(reply.report)}};
 }
 
-Json write(const PeerSighting &sighting)
+Json write(const PeerObservation &observation)
 {
-    return {{"primary", sighting.primary.text()},
-            {"term", toText(sighting.term)},
-            {"highest", toText(sighting.highest)},
-            {"log", toText(sighting.log)},
-            {"ageMs", sighting.age.count()}};
+    return {{"primary", observation.primary.text()},
+            {"term", toText(observation.term)},
+            {"highest", toText(observation.highest)},
+            {"log", toText(observation.log)},
+            {"ageMs", observation.contactAge.count()}};
 }
 
 Json write(const std::vector<GroupMember> &members)
@@ -183,7 +183,7 @@
     return {json.at("accepted").get<bool>(), readReport(json.at("report"))};
 }
 
-PeerSighting readSighting(const Json &json)
+PeerObservation readObservation(const Json &json)
 {
     return {MemberName{json.at("primary").get<std::string>()},
             readTerm(json.at("term")),
--- a/src/trace/impl/values.h
+++ b/src/trace/impl/values.h
@@ -24,7 +24,7 @@
 [[nodiscard]] Json write(const MemberReport &report);
 [[nodiscard]] Json write(const LinkFailure &failure);
 [[nodiscard]] Json write(const TermReply &reply);
-[[nodiscard]] Json write(const PeerSighting &sighting);
+[[nodiscard]] Json write(const PeerObservation &observation);
 [[nodiscard]] Json write(const std::vector<GroupMember> &members);
 [[nodiscard]] Json write(const GroupPolicy &policy);
 [[nodiscard]] Json write(OrderKind kind);
@@ -34,7 +34,7 @@
 [[nodiscard]] MemberReport readReport(const Json &json);
 [[nodiscard]] LinkFailure readFailure(const Json &json);
 [[nodiscard]] TermReply readReply(const Json &json);
-[[nodiscard]] PeerSighting readSighting(const Json &json);
+[[nodiscard]] PeerObservation readObservation(const Json &json);
 [[nodiscard]] std::vector<GroupMember> readMembers(const Json &json);
 [[nodiscard]] GroupPolicy readPolicy(const Json &json);
 [[nodiscard]] OrderKind readOrder(const Json &json);
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -505,14 +505,14 @@
         at(now + gossipInterval, [this, proxy] { gossip(proxy, true); });
     }
     const InstanceName name{"p" + std::to_string(proxy)};
-    const auto sighting = proxies[proxy].monitor->sighting(now);
+    const auto sighting = proxies[proxy].monitor->observation(now);
     for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
         if (peer == proxy) {
             continue;
         }
         send(proxy, peer, [this, peer, name, sighting] {
             if (proxies[peer].alive) {
-                perform(peer, proxies[peer].monitor->onPeerSighting(name, sighting, now));
+                perform(peer, proxies[peer].monitor->onPeerObservation(name, sighting, now));
             }
         });
     }
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,8 +1,8 @@
 // The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
 #include "groups/coverage.h"
 #include "groups/impl/memberwatch.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/pacing.h"
@@ -238,10 +238,10 @@
 
 Test(groups, peersVotesNeedFreshNews)
 {
-    Suspicion suspicion;
-    suspicion.onSighting(InstanceName{"p"}, PeerSighting{a, first, first, Mark{first, 9}, Milliseconds{10}}, at(100));
-    suspicion.onSighting(InstanceName{"q"}, PeerSighting{a, first, first, Mark{first, 4}, Milliseconds{300}}, at(100));
-    suspicion.onSighting(InstanceName{"r"}, PeerSighting{}, at(100));
+    PeerObservations suspicion;
+    suspicion.onObservation(InstanceName{"p"}, PeerObservation{a, first, first, Mark{first, 9}, Milliseconds{10}}, at(100));
+    suspicion.onObservation(InstanceName{"q"}, PeerObservation{a, first, first, Mark{first, 4}, Milliseconds{300}}, at(100));
+    suspicion.onObservation(InstanceName{"r"}, PeerObservation{}, at(100));
     const auto fresh = suspicion.votes(first, at(50));
     cr_assert(fresh.alive == 1 && fresh.dead == 1);
     const auto stale = suspicion.votes(first, at(200));
@@ -280,7 +280,7 @@
     (void)monitor.setMembers({members[1], members[2]}, at(10));
     cr_assert(!monitor.primary());
     cr_assert(!monitor.lastReport(a) && monitor.lastReport(b));
-    cr_assert(!monitor.age(a, at(20)) && *monitor.age(b, at(20)) == Milliseconds{15});
+    cr_assert(!monitor.contactAge(a, at(20)) && *monitor.contactAge(b, at(20)) == Milliseconds{15});
 }
 
 Test(groups, refusalByAHigherTermEndsTheAttempt)
@@ -308,7 +308,7 @@
     const TermReply refused{false, report(b, Term{9, 1}, Mark{})};
     cr_assert(!holdsLead(monitor.onOrderReply(b, OrderKind::Adopt, term, refused, at(5), at(12))));
     cr_assert(!monitor.promoting());
-    cr_assert_eq(monitor.sighting(at(12)).highest.number, 9);
+    cr_assert_eq(monitor.observation(at(12)).highest.number, 9);
     const TermReply late{true, report(c, term, Mark{})};
     cr_assert(!holdsLead(monitor.onOrderReply(c, OrderKind::Adopt, term, late, at(5), at(13))), "the attempt has ended");
 }
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -311,7 +311,7 @@
                                              ReportFailure{report.member, {LinkFault::Corrupt, flag, {}}},
                                              OrderReply{report.member, OrderKind::Lead, term, {flag, report}, time},
                                              OrderFailure{report.member, OrderKind::Follow, term, {LinkFault::TimedOut, flag, {}}},
-                                             Sighting{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
+                                             Observation{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
                                              StatementEvidence{report.member},
                                              SetRank{3},
                                              SetMembers{{{report.member, Address{"10.0.0.1:1"}}}},
