--- a/src/groups/action.h
+++ b/src/groups/action.h
@@ -68,16 +68,16 @@
 };
 
 /// Ask the group's other owners for their PeerSighting now.
-struct AskPeers {
+struct QueryPeers {
 };
 
 /// Hold new writes to this group, here and at its other owners, until released or until \a until.
-struct HoldWrites {
+struct PauseWrites {
     TimePoint until;
 };
 
 /// Let held writes go on, here and at the group's other owners.
-struct ReleaseWrites {
+struct ResumeWrites {
 };
 
 /// A member leads at a new term.
@@ -123,7 +123,7 @@
 };
 
 /// One thing to do.
-using GroupAction = std::variant<SendReport, SendAdopt, SendLead, SendFollow, AskPeers, HoldWrites, ReleaseWrites, PrimaryChanged, Note>;
+using GroupAction = std::variant<SendReport, SendAdopt, SendLead, SendFollow, QueryPeers, PauseWrites, ResumeWrites, PrimaryChanged, Note>;
 
 /// Things to do, in order.
 using GroupActions = std::vector<GroupAction>;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -34,7 +34,7 @@
     , policy_(policy)
     , random_(seed)
     , foreignUntil_(now)
-    , peersAskedAt_(now)
+    , peersQueriedAt_(now)
     , lastForgiven_(now)
     , startAt_(now)
     , backOffUntil_(now)
@@ -156,7 +156,7 @@
     return settle(now);
 }
 
-GroupActions GroupMonitor::onPeerHold(TimePoint until, TimePoint now)
+GroupActions GroupMonitor::onPeerWritePause(TimePoint until, TimePoint now)
 {
     begin(now);
     switchoverAllowedAt_ = std::max(switchoverAllowedAt_, until + policy_.switchoverRetry + rank_ * policy_.holdLimit);
@@ -231,7 +231,7 @@
     advancePromotion(now);
     refreshNeed(now);
     advanceSwitchover(now);
-    askPeers(now);
+    queryPeers(now);
     redirectMembers(now);
     sendReports(now);
     planWake(now);
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -78,7 +78,7 @@
     [[nodiscard]] GroupActions requestSwitchover(const MemberName &leaving, TimePoint now);
 
     /// Another owner holds writes for a switchover until \a until: this one begins none of its own meanwhile.
-    [[nodiscard]] GroupActions onPeerHold(TimePoint until, TimePoint now);
+    [[nodiscard]] GroupActions onPeerWritePause(TimePoint until, TimePoint now);
 
     /// When tick() must be called at the latest.
     [[nodiscard]] TimePoint nextWake() const noexcept;
@@ -143,7 +143,7 @@
     [[nodiscard]] Microseconds replicationBound() const noexcept;
     [[nodiscard]] Microseconds rankDelay();
     [[nodiscard]] std::size_t reachableMembers(const MemberName &without, TimePoint now) const;
-    void askPeers(TimePoint now);
+    void queryPeers(TimePoint now);
 
     // Attempts, in monitorattempt.cpp
     void startPromotion(PromotionReason reason, TimePoint detectedAt, TimePoint now);
@@ -184,7 +184,7 @@
     PeerObservations peerObservations_;
     /// How many promotions in a row did not mend replication.
     unsigned stalledPromotions_ = 0;
-    TimePoint peersAskedAt_;
+    TimePoint peersQueriedAt_;
     /// True once the present silence was noted as held back by other owners.
     bool heldBackNoted_ = false;
     TimePoint lastForgiven_;
--- a/src/groups/monitorneed.cpp
+++ b/src/groups/monitorneed.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// How long before a suspicion the other owners are asked, and how often.
-constexpr Milliseconds peerAskLead{40};
+constexpr Milliseconds peerQueryLead{40};
 
 } // namespace
 
@@ -162,18 +162,18 @@
     return static_cast<std::size_t>(std::count_if(watches_.begin(), watches_.end(), counts));
 }
 
-void GroupMonitor::askPeers(TimePoint now)
+void GroupMonitor::queryPeers(TimePoint now)
 {
-    if (!primary_ || promotion_ || now - peersAskedAt_ < peerAskLead) {
+    if (!primary_ || promotion_ || now - peersQueriedAt_ < peerQueryLead) {
         return;
     }
     const auto &watch = *find(primary_->member);
-    const auto askFrom = watch.heardAt() + policy_.suspectAfter() - peerAskLead;
-    if (now < askFrom) {
+    const auto queryFrom = watch.heardAt() + policy_.suspectAfter() - peerQueryLead;
+    if (now < queryFrom) {
         return;
     }
-    peersAskedAt_ = now;
-    actions_.emplace_back(AskPeers{});
+    peersQueriedAt_ = now;
+    actions_.emplace_back(QueryPeers{});
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitorupkeep.cpp
+++ b/src/groups/monitorupkeep.cpp
@@ -119,7 +119,7 @@
     }
     switchover_.start(primary_->member, policy_, now);
     note(NoteKind::SwitchoverStarted, primary_->member, primary_->term, PromotionReason::Switchover);
-    actions_.emplace_back(HoldWrites{switchover_.deadline()});
+    actions_.emplace_back(PauseWrites{switchover_.deadline()});
 }
 
 void GroupMonitor::endSwitchover(NoteKind kind, TimePoint now)
@@ -130,13 +130,13 @@
         leaving_ = MemberName{};
         primaryLeaves_ = false;
         abandonedSwitchovers_ = 0;
-        actions_.emplace_back(ReleaseWrites{});
+        actions_.emplace_back(ResumeWrites{});
         return;
     }
     constexpr unsigned largestShift = 3;
     switchoverAllowedAt_ = now + policy_.switchoverRetry * (1U << std::min(abandonedSwitchovers_, largestShift));
     ++abandonedSwitchovers_;
-    actions_.emplace_back(ReleaseWrites{});
+    actions_.emplace_back(ResumeWrites{});
 }
 
 void GroupMonitor::planWake(TimePoint now)
--- a/src/owner/groupowner.cpp
+++ b/src/owner/groupowner.cpp
@@ -76,7 +76,7 @@
 {
     const std::lock_guard lock(core_->mutex);
     core_->heldUntil = span.count() > 0 ? steadyNow() + span : TimePoint{};
-    core_->feed(trace::PeerHold{core_->heldUntil});
+    core_->feed(trace::PeerWritePause{core_->heldUntil});
     core_->primaryWaiters.signalAll();
 }
 
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -119,12 +119,12 @@
                        [this](const SendAdopt &send) { sendOrder(send.member, OrderKind::Adopt, send.term, nullptr, send.timeout); },
                        [this](const SendLead &send) { sendOrder(send.member, OrderKind::Lead, send.term, nullptr, send.timeout); },
                        [this](const SendFollow &send) { sendOrder(send.member, OrderKind::Follow, send.term, &send, send.timeout); },
-                       [this](const AskPeers & /*ask*/) { events.askPeers(options.group); },
-                       [this](const HoldWrites &hold) {
+                       [this](const QueryPeers & /*ask*/) { events.askPeers(options.group); },
+                       [this](const PauseWrites &hold) {
                            heldUntil = hold.until;
                            events.holdPeers(options.group, wholeMilliseconds(hold.until - steadyNow()));
                        },
-                       [this](const ReleaseWrites & /*release*/) {
+                       [this](const ResumeWrites & /*release*/) {
                            heldUntil = TimePoint{};
                            primaryWaiters.signalAll();
                            events.holdPeers(options.group, Milliseconds{0});
--- a/src/trace/groupinput.cpp
+++ b/src/trace/groupinput.cpp
@@ -58,9 +58,9 @@
     {
         return monitor_.requestSwitchover(input.leaving, now_);
     }
-    GroupActions operator()(const PeerHold &input)
+    GroupActions operator()(const PeerWritePause &input)
     {
-        return monitor_.onPeerHold(input.until, now_);
+        return monitor_.onPeerWritePause(input.until, now_);
     }
 
 private:
--- a/src/trace/groupinput.h
+++ b/src/trace/groupinput.h
@@ -64,7 +64,7 @@
     MemberName leaving;
 };
 /// GroupMonitor::onPeerHold().
-struct PeerHold {
+struct PeerWritePause {
     TimePoint until;
 };
 
@@ -80,7 +80,7 @@
                                 SetMembers,
                                 SetPolicy,
                                 RequestSwitchover,
-                                PeerHold>;
+                                PeerWritePause>;
 
 /// Gives \a input to \a monitor at \a now.
 [[nodiscard]] GroupActions apply(GroupMonitor &monitor, const GroupInput &input, TimePoint now);
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -37,15 +37,15 @@
         json["address"] = action.address.text();
         return json;
     }
-    Json operator()(const AskPeers & /*action*/) const
+    Json operator()(const QueryPeers & /*action*/) const
     {
         return {{"kind", "ask-peers"}};
     }
-    Json operator()(const HoldWrites &action) const
+    Json operator()(const PauseWrites &action) const
     {
         return {{"kind", "hold-writes"}, {"until", write(action.until)}};
     }
-    Json operator()(const ReleaseWrites & /*action*/) const
+    Json operator()(const ResumeWrites & /*action*/) const
     {
         return {{"kind", "release-writes"}};
     }
@@ -132,7 +132,7 @@
     {
         return {{"kind", "request-switchover"}, {"leaving", input.leaving.text()}};
     }
-    Json operator()(const PeerHold &input) const
+    Json operator()(const PeerWritePause &input) const
     {
         return {{"kind", "peer-hold"}, {"until", write(input.until)}};
     }
@@ -185,7 +185,7 @@
         return RequestSwitchover{MemberName{json.at("leaving").get<std::string>()}};
     }
     if (kind == "peer-hold") {
-        return PeerHold{impl::readTime(json.at("until"))};
+        return PeerWritePause{impl::readTime(json.at("until"))};
     }
     throw impl::BadValue("unknown input \"" + kind + "\"");
 }
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -262,14 +262,14 @@
         order(proxy, indexOf(lead->member), OrderKind::Lead, lead->term, -1, lead->timeout);
     } else if (const auto *follow = std::get_if<SendFollow>(&action)) {
         order(proxy, indexOf(follow->member), OrderKind::Follow, follow->term, indexOf(follow->primary), follow->timeout);
-    } else if (std::holds_alternative<AskPeers>(action)) {
+    } else if (std::holds_alternative<QueryPeers>(action)) {
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
             if (peer != proxy) {
                 send(proxy, peer, [this, peer] { gossip(peer, false); });
             }
         }
-    } else if (std::holds_alternative<HoldWrites>(action) || std::holds_alternative<ReleaseWrites>(action)) {
-        const auto *hold = std::get_if<HoldWrites>(&action);
+    } else if (std::holds_alternative<PauseWrites>(action) || std::holds_alternative<ResumeWrites>(action)) {
+        const auto *hold = std::get_if<PauseWrites>(&action);
         const bool held = hold != nullptr;
         const auto until = held ? hold->until : now;
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
@@ -280,7 +280,7 @@
             send(proxy, peer, [this, peer, held, until] {
                 proxies[peer].heldUntil = until;
                 if (held && proxies[peer].alive) {
-                    perform(peer, proxies[peer].monitor->onPeerHold(until, now));
+                    perform(peer, proxies[peer].monitor->onPeerWritePause(until, now));
                 }
             });
         }
--- a/tests/groups/test_monitor.cpp
+++ b/tests/groups/test_monitor.cpp
@@ -431,7 +431,7 @@
     const auto before = cluster.term();
     const int old = cluster.primary();
     cluster.beforeAction = [&](int, const GroupAction &action) {
-        if (std::holds_alternative<HoldWrites>(action)) {
+        if (std::holds_alternative<PauseWrites>(action)) {
             cluster.kill(old);
         }
         return true;
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -317,7 +317,7 @@
                                              SetMembers{{{report.member, Address{"10.0.0.1:1"}}}},
                                              SetPolicy{policy},
                                              RequestSwitchover{report.member},
-                                             PeerHold{time}};
+                                             PeerWritePause{time}};
         RC_ASSERT(inputs.size() == std::variant_size_v<GroupInput>);
         for (std::size_t index = 0; index < inputs.size(); ++index) {
             RC_ASSERT(inputs[index].index() == index);
