--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -221,7 +221,7 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    events.note = [](const GroupName &group, const Note &note) {
+    events.note = [](const GroupName &group, const AuditEvent &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
--- a/src/groups/action.cpp
+++ b/src/groups/action.cpp
@@ -10,7 +10,7 @@
         return "observed";
     case PromotionReason::Bootstrap:
         return "bootstrap";
-    case PromotionReason::PrimaryGone:
+    case PromotionReason::PrimaryDown:
         return "primary-gone";
     case PromotionReason::PrimarySilent:
         return "primary-silent";
@@ -26,32 +26,32 @@
     return "unknown";
 }
 
-std::string_view toText(NoteKind kind) noexcept
+std::string_view toText(AuditEventKind kind) noexcept
 {
     switch (kind) {
-    case NoteKind::PrimarySuspected:
+    case AuditEventKind::PrimarySuspected:
         return "primary-suspected";
-    case NoteKind::SuspicionHeldBack:
+    case AuditEventKind::SuspicionOverruled:
         return "suspicion-held-back";
-    case NoteKind::SuspicionCleared:
+    case AuditEventKind::SuspicionCleared:
         return "suspicion-cleared";
-    case NoteKind::PrimaryLost:
+    case AuditEventKind::PrimaryLost:
         return "primary-lost";
-    case NoteKind::PromotionStarted:
+    case AuditEventKind::PromotionStarted:
         return "promotion-started";
-    case NoteKind::PromotionAbandoned:
+    case AuditEventKind::PromotionAbandoned:
         return "promotion-abandoned";
-    case NoteKind::PrimaryConfirmed:
+    case AuditEventKind::PrimaryConfirmed:
         return "primary-confirmed";
-    case NoteKind::MemberRedirected:
+    case AuditEventKind::MemberRedirected:
         return "member-redirected";
-    case NoteKind::SwitchoverStarted:
+    case AuditEventKind::SwitchoverStarted:
         return "switchover-started";
-    case NoteKind::SwitchoverAbandoned:
+    case AuditEventKind::SwitchoverAbandoned:
         return "switchover-abandoned";
-    case NoteKind::SwitchoverFinished:
+    case AuditEventKind::SwitchoverFinished:
         return "switchover-finished";
-    case NoteKind::OwnPause:
+    case AuditEventKind::LocalPause:
         return "own-pause";
     }
     return "unknown";
--- a/src/groups/action.h
+++ b/src/groups/action.h
@@ -24,7 +24,7 @@
 enum class PromotionReason : std::uint8_t {
     Observed, ///< Another owner promoted; this one only saw the result.
     Bootstrap, ///< No member has adopted a term yet.
-    PrimaryGone, ///< The primary refuses connections: its process is gone.
+    PrimaryDown, ///< The primary refuses connections: its process is gone.
     PrimarySilent, ///< No sign of life from the primary for the silence bound.
     PrimaryStalled, ///< The primary's entries reach no majority.
     NoPrimary, ///< No member leads, for example after an attempt that was left unfinished.
@@ -96,9 +96,9 @@
 };
 
 /// Kinds of events for the log and the audit trail.
-enum class NoteKind : std::uint8_t {
+enum class AuditEventKind : std::uint8_t {
     PrimarySuspected, ///< `member` is suspected; `reason` says why.
-    SuspicionHeldBack, ///< Other owners hear the primary.
+    SuspicionOverruled, ///< Other owners hear the primary.
     SuspicionCleared, ///< The suspected primary gave a sign of life.
     PrimaryLost, ///< `member` no longer leads.
     PromotionStarted, ///< An attempt at `term` began.
@@ -108,22 +108,23 @@
     SwitchoverStarted, ///< The switchover away from `member` began.
     SwitchoverAbandoned, ///< No replica could take over in time; `member` goes on leading.
     SwitchoverFinished, ///< Another member leads.
-    OwnPause, ///< This process itself stood still; silence is measured anew.
+    LocalPause, ///< This process itself stood still; silence is measured anew.
 };
 
 /// "primary-suspected" and so on.
-[[nodiscard]] std::string_view toText(NoteKind kind) noexcept;
+[[nodiscard]] std::string_view toText(AuditEventKind kind) noexcept;
 
 /// An event for the log and the audit trail.
-struct Note {
-    NoteKind kind = NoteKind::PrimarySuspected;
+struct AuditEvent {
+    AuditEventKind kind = AuditEventKind::PrimarySuspected;
     MemberName member;
     Term term;
     PromotionReason reason = PromotionReason::Observed;
 };
 
 /// One thing to do.
-using GroupAction = std::variant<SendReport, SendAdopt, SendLead, SendFollow, QueryPeers, PauseWrites, ResumeWrites, PrimaryChanged, Note>;
+using GroupAction =
+    std::variant<SendReport, SendAdopt, SendLead, SendFollow, QueryPeers, PauseWrites, ResumeWrites, PrimaryChanged, AuditEvent>;
 
 /// Things to do, in order.
 using GroupActions = std::vector<GroupAction>;
--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -11,7 +11,7 @@
 struct PrimaryInfo;
 enum class OrderKind : std::uint8_t;
 enum class PromotionReason : std::uint8_t;
-enum class NoteKind : std::uint8_t;
+enum class AuditEventKind : std::uint8_t;
 enum class Coverage : std::uint8_t;
 class AckTracker;
 class GroupMonitor;
--- a/src/groups/impl/memberwatch.cpp
+++ b/src/groups/impl/memberwatch.cpp
@@ -139,7 +139,7 @@
     return now + policy.refusalRetry;
 }
 
-void MemberWatch::forgive(Microseconds span, TimePoint now) noexcept
+void MemberWatch::discountPause(Microseconds span, TimePoint now) noexcept
 {
     heardAt_ = std::min(now, heardAt_ + span);
 }
--- a/src/groups/impl/memberwatch.h
+++ b/src/groups/impl/memberwatch.h
@@ -44,7 +44,7 @@
     /// An exchange failed; returns when a report may be asked for again.
     TimePoint onFailure(const LinkFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
     /// The observer itself stood still for \a span: silence does not count for that time.
-    void forgive(Microseconds span, TimePoint now) noexcept;
+    void discountPause(Microseconds span, TimePoint now) noexcept;
 
     /// True when the process is known to be gone: refused twice in a short time without a sign of life since.
     [[nodiscard]] bool gone() const noexcept;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /// Lateness of a tick beyond which this process itself is taken to have stood still.
-constexpr Milliseconds ownPauseLimit{20};
+constexpr Milliseconds localPauseThreshold{20};
 /// Time given to replies that wait in this process after a pause of its own.
-constexpr Milliseconds ownPauseGrace{10};
+constexpr Milliseconds localPauseGrace{10};
 /// Own pauses from here on are worth a note.
-constexpr Milliseconds notedOwnPause{100};
+constexpr Milliseconds recordedLocalPause{100};
 
 std::vector<MemberWatch> watchesFor(const std::vector<GroupMember> &members, TimePoint now)
 {
@@ -35,7 +35,7 @@
     , random_(seed)
     , foreignUntil_(now)
     , peersQueriedAt_(now)
-    , lastForgiven_(now)
+    , lastDiscountedAt_(now)
     , startAt_(now)
     , backOffUntil_(now)
     , switchoverAllowedAt_(now)
@@ -103,7 +103,7 @@
 {
     begin(now);
     peerObservations_.onObservation(peer, observation, now);
-    noteTerm(observation.highest, now);
+    observeTerm(observation.highest, now);
     return settle(now);
 }
 
@@ -220,7 +220,7 @@
 void GroupMonitor::begin(TimePoint now)
 {
     actions_.clear();
-    forgiveOwnPause(now);
+    discountLocalPause(now);
 }
 
 GroupActions GroupMonitor::settle(TimePoint now)
@@ -240,32 +240,32 @@
 
 // A process that stood still has heard nobody, which says nothing about the members. At most one pause in each
 // silence bound is forgiven, so that a process that is always late still detects failures.
-void GroupMonitor::forgiveOwnPause(TimePoint now)
+void GroupMonitor::discountLocalPause(TimePoint now)
 {
-    const auto late = now - wake_;
-    if (late <= ownPauseLimit || now - lastForgiven_ < policy_.silenceBound) {
+    const auto lateness = now - wake_;
+    if (lateness <= localPauseThreshold || now - lastDiscountedAt_ < policy_.silenceBound) {
         return;
     }
-    lastForgiven_ = now;
+    lastDiscountedAt_ = now;
     for (auto &watch : watches_) {
-        watch.forgive(late + ownPauseGrace, now);
+        watch.discountPause(lateness + localPauseGrace, now);
     }
-    if (late >= notedOwnPause) {
-        note(NoteKind::OwnPause, MemberName{}, Term{});
+    if (lateness >= recordedLocalPause) {
+        recordEvent(AuditEventKind::LocalPause, MemberName{}, Term{});
     }
 }
 
 void GroupMonitor::learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
     watch.onState(report, sentAt, now);
-    noteTerm(report.adopted, now);
-    noteTerm(report.log.term, now);
+    observeTerm(report.adopted, now);
+    observeTerm(report.log.term, now);
     if (promotion_) {
         promotion_->onAdopted(report);
     }
 }
 
-void GroupMonitor::noteTerm(const Term &term, TimePoint now)
+void GroupMonitor::observeTerm(const Term &term, TimePoint now)
 {
     if (term <= highest_) {
         return;
@@ -274,9 +274,9 @@
     foreignUntil_ = now + policy_.attemptPatience + rankDelay();
 }
 
-void GroupMonitor::note(NoteKind kind, const MemberName &member, const Term &term, PromotionReason reason)
+void GroupMonitor::recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason)
 {
-    actions_.emplace_back(Note{kind, member, term, reason});
+    actions_.emplace_back(AuditEvent{kind, member, term, reason});
 }
 
 MemberWatch *GroupMonitor::find(const MemberName &member) noexcept
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -110,10 +110,10 @@
     // Inputs, in monitor.cpp
     void begin(TimePoint now);
     [[nodiscard]] GroupActions settle(TimePoint now);
-    void forgiveOwnPause(TimePoint now);
+    void discountLocalPause(TimePoint now);
     void learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now);
-    void noteTerm(const Term &term, TimePoint now);
-    void note(NoteKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
+    void observeTerm(const Term &term, TimePoint now);
+    void recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
     [[nodiscard]] MemberWatch *find(const MemberName &member) noexcept;
     [[nodiscard]] const MemberWatch *find(const MemberName &member) const noexcept;
     [[nodiscard]] std::size_t majority() const noexcept;
@@ -137,7 +137,7 @@
     [[nodiscard]] std::optional<PromotionReason> findNeed(TimePoint now);
     [[nodiscard]] std::optional<PromotionReason> needWithoutPrimary(TimePoint now) const;
     [[nodiscard]] std::optional<PromotionReason> needWithPrimary(TimePoint now);
-    [[nodiscard]] bool heldBack(const Term &term, TimePoint since) const;
+    [[nodiscard]] bool overruledByPeers(const Term &term, TimePoint since) const;
     [[nodiscard]] bool primaryStalled(TimePoint now) const;
     [[nodiscard]] bool termStranded(TimePoint now) const;
     [[nodiscard]] Microseconds replicationBound() const noexcept;
@@ -160,7 +160,7 @@
     void advanceSwitchover(TimePoint now);
     [[nodiscard]] bool primaryLeaving() const;
     void startSwitchover(TimePoint now);
-    void endSwitchover(NoteKind kind, TimePoint now);
+    void endSwitchover(AuditEventKind kind, TimePoint now);
     void planWake(TimePoint now);
     void wakeAt(TimePoint when, TimePoint now) noexcept;
 
@@ -186,8 +186,8 @@
     unsigned stalledPromotions_ = 0;
     TimePoint peersQueriedAt_;
     /// True once the present silence was noted as held back by other owners.
-    bool heldBackNoted_ = false;
-    TimePoint lastForgiven_;
+    bool overrulingRecorded_ = false;
+    TimePoint lastDiscountedAt_;
 
     std::optional<Need> need_;
     /// Earliest start of an attempt for need_.
--- a/src/groups/monitorattempt.cpp
+++ b/src/groups/monitorattempt.cpp
@@ -29,7 +29,7 @@
         plan.patientUntil = now + policy_.orderTimeout;
     }
     highest_ = plan.term;
-    note(NoteKind::PromotionStarted, MemberName{}, plan.term, reason);
+    recordEvent(AuditEventKind::PromotionStarted, MemberName{}, plan.term, reason);
     promotion_.emplace(plan, watches_.size());
     need_.reset();
     sendPromotionOrders(now);
@@ -95,7 +95,7 @@
 // After the pause the belief about the primary is fresh again: a rival that led ends the need.
 void GroupMonitor::abandonPromotion(TimePoint now)
 {
-    note(NoteKind::PromotionAbandoned, promotion_->candidate(), promotion_->term(), promotion_->plan().reason);
+    recordEvent(AuditEventKind::PromotionAbandoned, promotion_->candidate(), promotion_->term(), promotion_->plan().reason);
     promotion_.reset();
     constexpr unsigned largestShift = 10;
     const Microseconds longest = std::min(policy_.backOffMin * (1U << std::min(failedAttempts_, largestShift)), policy_.backOffMax);
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorbelief.cpp
@@ -53,7 +53,7 @@
 
 void GroupMonitor::losePrimary()
 {
-    note(NoteKind::PrimaryLost, primary_->member, primary_->term);
+    recordEvent(AuditEventKind::PrimaryLost, primary_->member, primary_->term);
     primary_.reset();
 }
 
@@ -72,7 +72,7 @@
     primary_->confirmed = true;
     failedAttempts_ = 0;
     stalledPromotions_ = 0;
-    note(NoteKind::PrimaryConfirmed, primary_->member, primary_->term);
+    recordEvent(AuditEventKind::PrimaryConfirmed, primary_->member, primary_->term);
 }
 
 void GroupMonitor::refreshReplication(TimePoint now)
--- a/src/groups/monitorneed.cpp
+++ b/src/groups/monitorneed.cpp
@@ -40,7 +40,7 @@
         return;
     }
     if (primary_) {
-        note(NoteKind::PrimarySuspected, primary_->member, primary_->term, reason);
+        recordEvent(AuditEventKind::PrimarySuspected, primary_->member, primary_->term, reason);
     }
     if (need_) {
         need_->reason = reason;
@@ -56,7 +56,7 @@
 void GroupMonitor::clearNeed()
 {
     if (need_ && primary_ && need_->reason != PromotionReason::NoPrimary) {
-        note(NoteKind::SuspicionCleared, primary_->member, primary_->term, need_->reason);
+        recordEvent(AuditEventKind::SuspicionCleared, primary_->member, primary_->term, need_->reason);
     }
     need_.reset();
 }
@@ -76,7 +76,7 @@
         return std::nullopt;
     }
     const auto adopted = majorityAdopted();
-    if (heldBack(adopted, now - policy_.silenceBound - policy_.roundTripAllowance)) {
+    if (overruledByPeers(adopted, now - policy_.silenceBound - policy_.roundTripAllowance)) {
         return std::nullopt;
     }
     return highest_ == Term{} ? PromotionReason::Bootstrap : PromotionReason::NoPrimary;
@@ -86,20 +86,20 @@
 {
     const auto &watch = *find(primary_->member);
     // Signs of life that others had before the refusal may still arrive within a round trip.
-    if (watch.gone() && !heldBack(primary_->term, watch.refusedAt() + policy_.roundTripAllowance)) {
-        return PromotionReason::PrimaryGone;
+    if (watch.gone() && !overruledByPeers(primary_->term, watch.refusedAt() + policy_.roundTripAllowance)) {
+        return PromotionReason::PrimaryDown;
     }
     if (silent(watch, now)) {
-        const bool held = heldBack(primary_->term, now - policy_.silenceBound - policy_.roundTripAllowance);
-        if (!held) {
+        const bool overruled = overruledByPeers(primary_->term, now - policy_.silenceBound - policy_.roundTripAllowance);
+        if (!overruled) {
             return PromotionReason::PrimarySilent;
         }
-        if (!heldBackNoted_) {
-            note(NoteKind::SuspicionHeldBack, primary_->member, primary_->term);
+        if (!overrulingRecorded_) {
+            recordEvent(AuditEventKind::SuspicionOverruled, primary_->member, primary_->term);
         }
-        heldBackNoted_ = true;
+        overrulingRecorded_ = true;
     } else {
-        heldBackNoted_ = false;
+        overrulingRecorded_ = false;
     }
     if (primaryStalled(now)) {
         return PromotionReason::PrimaryStalled;
@@ -111,7 +111,7 @@
 }
 
 // This owner's own verdict is one vote for a dead primary; a suspicion needs more votes for than against it.
-bool GroupMonitor::heldBack(const Term &term, TimePoint since) const
+bool GroupMonitor::overruledByPeers(const Term &term, TimePoint since) const
 {
     const auto votes = peerObservations_.votes(term, since);
     const auto dead = votes.dead + 1;
--- a/src/groups/monitorupkeep.cpp
+++ b/src/groups/monitorupkeep.cpp
@@ -25,7 +25,7 @@
         }
         watch.followAt = now + policy_.followRetry;
         if (watch.report()->adopted < primary_->term) {
-            note(NoteKind::MemberRedirected, watch.name(), primary_->term);
+            recordEvent(AuditEventKind::MemberRedirected, watch.name(), primary_->term);
         }
         sendOrder(watch, OrderKind::Follow, primary_->term);
     }
@@ -70,14 +70,14 @@
     const bool leads = primary_ && primary_->member == switchover_.from();
     if (switchover_.step() == SwitchoverStep::Promote) {
         if (primary_ && !leads) {
-            endSwitchover(NoteKind::SwitchoverFinished, now);
+            endSwitchover(AuditEventKind::SwitchoverFinished, now);
         } else if (!promotion_) {
-            endSwitchover(NoteKind::SwitchoverAbandoned, now);
+            endSwitchover(AuditEventKind::SwitchoverAbandoned, now);
         }
         return;
     }
     if (!leads || need_ || !primaryLeaving()) {
-        endSwitchover(NoteKind::SwitchoverAbandoned, now);
+        endSwitchover(AuditEventKind::SwitchoverAbandoned, now);
         return;
     }
     std::vector<MemberReport> reports;
@@ -88,7 +88,7 @@
     }
     const auto step = switchover_.advance(reports, primary_->term, policy_, now);
     if (step == SwitchoverStep::Abandon) {
-        endSwitchover(NoteKind::SwitchoverAbandoned, now);
+        endSwitchover(AuditEventKind::SwitchoverAbandoned, now);
     } else if (step == SwitchoverStep::HandOver && reports.size() >= majority()) {
         switchover_.promoting();
         startPromotion(PromotionReason::Switchover, now, now);
@@ -118,15 +118,15 @@
         return;
     }
     switchover_.start(primary_->member, policy_, now);
-    note(NoteKind::SwitchoverStarted, primary_->member, primary_->term, PromotionReason::Switchover);
+    recordEvent(AuditEventKind::SwitchoverStarted, primary_->member, primary_->term, PromotionReason::Switchover);
     actions_.emplace_back(PauseWrites{switchover_.deadline()});
 }
 
-void GroupMonitor::endSwitchover(NoteKind kind, TimePoint now)
+void GroupMonitor::endSwitchover(AuditEventKind kind, TimePoint now)
 {
-    note(kind, switchover_.from(), primary_ ? primary_->term : Term{}, PromotionReason::Switchover);
+    recordEvent(kind, switchover_.from(), primary_ ? primary_->term : Term{}, PromotionReason::Switchover);
     switchover_.finish();
-    if (kind == NoteKind::SwitchoverFinished) {
+    if (kind == AuditEventKind::SwitchoverFinished) {
         leaving_ = MemberName{};
         primaryLeaves_ = false;
         abandonedSwitchovers_ = 0;
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -130,8 +130,8 @@
                            events.holdPeers(options.group, Milliseconds{0});
                        },
                        [this](const PrimaryChanged &change) { onPrimaryChanged(change); },
-                       [this](const Note &note) {
-                           if (note.kind == NoteKind::PrimaryLost) {
+                       [this](const AuditEvent &note) {
+                           if (note.kind == AuditEventKind::PrimaryLost) {
                                router.clearPrimary();
                            }
                            events.note(options.group, note);
--- a/src/owner/options.h
+++ b/src/owner/options.h
@@ -42,7 +42,7 @@
 /// What an owner tells the rest of the process; called with the group's lock held, so they must not call back or block.
 struct GroupEvents {
     std::function<void(const GroupName &, const PrimaryChanged &)> primaryChanged;
-    std::function<void(const GroupName &, const Note &)> note;
+    std::function<void(const GroupName &, const AuditEvent &)> note;
     /// The group's other owners should be asked for their sightings.
     std::function<void(const GroupName &)> askPeers;
     /// Other owners should hold writes for this long; zero releases them.
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -59,7 +59,7 @@
                 {"detectedAt", write(action.detectedAt)},
                 {"startedAt", write(action.startedAt)}};
     }
-    Json operator()(const Note &action) const
+    Json operator()(const AuditEvent &action) const
     {
         return {{"kind", "note"},
                 {"note", toText(action.kind)},
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -631,10 +631,10 @@
     return {};
 }
 
-std::size_t Cluster::count(NoteKind kind) const
+std::size_t Cluster::count(AuditEventKind kind) const
 {
     return static_cast<std::size_t>(std::count_if(events.begin(), events.end(), [&](const auto &event) {
-        const auto *note = std::get_if<Note>(&event.second);
+        const auto *note = std::get_if<AuditEvent>(&event.second);
         return note != nullptr && note->kind == kind;
     }));
 }
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -128,7 +128,7 @@
     /// Index of the member that the first living proxy takes for primary; -1 for none.
     [[nodiscard]] int primary() const;
     [[nodiscard]] Term term() const;
-    [[nodiscard]] std::size_t count(NoteKind kind) const;
+    [[nodiscard]] std::size_t count(AuditEventKind kind) const;
     [[nodiscard]] std::size_t promotions() const;
     [[nodiscard]] std::size_t ackedSince(TimePoint since, const Term &term) const;
     /// An empty text, or what is wrong: a lost acknowledged write, or one by a superseded primary.
--- a/tests/groups/test_monitor.cpp
+++ b/tests/groups/test_monitor.cpp
@@ -144,7 +144,7 @@
         cluster.run(options.policy.silenceBound - Milliseconds{1});
         cluster.wake(paused);
         cluster.run(Milliseconds{1000});
-        cr_assert_eq(cluster.count(NoteKind::PromotionStarted), 1, "seed %u", static_cast<unsigned>(seed));
+        cr_assert_eq(cluster.count(AuditEventKind::PromotionStarted), 1, "seed %u", static_cast<unsigned>(seed));
     }
 }
 
@@ -154,8 +154,8 @@
     start(cluster);
     cluster.cutProxy(0, cluster.primary());
     cluster.run(Milliseconds{3000});
-    cr_assert_eq(cluster.count(NoteKind::PromotionStarted), 1);
-    cr_assert(cluster.count(NoteKind::SuspicionHeldBack) > 0);
+    cr_assert_eq(cluster.count(AuditEventKind::PromotionStarted), 1);
+    cr_assert(cluster.count(AuditEventKind::SuspicionOverruled) > 0);
     expectWhole(cluster);
     cr_assert_eq(cluster.promotions(), 1);
 }
@@ -188,10 +188,10 @@
         Cluster cluster{options};
         start(cluster);
         const auto before = cluster.term();
-        const auto attempts = cluster.count(NoteKind::PromotionStarted);
+        const auto attempts = cluster.count(AuditEventKind::PromotionStarted);
         cluster.kill(cluster.primary(), true);
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1500}), "seed %u", static_cast<unsigned>(seed));
-        cr_assert(cluster.count(NoteKind::PromotionStarted) >= attempts + 1);
+        cr_assert(cluster.count(AuditEventKind::PromotionStarted) >= attempts + 1);
         expectWhole(cluster);
     }
 }
@@ -404,7 +404,7 @@
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
         cluster.run(Milliseconds{300});
         cr_assert_neq(cluster.primary(), old);
-        cr_assert_eq(cluster.count(NoteKind::SwitchoverFinished), 1);
+        cr_assert_eq(cluster.count(AuditEventKind::SwitchoverFinished), 1);
         cr_assert(cluster.proxies[0].heldUntil <= cluster.now);
         expectWhole(cluster);
         cr_assert_eq(cluster.promotions(), 2);
@@ -461,13 +461,13 @@
         cluster.setLeaving(old, true);
         cluster.requestSwitchover(cluster.members[old].name);
         cluster.run(Milliseconds{20});
-        cr_assert_eq(cluster.count(NoteKind::SwitchoverStarted), started);
+        cr_assert_eq(cluster.count(AuditEventKind::SwitchoverStarted), started);
         cluster.setLeaving(old, false);
         cluster.requestSwitchover(MemberName{});
         cluster.settle(Milliseconds{8000});
         cr_assert_eq(cluster.primary(), old);
-        cr_assert_eq(cluster.count(NoteKind::SwitchoverStarted), started);
-        cr_assert_eq(cluster.count(NoteKind::SwitchoverFinished), 0);
+        cr_assert_eq(cluster.count(AuditEventKind::SwitchoverStarted), started);
+        cr_assert_eq(cluster.count(AuditEventKind::SwitchoverFinished), 0);
     }
     expectWhole(cluster);
 }
@@ -487,7 +487,7 @@
     cluster.setLeaving(old, true);
     cluster.run(Milliseconds{2500});
     cr_assert_eq(cluster.primary(), old);
-    cr_assert(cluster.count(NoteKind::SwitchoverAbandoned) > 0);
+    cr_assert(cluster.count(AuditEventKind::SwitchoverAbandoned) > 0);
     cr_assert(cluster.proxies[0].heldUntil <= cluster.now);
     cluster.setLeaving(old, false);
     expectWhole(cluster);
