--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -12,7 +12,7 @@
 enum class OrderKind : std::uint8_t;
 enum class PromotionReason : std::uint8_t;
 enum class AuditEventKind : std::uint8_t;
-enum class Coverage : std::uint8_t;
+enum class QuorumState : std::uint8_t;
 class AckTracker;
 class GroupMonitor;
 class LegitimacyRounds;
--- a/src/groups/coverage.cpp
+++ b/src/groups/quorumstate.cpp
@@ -1,5 +1,5 @@
 // Counting of members that hold an entry.
-#include "groups/coverage.h"
+#include "groups/quorumstate.h"
 
 #include <algorithm>
 #include <functional>
@@ -38,52 +38,52 @@
     }
     // Under a higher adopted term the entries may have come from that term's primary, and then prove nothing.
     if (log.term == adopted && advance(state->furthest, log)) {
-        changed = advance(covered_, Mark{log.term, majorityPosition(log.term)}) || changed;
+        changed = advance(replicated_, Mark{log.term, majorityIndex(log.term)}) || changed;
     }
     return changed;
 }
 
-Coverage AckTracker::coverage(const Mark &mark) const noexcept
+QuorumState AckTracker::quorumState(const Mark &entryPosition) const noexcept
 {
     // A term without covered entries has position 0, which says nothing about its start entry.
-    if (positionAt(covered_, mark.term) >= std::max<std::uint64_t>(mark.position, 1)) {
-        return Coverage::Covered;
+    if (indexAt(replicated_, entryPosition.term) >= std::max<std::uint64_t>(entryPosition.position, 1)) {
+        return QuorumState::Replicated;
     }
-    return majorityAdopted_ > mark.term ? Coverage::Superseded : Coverage::Pending;
+    return majorityAdopted_ > entryPosition.term ? QuorumState::Superseded : QuorumState::Pending;
 }
 
-Mark AckTracker::covered() const noexcept
+Mark AckTracker::replicated() const noexcept
 {
-    return covered_.front();
+    return replicated_.front();
 }
 
-bool AckTracker::advance(Positions &positions, const Mark &mark) noexcept
+bool AckTracker::advance(Positions &positions, const Mark &entryPosition) noexcept
 {
-    if (mark.position == 0) {
+    if (entryPosition.position == 0) {
         return false;
     }
-    const auto same = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == mark.term; });
+    const auto same = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == entryPosition.term; });
     const auto place = same == positions.end() ? std::prev(positions.end()) : same;
-    if (*place >= mark) {
+    if (*place >= entryPosition) {
         return false;
     }
-    *place = mark;
+    *place = entryPosition;
     std::sort(positions.begin(), positions.end(), std::greater<>());
     return true;
 }
 
-std::uint64_t AckTracker::positionAt(const Positions &positions, const Term &term) noexcept
+std::uint64_t AckTracker::indexAt(const Positions &positions, const Term &term) noexcept
 {
     const auto found = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == term; });
     return found == positions.end() ? 0 : found->position;
 }
 
-std::uint64_t AckTracker::majorityPosition(const Term &term) const
+std::uint64_t AckTracker::majorityIndex(const Term &term) const
 {
     std::vector<std::uint64_t> positions;
     positions.reserve(states_.size());
     for (const auto &state : states_) {
-        positions.push_back(positionAt(state.furthest, term));
+        positions.push_back(indexAt(state.furthest, term));
     }
     std::sort(positions.begin(), positions.end(), std::greater<>());
     return positions[majorityOf(positions.size()) - 1];
--- a/src/groups/coverage.h
+++ b/src/groups/quorumstate.h
@@ -12,9 +12,9 @@
 namespace cardamomstep {
 
 /// What is known about an entry.
-enum class Coverage : std::uint8_t {
+enum class QuorumState : std::uint8_t {
     Pending, ///< Not yet reported by a majority.
-    Covered, ///< Reported by a majority at its own term: it is never lost.
+    Replicated, ///< Reported by a majority at its own term: it is never lost.
     Superseded, ///< A majority has gone to a higher term; only an outcome question tells whether the entry is kept.
 };
 
@@ -39,16 +39,16 @@
     bool onState(const MemberName &member, const Mark &log, const Term &adopted);
 
     /// What is known about the entry at \a mark.
-    [[nodiscard]] Coverage coverage(const Mark &mark) const noexcept;
+    [[nodiscard]] QuorumState quorumState(const Mark &entryPosition) const noexcept;
 
     /// The last covered entry of the highest term that has one; position 0 when there is none.
-    [[nodiscard]] Mark covered() const noexcept;
+    [[nodiscard]] Mark replicated() const noexcept;
 
 private:
     /// Terms for which a member's or the group's furthest position is kept.
-    static constexpr std::size_t keptTerms = 3;
+    static constexpr std::size_t maxTrackedTerms = 3;
     /// Highest term first; unused places have position 0.
-    using Positions = std::array<Mark, keptTerms>;
+    using Positions = std::array<Mark, maxTrackedTerms>;
 
     struct State {
         MemberName member;
@@ -56,13 +56,13 @@
         Positions furthest{};
     };
 
-    static bool advance(Positions &positions, const Mark &mark) noexcept;
-    [[nodiscard]] static std::uint64_t positionAt(const Positions &positions, const Term &term) noexcept;
-    [[nodiscard]] std::uint64_t majorityPosition(const Term &term) const;
+    static bool advance(Positions &positions, const Mark &entryPosition) noexcept;
+    [[nodiscard]] static std::uint64_t indexAt(const Positions &positions, const Term &term) noexcept;
+    [[nodiscard]] std::uint64_t majorityIndex(const Term &term) const;
     [[nodiscard]] Term majorityAdopted() const;
 
     std::vector<State> states_;
-    Positions covered_{};
+    Positions replicated_{};
     /// Lowest of the terms that a majority has adopted or passed.
     Term majorityAdopted_;
 };
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -3,9 +3,9 @@
 
 #include "base/random.h"
 #include "connections/share.h"
-#include "groups/coverage.h"
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
+#include "groups/quorumstate.h"
 #include "owner/controlworker.h"
 #include "owner/memberlinks.h"
 #include "owner/options.h"
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -104,7 +104,7 @@
     for (;;) {
         const auto leader = core_.leader();
         const bool inheritedForGood = leader.startCovered && leader.term == reply.report.adopted && reply.mark.term < leader.term;
-        if (inheritedForGood || core_.acks.coverage(reply.mark) == Coverage::Covered) {
+        if (inheritedForGood || core_.acks.quorumState(reply.mark) == QuorumState::Replicated) {
             break;
         }
         if (steadyNow() >= deadline_) {
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -148,9 +148,9 @@
     Waiter waiter;
     const WaitList::Entry entry(core_.coverageWaiters, waiter);
     for (;;) {
-        const auto coverage = core_.acks.coverage(mark);
-        if (coverage != Coverage::Pending || mark.position == 0) {
-            return coverage != Coverage::Superseded;
+        const auto coverage = core_.acks.quorumState(mark);
+        if (coverage != QuorumState::Pending || mark.position == 0) {
+            return coverage != QuorumState::Superseded;
         }
         const bool woken = waiter.wait(lock_, deadline_);
         if (!woken && steadyNow() >= deadline_) {
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -168,12 +168,12 @@
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto now = steadyNow();
-        const auto coverage = core_.acks.coverage(mark);
-        if (coverage == Coverage::Covered) {
+        const auto coverage = core_.acks.quorumState(mark);
+        if (coverage == QuorumState::Replicated) {
             return attempt.covered(mark);
         }
         const auto leader = core_.leader();
-        if (coverage == Coverage::Superseded || leader.term > mark.term) {
+        if (coverage == QuorumState::Superseded || leader.term > mark.term) {
             auto step = attempt.primaryChanged(leader, now);
             if (!std::holds_alternative<WaitCoverage>(step)) {
                 return step;
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -445,11 +445,11 @@
 {
     auto &pending = proxies[proxy].pending;
     for (auto write = pending.begin(); write != pending.end();) {
-        const auto coverage = proxies[proxy].tracker->coverage(write->mark);
-        if (coverage == Coverage::Covered) {
+        const auto coverage = proxies[proxy].tracker->quorumState(write->mark);
+        if (coverage == QuorumState::Replicated) {
             acked.push_back({write->id, write->mark, write->appendedAt, now});
         }
-        write = coverage == Coverage::Pending ? std::next(write) : pending.erase(write);
+        write = coverage == QuorumState::Pending ? std::next(write) : pending.erase(write);
     }
 }
 
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,11 +1,11 @@
 // The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
-#include "groups/coverage.h"
 #include "groups/impl/memberwatch.h"
 #include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
 #include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/pacing.h"
+#include "groups/quorumstate.h"
 #include "groups/switchover.h"
 
 #include <criterion/criterion.h>
@@ -39,11 +39,11 @@
 {
     AckTracker tracker{{a, b, c}};
     cr_assert(!tracker.onState(a, Mark{first, 5}, first));
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
     cr_assert(tracker.onState(b, Mark{first, 3}, first));
-    cr_assert(tracker.coverage(Mark{first, 3}) == Coverage::Covered);
-    cr_assert(tracker.coverage(Mark{first, 4}) == Coverage::Pending);
-    cr_assert((tracker.covered() == Mark{first, 3}));
+    cr_assert(tracker.quorumState(Mark{first, 3}) == QuorumState::Replicated);
+    cr_assert(tracker.quorumState(Mark{first, 4}) == QuorumState::Pending);
+    cr_assert((tracker.replicated() == Mark{first, 3}));
 }
 
 Test(groups, reportsAtAHigherTermDoNotCoverALowerOnesEntry)
@@ -51,10 +51,10 @@
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, Mark{first, 5}, first);
     tracker.onState(b, Mark{second, 9}, second);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
     cr_assert(tracker.onState(c, Mark{second, 9}, second));
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Superseded);
-    cr_assert(tracker.coverage(Mark{second, 9}) == Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Superseded);
+    cr_assert(tracker.quorumState(Mark{second, 9}) == QuorumState::Replicated);
 }
 
 Test(groups, coveredEntryStaysCoveredAfterAPromotion)
@@ -64,8 +64,8 @@
     tracker.onState(b, Mark{first, 5}, first);
     tracker.onState(b, Mark{second, 6}, second);
     tracker.onState(c, Mark{second, 6}, second);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Covered);
-    cr_assert(tracker.coverage(Mark{first, 6}) == Coverage::Superseded);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Replicated);
+    cr_assert(tracker.quorumState(Mark{first, 6}) == QuorumState::Superseded);
 }
 
 Test(groups, copiesMadeUnderAHigherTermDoNotCoverAnEntry)
@@ -77,9 +77,9 @@
     tracker.onState(b, Mark{second, 5}, second);
     tracker.onState(a, Mark{third, 6}, third);
     tracker.onState(c, Mark{first, 5}, third);
-    cr_assert(tracker.coverage(Mark{first, 5}) != Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{first, 5}) != QuorumState::Replicated);
     tracker.onState(c, Mark{third, 6}, third);
-    cr_assert(tracker.coverage(Mark{third, 6}) == Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{third, 6}) == QuorumState::Replicated);
 }
 
 Test(groups, unknownMembersCoverNothing)
@@ -87,7 +87,7 @@
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, Mark{first, 5}, first);
     tracker.onState(MemberName{"d"}, Mark{first, 5}, first);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
 }
 
 Test(groups, coverageIsTheMajorityPositionAtEachTerm)
@@ -101,10 +101,10 @@
         std::sort(sorted.begin(), sorted.end());
         const std::uint64_t covered = sorted[1];
         // Position 0 asks for the term's start entry, which stands at 1 or later.
-        const auto atStart = covered > 0 ? Coverage::Covered : Coverage::Pending;
-        RC_ASSERT(tracker.coverage(Mark{first, 0}) == atStart);
-        RC_ASSERT(tracker.coverage(Mark{first, covered}) == atStart);
-        RC_ASSERT(tracker.coverage(Mark{first, covered + 1}) == Coverage::Pending);
+        const auto atStart = covered > 0 ? QuorumState::Replicated : QuorumState::Pending;
+        RC_ASSERT(tracker.quorumState(Mark{first, 0}) == atStart);
+        RC_ASSERT(tracker.quorumState(Mark{first, covered}) == atStart);
+        RC_ASSERT(tracker.quorumState(Mark{first, covered + 1}) == QuorumState::Pending);
     });
     cr_assert(holds);
 }
