--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -15,7 +15,7 @@
 enum class QuorumState : std::uint8_t;
 class AckTracker;
 class GroupMonitor;
-class LegitimacyRounds;
+class ReadIndexRounds;
 class Switchover;
 
 } // namespace cardamomstep
--- a/src/groups/legitimacy.cpp
+++ b/src/groups/readindexrounds.cpp
@@ -1,5 +1,5 @@
 // Rounds of read checks.
-#include "groups/legitimacy.h"
+#include "groups/readindexrounds.h"
 
 #include "groups/member.h"
 
@@ -19,13 +19,13 @@
 
 } // namespace
 
-LegitimacyRounds::LegitimacyRounds(std::vector<MemberName> members, Milliseconds timeout)
+ReadIndexRounds::ReadIndexRounds(std::vector<MemberName> members, Milliseconds timeout)
     : members_(std::move(members))
     , timeout_(timeout)
 {
 }
 
-void LegitimacyRounds::setMembers(std::vector<MemberName> members)
+void ReadIndexRounds::setMembers(std::vector<MemberName> members)
 {
     if (inFlight_) {
         finish(false);
@@ -33,7 +33,7 @@
     members_ = std::move(members);
 }
 
-void LegitimacyRounds::setPrimary(const MemberName &primary, const Term &term)
+void ReadIndexRounds::setPrimary(const MemberName &primary, const Term &term)
 {
     if (inFlight_ && (term != term_ || primary != primary_)) {
         finish(false);
@@ -42,31 +42,31 @@
     term_ = term;
 }
 
-RoundNumber LegitimacyRounds::join(TimePoint now)
+RoundNumber ReadIndexRounds::join(TimePoint now)
 {
-    if (!waiting_) {
-        waiting_ = true;
+    if (!readsWaiting_) {
+        readsWaiting_ = true;
         waitingSince_ = now;
     }
-    return current_ + 1;
+    return currentRound_ + 1;
 }
 
-std::optional<RoundNumber> LegitimacyRounds::begin(TimePoint now)
+std::optional<RoundNumber> ReadIndexRounds::begin(TimePoint now)
 {
-    if (inFlight_ || !waiting_ || primary_.empty()) {
+    if (inFlight_ || !readsWaiting_ || primary_.empty()) {
         return std::nullopt;
     }
-    ++current_;
-    waiting_ = false;
+    ++currentRound_;
+    readsWaiting_ = false;
     inFlight_ = true;
     startedAt_ = now;
     confirmed_.clear();
     superseded_.clear();
     primaryLog_.reset();
-    return current_;
+    return currentRound_;
 }
 
-void LegitimacyRounds::onState(const MemberName &member, const Term &adopted, const Mark &log, TimePoint sentAt)
+void ReadIndexRounds::onState(const MemberName &member, const Term &adopted, const Mark &log, TimePoint sentAt)
 {
     const bool known = std::find(members_.begin(), members_.end(), member) != members_.end();
     if (!inFlight_ || !known || sentAt < startedAt_ || adopted < term_) {
@@ -89,14 +89,14 @@
     }
 }
 
-std::optional<RoundResult> LegitimacyRounds::takeResult(TimePoint now)
+std::optional<RoundResult> ReadIndexRounds::takeResult(TimePoint now)
 {
     if (inFlight_ && now >= startedAt_ + timeout_) {
         finish(false);
     }
-    if (!inFlight_ && waiting_ && primary_.empty() && now >= waitingSince_ + timeout_) {
-        ++current_;
-        waiting_ = false;
+    if (!inFlight_ && readsWaiting_ && primary_.empty() && now >= waitingSince_ + timeout_) {
+        ++currentRound_;
+        readsWaiting_ = false;
         finish(false);
     }
     if (results_.empty()) {
@@ -107,21 +107,21 @@
     return result;
 }
 
-std::optional<TimePoint> LegitimacyRounds::nextWake() const noexcept
+std::optional<TimePoint> ReadIndexRounds::nextWake() const noexcept
 {
     if (inFlight_) {
         return startedAt_ + timeout_;
     }
-    if (waiting_ && primary_.empty()) {
+    if (readsWaiting_ && primary_.empty()) {
         return waitingSince_ + timeout_;
     }
     return std::nullopt;
 }
 
-void LegitimacyRounds::finish(bool legitimate)
+void ReadIndexRounds::finish(bool leaderConfirmed)
 {
     inFlight_ = false;
-    results_.push_back(RoundResult{current_, legitimate, legitimate ? *primaryLog_ : Mark{}});
+    results_.push_back(RoundResult{currentRound_, leaderConfirmed, leaderConfirmed ? *primaryLog_ : Mark{}});
 }
 
 } // namespace cardamomstep
--- a/src/groups/legitimacy.h
+++ b/src/groups/readindexrounds.h
@@ -18,9 +18,9 @@
 struct RoundResult {
     RoundNumber round = 0;
     /// True when no higher term had been adopted by a majority when the round began.
-    bool legitimate = false;
+    bool leaderConfirmed = false;
     /// The primary's last entry at or after the round's start: a member at or above it is current for these reads.
-    Mark readMark;
+    Mark readPosition;
 };
 
 /// Read checks of one group.
@@ -28,10 +28,10 @@
 /// A read joins the next round that begins. A round succeeds when a majority with the primary among it gave a reply,
 /// asked for after the round began, that shows the primary's term as adopted. At most one round is in flight; the next
 /// begins at once when reads wait.
-class LegitimacyRounds
+class ReadIndexRounds
 {
 public:
-    explicit LegitimacyRounds(std::vector<MemberName> members, Milliseconds timeout = Milliseconds{150});
+    explicit ReadIndexRounds(std::vector<MemberName> members, Milliseconds timeout = Milliseconds{150});
 
     /// Sets the configured members; a round in flight fails, its reads join the next one.
     void setMembers(std::vector<MemberName> members);
@@ -59,7 +59,7 @@
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
 private:
-    void finish(bool legitimate);
+    void finish(bool leaderConfirmed);
 
     std::vector<MemberName> members_;
     Milliseconds timeout_;
@@ -67,11 +67,11 @@
     Term term_;
 
     /// Round in flight or, when none is, the last one.
-    RoundNumber current_ = 0;
+    RoundNumber currentRound_ = 0;
     bool inFlight_ = false;
     TimePoint startedAt_;
     /// Reads wait for round current_ + 1.
-    bool waiting_ = false;
+    bool readsWaiting_ = false;
     TimePoint waitingSince_;
     /// Members that confirmed the term in this round; each at most once.
     std::vector<MemberName> confirmed_;
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -276,8 +276,8 @@
 {
     const auto now = steadyNow();
     while (const auto result = rounds.takeResult(now)) {
-        if (result->legitimate) {
-            router.confirm(roundBegan_[result->round], result->readMark);
+        if (result->leaderConfirmed) {
+            router.confirm(roundBegan_[result->round], result->readPosition);
         }
         roundResults_[result->round] = *result;
         roundBegan_.erase(result->round);
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -3,9 +3,9 @@
 
 #include "base/random.h"
 #include "connections/share.h"
-#include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/quorumstate.h"
+#include "groups/readindexrounds.h"
 #include "owner/controlworker.h"
 #include "owner/memberlinks.h"
 #include "owner/options.h"
@@ -120,7 +120,7 @@
     std::mutex mutex;
     GroupMonitor monitor;
     AckTracker acks;
-    LegitimacyRounds rounds;
+    ReadIndexRounds rounds;
     ReadRouter router;
     AdmissionQueue admission;
     RetryBudget retries;
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -58,10 +58,10 @@
         return std::nullopt;
     }
     const auto result = core_.confirmPrimary(lock_, deadline_);
-    if (!result || !result->legitimate) {
+    if (!result || !result->leaderConfirmed) {
         return std::nullopt;
     }
-    if (checkAgainst(*mark, core_.router.highestSeen(), result->readMark) != TokenStanding::Ahead) {
+    if (checkAgainst(*mark, core_.router.highestSeen(), result->readPosition) != TokenStanding::Ahead) {
         return std::nullopt;
     }
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
@@ -70,7 +70,7 @@
 std::optional<Answer> ReadFlow::performConfirm()
 {
     const auto result = core_.confirmPrimary(lock_, deadline_);
-    if (result && result->legitimate) {
+    if (result && result->leaderConfirmed) {
         return std::nullopt;
     }
     const auto now = steadyNow();
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -2,10 +2,10 @@
 #include "groups/impl/memberwatch.h"
 #include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/pacing.h"
 #include "groups/quorumstate.h"
+#include "groups/readindexrounds.h"
 #include "groups/switchover.h"
 
 #include <criterion/criterion.h>
@@ -111,7 +111,7 @@
 
 Test(groups, readRoundCountsOnlyRepliesToWhatWasSentAfterItBegan)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     const auto round = rounds.join(at(10));
     cr_assert_eq(rounds.join(at(11)), round);
@@ -123,13 +123,13 @@
     cr_assert(!rounds.takeResult(at(14)), "no reply of the primary counts yet");
     rounds.onState(a, first, Mark{first, 8}, at(13));
     const auto result = rounds.takeResult(at(20));
-    cr_assert(result && result->legitimate && result->round == round);
-    cr_assert((result->readMark == Mark{first, 8}));
+    cr_assert(result && result->leaderConfirmed && result->round == round);
+    cr_assert((result->readPosition == Mark{first, 8}));
 }
 
 Test(groups, readMarkIsNeverOfALowerTerm)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, second);
     (void)rounds.join(at(0));
     (void)rounds.begin(at(0));
@@ -137,12 +137,12 @@
     rounds.onState(a, second, Mark{first, 4}, at(1));
     cr_assert(!rounds.takeResult(at(2)), "an old mark says nothing on the primary's log");
     rounds.onState(a, second, Mark{second, 9}, at(1));
-    cr_assert((rounds.takeResult(at(3))->readMark == Mark{second, 9}));
+    cr_assert((rounds.takeResult(at(3))->readPosition == Mark{second, 9}));
 }
 
 Test(groups, readsDuringARoundJoinTheNextOne)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     const auto earlier = rounds.join(at(0));
     cr_assert(rounds.begin(at(0)));
@@ -157,31 +157,31 @@
 
 Test(groups, readRoundFailsWhenSupersededOrLate)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     (void)rounds.join(at(0));
     (void)rounds.begin(at(0));
     rounds.onState(b, second, Mark{}, at(1));
     cr_assert(!rounds.takeResult(at(1)), "one member alone does not supersede");
     rounds.onState(c, second, Mark{}, at(1));
-    cr_assert(!rounds.takeResult(at(2))->legitimate);
+    cr_assert(!rounds.takeResult(at(2))->leaderConfirmed);
     (void)rounds.join(at(3));
     (void)rounds.begin(at(3));
     cr_assert(!rounds.takeResult(at(100)));
-    cr_assert(!rounds.takeResult(*rounds.nextWake())->legitimate);
+    cr_assert(!rounds.takeResult(*rounds.nextWake())->leaderConfirmed);
     (void)rounds.join(at(300));
     (void)rounds.begin(at(300));
     rounds.setPrimary(b, second);
-    cr_assert(!rounds.takeResult(at(301))->legitimate);
+    cr_assert(!rounds.takeResult(at(301))->leaderConfirmed);
 }
 
 Test(groups, readRoundWithoutAPrimaryFailsInTime)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     const auto round = rounds.join(at(0));
     cr_assert(!rounds.begin(at(0)));
     const auto result = rounds.takeResult(*rounds.nextWake());
-    cr_assert(result && result->round == round && !result->legitimate);
+    cr_assert(result && result->round == round && !result->leaderConfirmed);
 }
 
 Test(groups, switchoverWaitsForQuietAndForAReplica)
