--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -190,7 +190,7 @@
     policy.silenceBound = settings_.failover.silence;
     const auto count = static_cast<std::uint32_t>(groups);
     PacingBudget budget;
-    budget.shortest = settings_.failover.heartbeat;
+    budget.minInterval = settings_.failover.heartbeat;
     const auto pacing = paceReports(count, count * membersInGroup, budget);
     policy.heartbeatInterval = pacing.heartbeatInterval;
     policy.replicaHeartbeatFactor = pacing.replicaHeartbeatFactor;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -15,21 +15,21 @@
 /// Own pauses from here on are worth a note.
 constexpr Milliseconds recordedLocalPause{100};
 
-std::vector<MemberWatch> watchesFor(const std::vector<GroupMember> &members, TimePoint now)
+std::vector<MemberTracker> trackersFor(const std::vector<GroupMember> &members, TimePoint now)
 {
-    std::vector<MemberWatch> watches;
-    watches.reserve(members.size());
+    std::vector<MemberTracker> trackers;
+    trackers.reserve(members.size());
     for (const auto &member : members) {
-        watches.emplace_back(member.name, now);
+        trackers.emplace_back(member.name, now);
     }
-    return watches;
+    return trackers;
 }
 
 } // namespace
 
 GroupMonitor::GroupMonitor(std::vector<GroupMember> members, unsigned rank, const GroupPolicy &policy, std::uint64_t seed, TimePoint now)
     : members_(std::move(members))
-    , watches_(watchesFor(members_, now))
+    , trackers_(trackersFor(members_, now))
     , rank_(rank)
     , policy_(policy)
     , random_(seed)
@@ -52,11 +52,11 @@
 GroupActions GroupMonitor::onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
     begin(now);
-    if (auto *watch = find(member)) {
-        const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !watch->reportAtOnce();
-        const bool idle = watch->report() == report;
-        watch->reportEnded(early && idle ? now + policy_.idleReportGap : now);
-        learn(*watch, report, sentAt, now);
+    if (auto *tracker = find(member)) {
+        const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
+        const bool idle = tracker->report() == report;
+        tracker->reportEnded(early && idle ? now + policy_.idleReportGap : now);
+        learn(*tracker, report, sentAt, now);
     }
     return settle(now);
 }
@@ -64,8 +64,8 @@
 GroupActions GroupMonitor::onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
 {
     begin(now);
-    if (auto *watch = find(member)) {
-        watch->reportEnded(watch->onFailure(failure, policy_, now));
+    if (auto *tracker = find(member)) {
+        tracker->reportEnded(tracker->onFailure(failure, policy_, now));
     }
     return settle(now);
 }
@@ -74,14 +74,14 @@
     const MemberName &member, OrderKind kind, const Term &term, const TermReply &reply, TimePoint sentAt, TimePoint now)
 {
     begin(now);
-    if (auto *watch = find(member)) {
-        if (watch->order() == OutstandingOrder{kind, term}) {
-            watch->orderEnded(reply.accepted ? now : now + policy_.orderRetry);
+    if (auto *tracker = find(member)) {
+        if (tracker->order() == OutstandingOrder{kind, term}) {
+            tracker->orderEnded(reply.accepted ? now : now + policy_.orderRetry);
         }
         if (kind == OrderKind::Follow && reply.accepted) {
-            watch->told(term);
+            tracker->followAccepted(term);
         }
-        learn(*watch, reply.report, sentAt, now);
+        learn(*tracker, reply.report, sentAt, now);
     }
     return settle(now);
 }
@@ -90,11 +90,11 @@
 GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now)
 {
     begin(now);
-    if (auto *watch = find(member)) {
-        if (watch->order() == OutstandingOrder{kind, term}) {
-            watch->orderEnded(now + policy_.orderRetry);
+    if (auto *tracker = find(member)) {
+        if (tracker->order() == OutstandingOrder{kind, term}) {
+            tracker->orderEnded(now + policy_.orderRetry);
         }
-        watch->onFailure(failure, policy_, now);
+        tracker->onFailure(failure, policy_, now);
     }
     return settle(now);
 }
@@ -110,8 +110,8 @@
 GroupActions GroupMonitor::onStatementEvidence(const MemberName &member, TimePoint now)
 {
     begin(now);
-    if (auto *watch = find(member)) {
-        watch->onAlive(now);
+    if (auto *tracker = find(member)) {
+        tracker->onContact(now);
     }
     return settle(now);
 }
@@ -126,14 +126,14 @@
 GroupActions GroupMonitor::setMembers(std::vector<GroupMember> members, TimePoint now)
 {
     begin(now);
-    auto watches = watchesFor(members, now);
-    for (auto &watch : watches) {
-        if (auto *known = find(watch.name())) {
-            watch = std::move(*known);
+    auto trackers = trackersFor(members, now);
+    for (auto &tracker : trackers) {
+        if (auto *known = find(tracker.name())) {
+            tracker = std::move(*known);
         }
     }
     members_ = std::move(members);
-    watches_ = std::move(watches);
+    trackers_ = std::move(trackers);
     if (promotion_) {
         abandonPromotion(now);
     }
@@ -184,27 +184,27 @@
     if (!primary_) {
         return observation;
     }
-    const auto *watch = find(primary_->member);
+    const auto *tracker = find(primary_->member);
     observation.primary = primary_->member;
     observation.term = primary_->term;
-    observation.log = watch->report()->log;
-    observation.contactAge = wholeMilliseconds(now - watch->heardAt());
+    observation.log = tracker->report()->log;
+    observation.contactAge = wholeMilliseconds(now - tracker->lastContactAt());
     return observation;
 }
 
 std::optional<MemberReport> GroupMonitor::lastReport(const MemberName &member) const
 {
-    const auto *watch = find(member);
-    return watch == nullptr ? std::nullopt : watch->report();
+    const auto *tracker = find(member);
+    return tracker == nullptr ? std::nullopt : tracker->report();
 }
 
 std::optional<Microseconds> GroupMonitor::contactAge(const MemberName &member, TimePoint now) const
 {
-    const auto *watch = find(member);
-    if (watch == nullptr || !watch->everHeard()) {
+    const auto *tracker = find(member);
+    if (tracker == nullptr || !tracker->everContacted()) {
         return std::nullopt;
     }
-    return now - watch->heardAt();
+    return now - tracker->lastContactAt();
 }
 
 bool GroupMonitor::promoting() const noexcept
@@ -247,17 +247,17 @@
         return;
     }
     lastDiscountedAt_ = now;
-    for (auto &watch : watches_) {
-        watch.discountPause(lateness + localPauseGrace, now);
+    for (auto &tracker : trackers_) {
+        tracker.discountPause(lateness + localPauseGrace, now);
     }
     if (lateness >= recordedLocalPause) {
         recordEvent(AuditEventKind::LocalPause, MemberName{}, Term{});
     }
 }
 
-void GroupMonitor::learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now)
+void GroupMonitor::learn(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
-    watch.onState(report, sentAt, now);
+    tracker.onState(report, sentAt, now);
     observeTerm(report.adopted, now);
     observeTerm(report.log.term, now);
     if (promotion_) {
@@ -279,21 +279,23 @@
     actions_.emplace_back(AuditEvent{kind, member, term, reason});
 }
 
-MemberWatch *GroupMonitor::find(const MemberName &member) noexcept
+MemberTracker *GroupMonitor::find(const MemberName &member) noexcept
 {
-    const auto found = std::find_if(watches_.begin(), watches_.end(), [&](const MemberWatch &watch) { return watch.name() == member; });
-    return found == watches_.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(trackers_.begin(), trackers_.end(), [&](const MemberTracker &tracker) { return tracker.name() == member; });
+    return found == trackers_.end() ? nullptr : &*found;
 }
 
-const MemberWatch *GroupMonitor::find(const MemberName &member) const noexcept
+const MemberTracker *GroupMonitor::find(const MemberName &member) const noexcept
 {
-    const auto found = std::find_if(watches_.begin(), watches_.end(), [&](const MemberWatch &watch) { return watch.name() == member; });
-    return found == watches_.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(trackers_.begin(), trackers_.end(), [&](const MemberTracker &tracker) { return tracker.name() == member; });
+    return found == trackers_.end() ? nullptr : &*found;
 }
 
 std::size_t GroupMonitor::majority() const noexcept
 {
-    return majorityOf(watches_.size());
+    return majorityOf(trackers_.size());
 }
 
 bool GroupMonitor::isPrimary(const MemberName &member) const noexcept
@@ -301,14 +303,14 @@
     return !primary_ || primary_->member == member;
 }
 
-bool GroupMonitor::silent(const MemberWatch &watch, TimePoint now) const noexcept
+bool GroupMonitor::silent(const MemberTracker &tracker, TimePoint now) const noexcept
 {
-    return watch.silent(policy_, isPrimary(watch.name()), now);
+    return tracker.silent(policy_, isPrimary(tracker.name()), now);
 }
 
-bool GroupMonitor::reachable(const MemberWatch &watch, TimePoint now) const noexcept
+bool GroupMonitor::reachable(const MemberTracker &tracker, TimePoint now) const noexcept
 {
-    return watch.report() && !watch.gone() && !silent(watch, now);
+    return tracker.report() && !tracker.isDown() && !silent(tracker, now);
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -6,7 +6,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "groups/action.h"
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
 #include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
 #include "groups/member.h"
@@ -111,19 +111,19 @@
     void begin(TimePoint now);
     [[nodiscard]] GroupActions settle(TimePoint now);
     void discountLocalPause(TimePoint now);
-    void learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now);
+    void learn(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now);
     void observeTerm(const Term &term, TimePoint now);
     void recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
-    [[nodiscard]] MemberWatch *find(const MemberName &member) noexcept;
-    [[nodiscard]] const MemberWatch *find(const MemberName &member) const noexcept;
+    [[nodiscard]] MemberTracker *find(const MemberName &member) noexcept;
+    [[nodiscard]] const MemberTracker *find(const MemberName &member) const noexcept;
     [[nodiscard]] std::size_t majority() const noexcept;
     [[nodiscard]] bool isPrimary(const MemberName &member) const noexcept;
-    [[nodiscard]] bool silent(const MemberWatch &watch, TimePoint now) const noexcept;
-    [[nodiscard]] bool reachable(const MemberWatch &watch, TimePoint now) const noexcept;
+    [[nodiscard]] bool silent(const MemberTracker &tracker, TimePoint now) const noexcept;
+    [[nodiscard]] bool reachable(const MemberTracker &tracker, TimePoint now) const noexcept;
 
     // Which member leads, in monitorbelief.cpp
     void refreshPrimary(TimePoint now);
-    void believe(const MemberWatch &watch, TimePoint now);
+    void believe(const MemberTracker &tracker, TimePoint now);
     void losePrimary();
     void confirmPrimary();
     void refreshReplication(TimePoint now);
@@ -150,12 +150,12 @@
     void advancePromotion(TimePoint now);
     void chooseCandidate(TimePoint now);
     void sendPromotionOrders(TimePoint now);
-    void sendOrder(MemberWatch &watch, OrderKind kind, const Term &term);
+    void sendOrder(MemberTracker &tracker, OrderKind kind, const Term &term);
     void abandonPromotion(TimePoint now);
 
     // Upkeep, in monitorupkeep.cpp
     void redirectMembers(TimePoint now);
-    [[nodiscard]] bool mustFollow(const MemberWatch &watch, TimePoint now) const;
+    [[nodiscard]] bool mustFollow(const MemberTracker &tracker, TimePoint now) const;
     void sendReports(TimePoint now);
     void advanceSwitchover(TimePoint now);
     [[nodiscard]] bool primaryLeaving() const;
@@ -166,7 +166,7 @@
 
     std::vector<GroupMember> members_;
     /// In the order of members_.
-    std::vector<MemberWatch> watches_;
+    std::vector<MemberTracker> trackers_;
     unsigned rank_;
     GroupPolicy policy_;
     Random random_;
--- a/src/groups/monitorattempt.cpp
+++ b/src/groups/monitorattempt.cpp
@@ -30,7 +30,7 @@
     }
     highest_ = plan.term;
     recordEvent(AuditEventKind::PromotionStarted, MemberName{}, plan.term, reason);
-    promotion_.emplace(plan, watches_.size());
+    promotion_.emplace(plan, trackers_.size());
     need_.reset();
     sendPromotionOrders(now);
 }
@@ -40,12 +40,12 @@
     if (!promotion_) {
         return;
     }
-    const auto passed = [&](const MemberWatch &watch) {
-        return watch.report() && watch.report()->adopted > promotion_->term();
+    const auto passed = [&](const MemberTracker &tracker) {
+        return tracker.report() && tracker.report()->adopted > promotion_->term();
     };
     const auto *candidate = find(promotion_->candidate());
-    const bool candidateGone = candidate != nullptr && candidate->gone();
-    if (std::any_of(watches_.begin(), watches_.end(), passed) || candidateGone || now >= promotion_->plan().deadline) {
+    const bool candidateDown = candidate != nullptr && candidate->isDown();
+    if (std::any_of(trackers_.begin(), trackers_.end(), passed) || candidateDown || now >= promotion_->plan().deadline) {
         abandonPromotion(now);
         return;
     }
@@ -55,40 +55,40 @@
 
 void GroupMonitor::chooseCandidate(TimePoint now)
 {
-    const auto awaited = [&](const MemberWatch &watch) {
-        return reachable(watch, now) && !promotion_->adoptedBy(watch.name());
+    const auto awaited = [&](const MemberTracker &tracker) {
+        return reachable(tracker, now) && !promotion_->adoptedBy(tracker.name());
     };
-    const bool complete = now >= promotion_->plan().patientUntil || std::none_of(watches_.begin(), watches_.end(), awaited);
+    const bool complete = now >= promotion_->plan().patientUntil || std::none_of(trackers_.begin(), trackers_.end(), awaited);
     promotion_->choose(complete);
 }
 
 void GroupMonitor::sendPromotionOrders(TimePoint now)
 {
     const auto &plan = promotion_->plan();
-    for (auto &watch : watches_) {
-        const bool leftOut = plan.skipAvoided && watch.name() == plan.avoid;
-        if (!watch.orderAllowed(now) || watch.gone() || leftOut) {
+    for (auto &tracker : trackers_) {
+        const bool leftOut = plan.skipAvoided && tracker.name() == plan.avoid;
+        if (!tracker.orderAllowed(now) || tracker.isDown() || leftOut) {
             continue;
         }
-        if (watch.name() == promotion_->candidate()) {
-            sendOrder(watch, OrderKind::Lead, plan.term);
-        } else if (!promotion_->adoptedBy(watch.name())) {
-            sendOrder(watch, OrderKind::Adopt, plan.term);
+        if (tracker.name() == promotion_->candidate()) {
+            sendOrder(tracker, OrderKind::Lead, plan.term);
+        } else if (!promotion_->adoptedBy(tracker.name())) {
+            sendOrder(tracker, OrderKind::Adopt, plan.term);
         }
     }
 }
 
-void GroupMonitor::sendOrder(MemberWatch &watch, OrderKind kind, const Term &term)
+void GroupMonitor::sendOrder(MemberTracker &tracker, OrderKind kind, const Term &term)
 {
-    watch.orderSent(OutstandingOrder{kind, term});
+    tracker.orderSent(OutstandingOrder{kind, term});
     if (kind == OrderKind::Adopt) {
-        actions_.emplace_back(SendAdopt{watch.name(), term, policy_.orderTimeout});
+        actions_.emplace_back(SendAdopt{tracker.name(), term, policy_.orderTimeout});
     } else if (kind == OrderKind::Lead) {
-        actions_.emplace_back(SendLead{watch.name(), term, policy_.orderTimeout});
+        actions_.emplace_back(SendLead{tracker.name(), term, policy_.orderTimeout});
     } else {
         const auto &primary = primary_->member;
         const auto member = std::find_if(members_.begin(), members_.end(), [&](const GroupMember &known) { return known.name == primary; });
-        actions_.emplace_back(SendFollow{watch.name(), term, primary, member->address, policy_.orderTimeout});
+        actions_.emplace_back(SendFollow{tracker.name(), term, primary, member->address, policy_.orderTimeout});
     }
 }
 
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorbelief.cpp
@@ -10,20 +10,21 @@
 {
     const auto superseding = majorityAdopted();
     if (primary_) {
-        const auto *watch = find(primary_->member);
-        const bool leads = watch != nullptr && watch->report()->role == MemberRole::Primary && watch->report()->adopted == primary_->term;
+        const auto *tracker = find(primary_->member);
+        const bool leads =
+            tracker != nullptr && tracker->report()->role == MemberRole::Primary && tracker->report()->adopted == primary_->term;
         if (!leads || superseding > primary_->term) {
             losePrimary();
         }
     }
-    const MemberWatch *newest = nullptr;
-    for (const auto &watch : watches_) {
-        const auto &report = watch.report();
+    const MemberTracker *newest = nullptr;
+    for (const auto &tracker : trackers_) {
+        const auto &report = tracker.report();
         if (!report || report->role != MemberRole::Primary || report->adopted < superseding) {
             continue;
         }
         if (newest == nullptr || report->adopted > newest->report()->adopted) {
-            newest = &watch;
+            newest = &tracker;
         }
     }
     if (newest != nullptr && (!primary_ || newest->report()->adopted > primary_->term)) {
@@ -31,10 +32,10 @@
     }
 }
 
-void GroupMonitor::believe(const MemberWatch &watch, TimePoint now)
+void GroupMonitor::believe(const MemberTracker &tracker, TimePoint now)
 {
-    const auto &report = *watch.report();
-    PrimaryChanged change{watch.name(), report.adopted, PromotionReason::Observed, previousPrimary_, now, now};
+    const auto &report = *tracker.report();
+    PrimaryChanged change{tracker.name(), report.adopted, PromotionReason::Observed, previousPrimary_, now, now};
     const bool own = promotion_ && promotion_->term() == report.adopted;
     if (own) {
         change.reason = promotion_->plan().reason;
@@ -42,12 +43,12 @@
         change.startedAt = promotion_->plan().startedAt;
         promotion_.reset();
     }
-    primary_ = PrimaryInfo{watch.name(), report.adopted};
-    previousPrimary_ = watch.name();
+    primary_ = PrimaryInfo{tracker.name(), report.adopted};
+    previousPrimary_ = tracker.name();
     actions_.emplace_back(change);
     clearNeed();
-    for (auto &other : watches_) {
-        other.followAt = own ? now : now + policy_.followRetry + rank_ * policy_.rankStagger;
+    for (auto &other : trackers_) {
+        other.followAllowedAt = own ? now : now + policy_.followRetry + rank_ * policy_.rankStagger;
     }
 }
 
@@ -62,10 +63,10 @@
     if (!primary_ || primary_->confirmed) {
         return;
     }
-    const auto holds = [&](const MemberWatch &watch) {
-        return watch.report() && watch.report()->log.term == primary_->term;
+    const auto holds = [&](const MemberTracker &tracker) {
+        return tracker.report() && tracker.report()->log.term == primary_->term;
     };
-    const auto holders = static_cast<std::size_t>(std::count_if(watches_.begin(), watches_.end(), holds));
+    const auto holders = static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), holds));
     if (holders < majority()) {
         return;
     }
@@ -78,16 +79,16 @@
 void GroupMonitor::refreshReplication(TimePoint now)
 {
     const auto log = primaryLog();
-    for (auto &watch : watches_) {
-        watch.onPrimaryLog(log, now);
+    for (auto &tracker : trackers_) {
+        tracker.onPrimaryLog(log, now);
     }
 }
 
 Term GroupMonitor::majorityAdopted() const
 {
     std::vector<Term> adopted;
-    for (const auto &watch : watches_) {
-        adopted.push_back(watch.report() ? watch.report()->adopted : Term{});
+    for (const auto &tracker : trackers_) {
+        adopted.push_back(tracker.report() ? tracker.report()->adopted : Term{});
     }
     std::sort(adopted.begin(), adopted.end(), std::greater<>());
     return adopted.empty() ? Term{} : adopted[majority() - 1];
@@ -98,8 +99,8 @@
     if (!primary_) {
         return {};
     }
-    const auto *watch = find(primary_->member);
-    return std::max(watch->report()->log, peerObservations_.furthestLog(primary_->member, primary_->term));
+    const auto *tracker = find(primary_->member);
+    return std::max(tracker->report()->log, peerObservations_.furthestLog(primary_->member, primary_->term));
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitorneed.cpp
+++ b/src/groups/monitorneed.cpp
@@ -69,10 +69,10 @@
 // A member that was not heard yet may be the primary, so its silence must be as certain as a known primary's.
 std::optional<PromotionReason> GroupMonitor::needWithoutPrimary(TimePoint now) const
 {
-    const auto undecided = [&](const MemberWatch &watch) {
-        return !watch.report() && !watch.gone() && !silent(watch, now);
+    const auto undecided = [&](const MemberTracker &tracker) {
+        return !tracker.report() && !tracker.isDown() && !silent(tracker, now);
     };
-    if (std::any_of(watches_.begin(), watches_.end(), undecided)) {
+    if (std::any_of(trackers_.begin(), trackers_.end(), undecided)) {
         return std::nullopt;
     }
     const auto adopted = majorityAdopted();
@@ -84,12 +84,12 @@
 
 std::optional<PromotionReason> GroupMonitor::needWithPrimary(TimePoint now)
 {
-    const auto &watch = *find(primary_->member);
+    const auto &tracker = *find(primary_->member);
     // Signs of life that others had before the refusal may still arrive within a round trip.
-    if (watch.gone() && !overruledByPeers(primary_->term, watch.refusedAt() + policy_.roundTripAllowance)) {
+    if (tracker.isDown() && !overruledByPeers(primary_->term, tracker.refusedAt() + policy_.roundTripAllowance)) {
         return PromotionReason::PrimaryDown;
     }
-    if (silent(watch, now)) {
+    if (silent(tracker, now)) {
         const bool overruled = overruledByPeers(primary_->term, now - policy_.silenceBound - policy_.roundTripAllowance);
         if (!overruled) {
             return PromotionReason::PrimarySilent;
@@ -121,21 +121,21 @@
 // Replicas that stand still behind the primary although they answer: the primary takes writes that nobody holds.
 bool GroupMonitor::primaryStalled(TimePoint now) const
 {
-    const auto stuck = [&](const MemberWatch &watch) {
-        const auto since = watch.stuckSince();
-        return watch.name() != primary_->member && reachable(watch, now) && since && now - *since >= replicationBound();
+    const auto stalled = [&](const MemberTracker &tracker) {
+        const auto since = tracker.stalledSince();
+        return tracker.name() != primary_->member && reachable(tracker, now) && since && now - *since >= replicationBound();
     };
-    const auto stuckMembers = static_cast<std::size_t>(std::count_if(watches_.begin(), watches_.end(), stuck));
-    return watches_.size() - stuckMembers < majority() && reachableMembers(primary_->member, now) >= majority();
+    const auto stalledMembers = static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), stalled));
+    return trackers_.size() - stalledMembers < majority() && reachableMembers(primary_->member, now) >= majority();
 }
 
 // A member that adopted a term which nobody leads refuses the present primary's log.
 bool GroupMonitor::termStranded(TimePoint now) const
 {
-    const auto stranded = [&](const MemberWatch &watch) {
-        return reachable(watch, now) && watch.report()->adopted > primary_->term;
+    const auto stranded = [&](const MemberTracker &tracker) {
+        return reachable(tracker, now) && tracker.report()->adopted > primary_->term;
     };
-    return std::any_of(watches_.begin(), watches_.end(), stranded);
+    return std::any_of(trackers_.begin(), trackers_.end(), stranded);
 }
 
 Microseconds GroupMonitor::replicationBound() const noexcept
@@ -156,10 +156,10 @@
 
 std::size_t GroupMonitor::reachableMembers(const MemberName &without, TimePoint now) const
 {
-    const auto counts = [&](const MemberWatch &watch) {
-        return watch.name() != without && reachable(watch, now);
+    const auto counts = [&](const MemberTracker &tracker) {
+        return tracker.name() != without && reachable(tracker, now);
     };
-    return static_cast<std::size_t>(std::count_if(watches_.begin(), watches_.end(), counts));
+    return static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), counts));
 }
 
 void GroupMonitor::queryPeers(TimePoint now)
@@ -167,8 +167,8 @@
     if (!primary_ || promotion_ || now - peersQueriedAt_ < peerQueryLead) {
         return;
     }
-    const auto &watch = *find(primary_->member);
-    const auto queryFrom = watch.heardAt() + policy_.suspectAfter() - peerQueryLead;
+    const auto &tracker = *find(primary_->member);
+    const auto queryFrom = tracker.lastContactAt() + policy_.suspectAfter() - peerQueryLead;
     if (now < queryFrom) {
         return;
     }
--- a/src/groups/monitorupkeep.cpp
+++ b/src/groups/monitorupkeep.cpp
@@ -16,34 +16,34 @@
 
 void GroupMonitor::redirectMembers(TimePoint now)
 {
-    if (!primary_ || promotion_ || find(primary_->member)->gone()) {
+    if (!primary_ || promotion_ || find(primary_->member)->isDown()) {
         return;
     }
-    for (auto &watch : watches_) {
-        if (!mustFollow(watch, now) || now < watch.followAt || !watch.orderAllowed(now)) {
+    for (auto &tracker : trackers_) {
+        if (!mustFollow(tracker, now) || now < tracker.followAllowedAt || !tracker.orderAllowed(now)) {
             continue;
         }
-        watch.followAt = now + policy_.followRetry;
-        if (watch.report()->adopted < primary_->term) {
-            recordEvent(AuditEventKind::MemberRedirected, watch.name(), primary_->term);
+        tracker.followAllowedAt = now + policy_.followRetry;
+        if (tracker.report()->adopted < primary_->term) {
+            recordEvent(AuditEventKind::MemberRedirected, tracker.name(), primary_->term);
         }
-        sendOrder(watch, OrderKind::Follow, primary_->term);
+        sendOrder(tracker, OrderKind::Follow, primary_->term);
     }
 }
 
 // A replica that adopted the term says nothing on whom it follows: one without an entry of the term, or one that
 // stands still behind the primary, is told. It is not told again for being slow.
-bool GroupMonitor::mustFollow(const MemberWatch &watch, TimePoint now) const
+bool GroupMonitor::mustFollow(const MemberTracker &tracker, TimePoint now) const
 {
-    if (watch.name() == primary_->member || !reachable(watch, now)) {
+    if (tracker.name() == primary_->member || !reachable(tracker, now)) {
         return false;
     }
-    const auto &report = *watch.report();
+    const auto &report = *tracker.report();
     if (report.adopted != primary_->term) {
         return report.adopted < primary_->term;
     }
-    const auto since = watch.stuckSince();
-    if (watch.follows(primary_->term)) {
+    const auto since = tracker.stalledSince();
+    if (tracker.follows(primary_->term)) {
         return since && now - *since >= followRecheck;
     }
     return report.log.term != primary_->term || (since && now - *since >= followDelay);
@@ -51,13 +51,13 @@
 
 void GroupMonitor::sendReports(TimePoint now)
 {
-    for (auto &watch : watches_) {
-        if (!watch.reportDue(now)) {
+    for (auto &tracker : trackers_) {
+        if (!tracker.reportDue(now)) {
             continue;
         }
-        watch.reportSent();
-        const auto wait = watch.reportAtOnce() ? Milliseconds{0} : policy_.reportWait(isPrimary(watch.name()));
-        actions_.emplace_back(SendReport{watch.name(), wait, policy_.probeTimeout});
+        tracker.reportSent();
+        const auto wait = tracker.reportAtOnce() ? Milliseconds{0} : policy_.reportWait(isPrimary(tracker.name()));
+        actions_.emplace_back(SendReport{tracker.name(), wait, policy_.probeTimeout});
     }
 }
 
@@ -81,9 +81,9 @@
         return;
     }
     std::vector<MemberReport> reports;
-    for (const auto &watch : watches_) {
-        if (reachable(watch, now)) {
-            reports.push_back(*watch.report());
+    for (const auto &tracker : trackers_) {
+        if (reachable(tracker, now)) {
+            reports.push_back(*tracker.report());
         }
     }
     const auto step = switchover_.advance(reports, primary_->term, policy_, now);
@@ -110,10 +110,10 @@
         switchoverAllowedAt_ = std::max(switchoverAllowedAt_, now + rank_ * policy_.holdLimit);
     }
     primaryLeaves_ = leaving;
-    const auto mayLead = [&](const MemberWatch &watch) {
-        return watch.name() != primary_->member && reachable(watch, now) && !watch.report()->leaving;
+    const auto mayLead = [&](const MemberTracker &tracker) {
+        return tracker.name() != primary_->member && reachable(tracker, now) && !tracker.report()->leaving;
     };
-    const bool possible = std::any_of(watches_.begin(), watches_.end(), mayLead);
+    const bool possible = std::any_of(trackers_.begin(), trackers_.end(), mayLead);
     if (!leaving || now < switchoverAllowedAt_ || !possible || !primary_->confirmed) {
         return;
     }
@@ -142,19 +142,19 @@
 void GroupMonitor::planWake(TimePoint now)
 {
     wake_ = now + policy_.heartbeatInterval;
-    for (const auto &watch : watches_) {
-        wakeAt(watch.heardAt() + policy_.suspectAfter(isPrimary(watch.name())), now);
-        if (const auto reportAt = watch.nextReportAt()) {
+    for (const auto &tracker : trackers_) {
+        wakeAt(tracker.lastContactAt() + policy_.suspectAfter(isPrimary(tracker.name())), now);
+        if (const auto reportAt = tracker.nextReportAt()) {
             wakeAt(*reportAt, now);
         }
-        if (!watch.order()) {
-            wakeAt(watch.nextOrderAt(), now);
+        if (!tracker.order()) {
+            wakeAt(tracker.nextOrderAt(), now);
         }
-        if (const auto since = watch.stuckSince()) {
+        if (const auto since = tracker.stalledSince()) {
             wakeAt(*since + replicationBound(), now);
             wakeAt(*since + followDelay, now);
         }
-        wakeAt(watch.followAt, now);
+        wakeAt(tracker.followAllowedAt, now);
     }
     if (need_) {
         wakeAt(std::max({startAt_, backOffUntil_, foreignUntil_}), now);
--- a/src/groups/pacing.cpp
+++ b/src/groups/pacing.cpp
@@ -5,20 +5,20 @@
 
 namespace cardamomstep {
 
-Pacing paceReports(std::uint32_t groups, std::uint32_t watches, const PacingBudget &budget) noexcept
+Pacing paceReports(std::uint32_t groups, std::uint32_t members, const PacingBudget &budget) noexcept
 {
     constexpr std::uint64_t millisecondsPerSecond = 1000;
-    if (watches <= budget.unpacedWatches) {
-        return Pacing{budget.shortest, 1};
+    if (members <= budget.maxUnpacedMembers) {
+        return Pacing{budget.minInterval, 1};
     }
-    const std::uint64_t primaries = std::min(groups, watches);
-    const std::uint64_t replicas = watches - primaries;
+    const std::uint64_t primaries = std::min(groups, members);
+    const std::uint64_t replicas = members - primaries;
     const std::uint64_t factor = std::max(budget.replicaFactor, 1U);
     // Exchanges in one replica interval, in which each primary is asked `factor` times.
     const auto exchanges = primaries * factor + replicas;
     const auto bytes = exchanges * budget.bytesPerExchange;
     const auto interval = (bytes * millisecondsPerSecond) / (std::max<std::uint64_t>(budget.bytesPerSecond, 1) * factor) + 1;
-    const auto bounded = std::clamp(Milliseconds{interval}, budget.shortest, budget.longest);
+    const auto bounded = std::clamp(Milliseconds{interval}, budget.minInterval, budget.maxInterval);
     return Pacing{bounded, budget.replicaFactor};
 }
 
--- a/src/groups/pacing.h
+++ b/src/groups/pacing.h
@@ -14,11 +14,11 @@
     /// Bytes of one report exchange on the wire.
     std::uint64_t bytesPerExchange = 600;
     /// Up to this number of watches the shortest interval is used and the byte budget is left aside.
-    std::uint32_t unpacedWatches = 24;
+    std::uint32_t maxUnpacedMembers = 24;
     /// Shortest interval.
-    Milliseconds shortest{50};
+    Milliseconds minInterval{50};
     /// Longest interval; keeps a change of primary within 5 s.
-    Milliseconds longest{3'000};
+    Milliseconds maxInterval{3'000};
     /// How many times longer a replica's interval is, once intervals are paced.
     unsigned replicaFactor = 4;
 };
@@ -36,6 +36,6 @@
 /// The intervals for \a groups owned groups with \a watches (group, member) pairs in all.
 ///
 /// Depends on its arguments only, so it may be computed again whenever ownership changes.
-[[nodiscard]] Pacing paceReports(std::uint32_t groups, std::uint32_t watches, const PacingBudget &budget = {}) noexcept;
+[[nodiscard]] Pacing paceReports(std::uint32_t groups, std::uint32_t members, const PacingBudget &budget = {}) noexcept;
 
 } // namespace cardamomstep
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,5 +1,5 @@
 // The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
 #include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
 #include "groups/monitor.h"
@@ -227,7 +227,7 @@
 
 Test(groups, overlappingRepliesNeverTakeAMemberBack)
 {
-    MemberWatch watch{a, at(0)};
+    MemberTracker watch{a, at(0)};
     watch.onState(report(a, second, Mark{second, 4}, MemberRole::Primary), at(0), at(10));
     watch.onState(report(a, first, Mark{first, 9}), at(5), at(11));
     watch.onState(report(a, second, Mark{first, 3}), at(5), at(12));
