--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -61,7 +61,7 @@
     return settle(now);
 }
 
-GroupActions GroupMonitor::onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
+GroupActions GroupMonitor::onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
 {
     begin(now);
     if (auto *tracker = find(member)) {
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -47,7 +47,7 @@
     [[nodiscard]] GroupActions onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now);
 
     /// A SendReport to \a member failed.
-    [[nodiscard]] GroupActions onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now);
+    [[nodiscard]] GroupActions onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now);
 
     /// \a member replied to the order \a kind of \a term that was sent at \a sentAt.
     [[nodiscard]] GroupActions
--- a/src/trace/groupinput.cpp
+++ b/src/trace/groupinput.cpp
@@ -24,7 +24,7 @@
     }
     GroupActions operator()(const ReportFailure &input)
     {
-        return monitor_.onLinkFailure(input.member, input.failure, now_);
+        return monitor_.onConnectionFailure(input.member, input.failure, now_);
     }
     GroupActions operator()(const OrderReply &input)
     {
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -248,7 +248,7 @@
             [this, proxy, member, sentAt](const LinkResult<MemberReport> &result) {
                 const auto &name = members[member].name;
                 if (const auto *failure = std::get_if<LinkFailure>(&result)) {
-                    perform(proxy, proxies[proxy].monitor->onLinkFailure(name, *failure, now));
+                    perform(proxy, proxies[proxy].monitor->onConnectionFailure(name, *failure, now));
                     return;
                 }
                 const auto &state = std::get<MemberReport>(result);
