--- a/src/groups/impl/promotion.cpp
+++ b/src/groups/impl/promotion.cpp
@@ -27,7 +27,7 @@
 
 void Promotion::onAdopted(const MemberReport &report)
 {
-    const bool leftOut = plan_.skipAvoided && report.member == plan_.avoid;
+    const bool leftOut = plan_.excludeAvoided && report.member == plan_.avoid;
     if (report.adopted != plan_.term || leftOut || adoptedBy(report.member)) {
         return;
     }
--- a/src/groups/impl/promotion.h
+++ b/src/groups/impl/promotion.h
@@ -20,13 +20,13 @@
     /// A member that leads only when its log is the longest; may be empty.
     MemberName avoid;
     /// True when `avoid` is left out of the attempt altogether.
-    bool skipAvoided = false;
+    bool excludeAvoided = false;
     /// A member to be chosen among equals; may be empty.
     MemberName prefer;
     TimePoint detectedAt;
     TimePoint startedAt;
     /// Until when replies of further members are waited for although a majority has adopted.
-    TimePoint patientUntil;
+    TimePoint adoptionsUntil;
     /// When the attempt is given up.
     TimePoint deadline;
 };
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -33,10 +33,10 @@
     , rank_(rank)
     , policy_(policy)
     , random_(seed)
-    , foreignUntil_(now)
+    , peerAttemptUntil_(now)
     , peersQueriedAt_(now)
     , lastDiscountedAt_(now)
-    , startAt_(now)
+    , attemptAllowedAt_(now)
     , backOffUntil_(now)
     , switchoverAllowedAt_(now)
     , wake_(now)
@@ -45,35 +45,35 @@
 
 GroupActions GroupMonitor::tick(TimePoint now)
 {
-    begin(now);
-    return settle(now);
+    beginInput(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (auto *tracker = find(member)) {
         const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
         const bool idle = tracker->report() == report;
         tracker->reportEnded(early && idle ? now + policy_.idleReportGap : now);
-        learn(*tracker, report, sentAt, now);
+        applyReport(*tracker, report, sentAt, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (auto *tracker = find(member)) {
         tracker->reportEnded(tracker->onFailure(failure, policy_, now));
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onOrderReply(
     const MemberName &member, OrderKind kind, const Term &term, const TermReply &reply, TimePoint sentAt, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (auto *tracker = find(member)) {
         if (tracker->order() == OutstandingOrder{kind, term}) {
             tracker->orderEnded(reply.accepted ? now : now + policy_.orderRetry);
@@ -81,51 +81,51 @@
         if (kind == OrderKind::Follow && reply.accepted) {
             tracker->followAccepted(term);
         }
-        learn(*tracker, reply.report, sentAt, now);
+        applyReport(*tracker, reply.report, sentAt, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions
 GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (auto *tracker = find(member)) {
         if (tracker->order() == OutstandingOrder{kind, term}) {
             tracker->orderEnded(now + policy_.orderRetry);
         }
         tracker->onFailure(failure, policy_, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     peerObservations_.onObservation(peer, observation, now);
     observeTerm(observation.highest, now);
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onStatementEvidence(const MemberName &member, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (auto *tracker = find(member)) {
         tracker->onContact(now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setRank(unsigned rank, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     rank_ = rank;
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setMembers(std::vector<GroupMember> members, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     auto trackers = trackersFor(members, now);
     for (auto &tracker : trackers) {
         if (auto *known = find(tracker.name())) {
@@ -137,30 +137,30 @@
     if (promotion_) {
         abandonPromotion(now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setPolicy(const GroupPolicy &policy, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     policy_ = policy;
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::requestSwitchover(const MemberName &leaving, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (leaving.empty() || find(leaving) != nullptr) {
-        leaving_ = leaving;
+        requestedLeaving_ = leaving;
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onPeerWritePause(TimePoint until, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     switchoverAllowedAt_ = std::max(switchoverAllowedAt_, until + policy_.switchoverRetry + rank_ * policy_.holdLimit);
-    return settle(now);
+    return finishInput(now);
 }
 
 TimePoint GroupMonitor::nextWake() const noexcept
@@ -172,7 +172,7 @@
 {
     auto view = primary_;
     if (view) {
-        view->suspected = need_.has_value();
+        view->suspected = trigger_.has_value();
     }
     return view;
 }
@@ -217,19 +217,19 @@
     return members_;
 }
 
-void GroupMonitor::begin(TimePoint now)
+void GroupMonitor::beginInput(TimePoint now)
 {
     actions_.clear();
     discountLocalPause(now);
 }
 
-GroupActions GroupMonitor::settle(TimePoint now)
+GroupActions GroupMonitor::finishInput(TimePoint now)
 {
     refreshPrimary(now);
     confirmPrimary();
     refreshReplication(now);
     advancePromotion(now);
-    refreshNeed(now);
+    refreshTrigger(now);
     advanceSwitchover(now);
     queryPeers(now);
     redirectMembers(now);
@@ -255,7 +255,7 @@
     }
 }
 
-void GroupMonitor::learn(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now)
+void GroupMonitor::applyReport(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
     tracker.onState(report, sentAt, now);
     observeTerm(report.adopted, now);
@@ -271,7 +271,7 @@
         return;
     }
     highest_ = term;
-    foreignUntil_ = now + policy_.attemptPatience + rankDelay();
+    peerAttemptUntil_ = now + policy_.attemptPatience + rankDelay();
 }
 
 void GroupMonitor::recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason)
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -102,16 +102,16 @@
     [[nodiscard]] const std::vector<GroupMember> &members() const noexcept;
 
 private:
-    struct Need {
+    struct PromotionTrigger {
         PromotionReason reason = PromotionReason::NoPrimary;
         TimePoint since;
     };
 
     // Inputs, in monitor.cpp
-    void begin(TimePoint now);
-    [[nodiscard]] GroupActions settle(TimePoint now);
+    void beginInput(TimePoint now);
+    [[nodiscard]] GroupActions finishInput(TimePoint now);
     void discountLocalPause(TimePoint now);
-    void learn(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now);
+    void applyReport(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now);
     void observeTerm(const Term &term, TimePoint now);
     void recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
     [[nodiscard]] MemberTracker *find(const MemberName &member) noexcept;
@@ -123,23 +123,23 @@
 
     // Which member leads, in monitorbelief.cpp
     void refreshPrimary(TimePoint now);
-    void believe(const MemberTracker &tracker, TimePoint now);
-    void losePrimary();
+    void setPrimary(const MemberTracker &tracker, TimePoint now);
+    void clearPrimary();
     void confirmPrimary();
     void refreshReplication(TimePoint now);
     [[nodiscard]] Term majorityAdopted() const;
     [[nodiscard]] Mark primaryLog() const;
 
     // Whether a promotion is needed, in monitorneed.cpp
-    void refreshNeed(TimePoint now);
-    void raiseNeed(PromotionReason reason, TimePoint now);
-    void clearNeed();
-    [[nodiscard]] std::optional<PromotionReason> findNeed(TimePoint now);
-    [[nodiscard]] std::optional<PromotionReason> needWithoutPrimary(TimePoint now) const;
-    [[nodiscard]] std::optional<PromotionReason> needWithPrimary(TimePoint now);
+    void refreshTrigger(TimePoint now);
+    void raiseTrigger(PromotionReason reason, TimePoint now);
+    void clearTrigger();
+    [[nodiscard]] std::optional<PromotionReason> findTrigger(TimePoint now);
+    [[nodiscard]] std::optional<PromotionReason> triggerWithoutPrimary(TimePoint now) const;
+    [[nodiscard]] std::optional<PromotionReason> triggerWithPrimary(TimePoint now);
     [[nodiscard]] bool overruledByPeers(const Term &term, TimePoint since) const;
     [[nodiscard]] bool primaryStalled(TimePoint now) const;
-    [[nodiscard]] bool termStranded(TimePoint now) const;
+    [[nodiscard]] bool needsTermRepair(TimePoint now) const;
     [[nodiscard]] Microseconds replicationBound() const noexcept;
     [[nodiscard]] Microseconds rankDelay();
     [[nodiscard]] std::size_t reachableMembers(const MemberName &without, TimePoint now) const;
@@ -176,7 +176,7 @@
     /// Highest term seen anywhere; new attempts go above it.
     Term highest_;
     /// Until when another owner's attempt, seen by its term, is left alone.
-    TimePoint foreignUntil_;
+    TimePoint peerAttemptUntil_;
     std::optional<PrimaryInfo> primary_;
     /// The last member that was known to lead.
     MemberName previousPrimary_;
@@ -189,9 +189,9 @@
     bool overrulingRecorded_ = false;
     TimePoint lastDiscountedAt_;
 
-    std::optional<Need> need_;
+    std::optional<PromotionTrigger> trigger_;
     /// Earliest start of an attempt for need_.
-    TimePoint startAt_;
+    TimePoint attemptAllowedAt_;
     /// End of the pause after a failed attempt.
     TimePoint backOffUntil_;
     unsigned failedAttempts_ = 0;
@@ -202,9 +202,9 @@
     /// Switchovers abandoned in a row; each doubles the pause before the next.
     unsigned abandonedSwitchovers_ = 0;
     /// A member that was asked to leave; empty when none was.
-    MemberName leaving_;
+    MemberName requestedLeaving_;
     /// True when the primary was leaving at the last look, by its own report or by request.
-    bool primaryLeaves_ = false;
+    bool primaryWasLeaving_ = false;
 
     TimePoint wake_;
 };
--- a/src/groups/monitorattempt.cpp
+++ b/src/groups/monitorattempt.cpp
@@ -12,26 +12,26 @@
     plan.reason = reason;
     plan.detectedAt = detectedAt;
     plan.startedAt = now;
-    plan.patientUntil = now;
+    plan.adoptionsUntil = now;
     plan.deadline = now + policy_.attemptTimeout;
     if (reason == PromotionReason::PrimaryStalled) {
         plan.avoid = primary_->member;
-        plan.skipAvoided = true;
+        plan.excludeAvoided = true;
         ++stalledPromotions_;
     }
     if (reason == PromotionReason::TermRepair) {
         plan.prefer = primary_->member;
-        plan.patientUntil = now + policy_.orderTimeout;
+        plan.adoptionsUntil = now + policy_.orderTimeout;
     }
     if (reason == PromotionReason::Switchover) {
         plan.avoid = switchover_.from();
         plan.prefer = switchover_.target();
-        plan.patientUntil = now + policy_.orderTimeout;
+        plan.adoptionsUntil = now + policy_.orderTimeout;
     }
     highest_ = plan.term;
     recordEvent(AuditEventKind::PromotionStarted, MemberName{}, plan.term, reason);
     promotion_.emplace(plan, trackers_.size());
-    need_.reset();
+    trigger_.reset();
     sendPromotionOrders(now);
 }
 
@@ -58,7 +58,7 @@
     const auto awaited = [&](const MemberTracker &tracker) {
         return reachable(tracker, now) && !promotion_->adoptedBy(tracker.name());
     };
-    const bool complete = now >= promotion_->plan().patientUntil || std::none_of(trackers_.begin(), trackers_.end(), awaited);
+    const bool complete = now >= promotion_->plan().adoptionsUntil || std::none_of(trackers_.begin(), trackers_.end(), awaited);
     promotion_->choose(complete);
 }
 
@@ -66,7 +66,7 @@
 {
     const auto &plan = promotion_->plan();
     for (auto &tracker : trackers_) {
-        const bool leftOut = plan.skipAvoided && tracker.name() == plan.avoid;
+        const bool leftOut = plan.excludeAvoided && tracker.name() == plan.avoid;
         if (!tracker.orderAllowed(now) || tracker.isDown() || leftOut) {
             continue;
         }
--- a/src/groups/monitorupkeep.cpp
+++ b/src/groups/monitormaintenance.cpp
@@ -76,7 +76,7 @@
         }
         return;
     }
-    if (!leads || need_ || !primaryLeaving()) {
+    if (!leads || trigger_ || !primaryLeaving()) {
         endSwitchover(AuditEventKind::SwitchoverAbandoned, now);
         return;
     }
@@ -90,26 +90,26 @@
     if (step == SwitchoverStep::Abandon) {
         endSwitchover(AuditEventKind::SwitchoverAbandoned, now);
     } else if (step == SwitchoverStep::HandOver && reports.size() >= majority()) {
-        switchover_.promoting();
+        switchover_.onPromotionStarted();
         startPromotion(PromotionReason::Switchover, now, now);
     }
 }
 
 bool GroupMonitor::primaryLeaving() const
 {
-    return find(primary_->member)->report()->leaving || leaving_ == primary_->member;
+    return find(primary_->member)->report()->leaving || requestedLeaving_ == primary_->member;
 }
 
 void GroupMonitor::startSwitchover(TimePoint now)
 {
-    if (!primary_ || promotion_ || need_) {
+    if (!primary_ || promotion_ || trigger_) {
         return;
     }
     const bool leaving = primaryLeaving();
-    if (leaving && !primaryLeaves_) {
+    if (leaving && !primaryWasLeaving_) {
         switchoverAllowedAt_ = std::max(switchoverAllowedAt_, now + rank_ * policy_.holdLimit);
     }
-    primaryLeaves_ = leaving;
+    primaryWasLeaving_ = leaving;
     const auto mayLead = [&](const MemberTracker &tracker) {
         return tracker.name() != primary_->member && reachable(tracker, now) && !tracker.report()->leaving;
     };
@@ -127,8 +127,8 @@
     recordEvent(kind, switchover_.from(), primary_ ? primary_->term : Term{}, PromotionReason::Switchover);
     switchover_.finish();
     if (kind == AuditEventKind::SwitchoverFinished) {
-        leaving_ = MemberName{};
-        primaryLeaves_ = false;
+        requestedLeaving_ = MemberName{};
+        primaryWasLeaving_ = false;
         abandonedSwitchovers_ = 0;
         actions_.emplace_back(ResumeWrites{});
         return;
@@ -156,11 +156,11 @@
         }
         wakeAt(tracker.followAllowedAt, now);
     }
-    if (need_) {
-        wakeAt(std::max({startAt_, backOffUntil_, foreignUntil_}), now);
+    if (trigger_) {
+        wakeAt(std::max({attemptAllowedAt_, backOffUntil_, peerAttemptUntil_}), now);
     }
     if (promotion_) {
-        wakeAt(promotion_->plan().patientUntil, now);
+        wakeAt(promotion_->plan().adoptionsUntil, now);
         wakeAt(promotion_->plan().deadline, now);
     }
     if (switchover_.active()) {
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorprimary.cpp
@@ -14,7 +14,7 @@
         const bool leads =
             tracker != nullptr && tracker->report()->role == MemberRole::Primary && tracker->report()->adopted == primary_->term;
         if (!leads || superseding > primary_->term) {
-            losePrimary();
+            clearPrimary();
         }
     }
     const MemberTracker *newest = nullptr;
@@ -28,11 +28,11 @@
         }
     }
     if (newest != nullptr && (!primary_ || newest->report()->adopted > primary_->term)) {
-        believe(*newest, now);
+        setPrimary(*newest, now);
     }
 }
 
-void GroupMonitor::believe(const MemberTracker &tracker, TimePoint now)
+void GroupMonitor::setPrimary(const MemberTracker &tracker, TimePoint now)
 {
     const auto &report = *tracker.report();
     PrimaryChanged change{tracker.name(), report.adopted, PromotionReason::Observed, previousPrimary_, now, now};
@@ -46,13 +46,13 @@
     primary_ = PrimaryInfo{tracker.name(), report.adopted};
     previousPrimary_ = tracker.name();
     actions_.emplace_back(change);
-    clearNeed();
+    clearTrigger();
     for (auto &other : trackers_) {
         other.followAllowedAt = own ? now : now + policy_.followRetry + rank_ * policy_.rankStagger;
     }
 }
 
-void GroupMonitor::losePrimary()
+void GroupMonitor::clearPrimary()
 {
     recordEvent(AuditEventKind::PrimaryLost, primary_->member, primary_->term);
     primary_.reset();
@@ -63,11 +63,11 @@
     if (!primary_ || primary_->confirmed) {
         return;
     }
-    const auto holds = [&](const MemberTracker &tracker) {
+    const auto hasStartEntry = [&](const MemberTracker &tracker) {
         return tracker.report() && tracker.report()->log.term == primary_->term;
     };
-    const auto holders = static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), holds));
-    if (holders < majority()) {
+    const auto replicatedMembers = static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), hasStartEntry));
+    if (replicatedMembers < majority()) {
         return;
     }
     primary_->confirmed = true;
--- a/src/groups/monitorneed.cpp
+++ b/src/groups/monitortrigger.cpp
@@ -12,18 +12,18 @@
 
 } // namespace
 
-void GroupMonitor::refreshNeed(TimePoint now)
+void GroupMonitor::refreshTrigger(TimePoint now)
 {
     if (promotion_) {
         return;
     }
-    const auto reason = findNeed(now);
+    const auto reason = findTrigger(now);
     if (!reason) {
-        clearNeed();
+        clearTrigger();
         return;
     }
-    raiseNeed(*reason, now);
-    const auto allowedAt = std::max({startAt_, backOffUntil_, foreignUntil_});
+    raiseTrigger(*reason, now);
+    const auto allowedAt = std::max({attemptAllowedAt_, backOffUntil_, peerAttemptUntil_});
     if (now < allowedAt) {
         return;
     }
@@ -31,43 +31,43 @@
     if (reachableMembers(withoutPrimary ? primary_->member : MemberName{}, now) < majority()) {
         return;
     }
-    startPromotion(*reason, need_->since, now);
+    startPromotion(*reason, trigger_->since, now);
 }
 
-void GroupMonitor::raiseNeed(PromotionReason reason, TimePoint now)
+void GroupMonitor::raiseTrigger(PromotionReason reason, TimePoint now)
 {
-    if (need_ && need_->reason == reason) {
+    if (trigger_ && trigger_->reason == reason) {
         return;
     }
     if (primary_) {
         recordEvent(AuditEventKind::PrimarySuspected, primary_->member, primary_->term, reason);
     }
-    if (need_) {
-        need_->reason = reason;
+    if (trigger_) {
+        trigger_->reason = reason;
         return;
     }
-    need_ = Need{reason, now};
-    startAt_ = now + rankDelay();
+    trigger_ = PromotionTrigger{reason, now};
+    attemptAllowedAt_ = now + rankDelay();
     if (reason == PromotionReason::TermRepair) {
-        startAt_ += policy_.attemptTimeout;
+        attemptAllowedAt_ += policy_.attemptTimeout;
     }
 }
 
-void GroupMonitor::clearNeed()
+void GroupMonitor::clearTrigger()
 {
-    if (need_ && primary_ && need_->reason != PromotionReason::NoPrimary) {
-        recordEvent(AuditEventKind::SuspicionCleared, primary_->member, primary_->term, need_->reason);
+    if (trigger_ && primary_ && trigger_->reason != PromotionReason::NoPrimary) {
+        recordEvent(AuditEventKind::SuspicionCleared, primary_->member, primary_->term, trigger_->reason);
     }
-    need_.reset();
+    trigger_.reset();
 }
 
-std::optional<PromotionReason> GroupMonitor::findNeed(TimePoint now)
+std::optional<PromotionReason> GroupMonitor::findTrigger(TimePoint now)
 {
-    return primary_ ? needWithPrimary(now) : needWithoutPrimary(now);
+    return primary_ ? triggerWithPrimary(now) : triggerWithoutPrimary(now);
 }
 
 // A member that was not heard yet may be the primary, so its silence must be as certain as a known primary's.
-std::optional<PromotionReason> GroupMonitor::needWithoutPrimary(TimePoint now) const
+std::optional<PromotionReason> GroupMonitor::triggerWithoutPrimary(TimePoint now) const
 {
     const auto undecided = [&](const MemberTracker &tracker) {
         return !tracker.report() && !tracker.isDown() && !silent(tracker, now);
@@ -82,7 +82,7 @@
     return highest_ == Term{} ? PromotionReason::Bootstrap : PromotionReason::NoPrimary;
 }
 
-std::optional<PromotionReason> GroupMonitor::needWithPrimary(TimePoint now)
+std::optional<PromotionReason> GroupMonitor::triggerWithPrimary(TimePoint now)
 {
     const auto &tracker = *find(primary_->member);
     // Signs of life that others had before the refusal may still arrive within a round trip.
@@ -104,7 +104,7 @@
     if (primaryStalled(now)) {
         return PromotionReason::PrimaryStalled;
     }
-    if (termStranded(now)) {
+    if (needsTermRepair(now)) {
         return PromotionReason::TermRepair;
     }
     return std::nullopt;
@@ -130,7 +130,7 @@
 }
 
 // A member that adopted a term which nobody leads refuses the present primary's log.
-bool GroupMonitor::termStranded(TimePoint now) const
+bool GroupMonitor::needsTermRepair(TimePoint now) const
 {
     const auto stranded = [&](const MemberTracker &tracker) {
         return reachable(tracker, now) && tracker.report()->adopted > primary_->term;
--- a/src/groups/switchover.cpp
+++ b/src/groups/switchover.cpp
@@ -11,8 +11,8 @@
     from_ = from;
     target_ = MemberName{};
     deadline_ = now + policy.holdLimit;
-    still_ = Mark{};
-    stillSince_ = now;
+    stableEnd_ = Mark{};
+    stableSince_ = now;
 }
 
 SwitchoverStep Switchover::advance(const std::vector<MemberReport> &reports, const Term &term, const GroupPolicy &policy, TimePoint now)
@@ -28,15 +28,15 @@
     if (leader == reports.end()) {
         return step_;
     }
-    if (leader->log != still_) {
-        still_ = leader->log;
-        stillSince_ = now;
+    if (leader->log != stableEnd_) {
+        stableEnd_ = leader->log;
+        stableSince_ = now;
     }
-    if (now - stillSince_ < policy.quietTime) {
+    if (now - stableSince_ < policy.quietTime) {
         return step_;
     }
     const auto ready = [&](const MemberReport &report) {
-        return report.member != from_ && !report.leaving && report.adopted == term && report.log >= still_;
+        return report.member != from_ && !report.leaving && report.adopted == term && report.log >= stableEnd_;
     };
     const auto target = std::find_if(reports.begin(), reports.end(), ready);
     if (target != reports.end()) {
@@ -46,7 +46,7 @@
     return step_;
 }
 
-void Switchover::promoting() noexcept
+void Switchover::onPromotionStarted() noexcept
 {
     step_ = SwitchoverStep::Promote;
 }
--- a/src/groups/switchover.h
+++ b/src/groups/switchover.h
@@ -33,7 +33,7 @@
     SwitchoverStep advance(const std::vector<MemberReport> &reports, const Term &term, const GroupPolicy &policy, TimePoint now);
 
     /// The promotion of target() began.
-    void promoting() noexcept;
+    void onPromotionStarted() noexcept;
 
     /// Ends it, whatever its step.
     void finish() noexcept;
@@ -53,8 +53,8 @@
     MemberName target_;
     TimePoint deadline_;
     /// The primary's last entry and since when it has not moved.
-    Mark still_;
-    TimePoint stillSince_;
+    Mark stableEnd_;
+    TimePoint stableSince_;
 };
 
 } // namespace cardamomstep
