--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -38,8 +38,8 @@
     : options_(std::move(options))
     , random_(options_.seed)
 {
-    if (options_.forms.size() > schemaFormsMost) {
-        options_.forms.resize(schemaFormsMost);
+    if (options_.forms.size() > maxSchemaForms) {
+        options_.forms.resize(maxSchemaForms);
     }
     MemberUpdate own{options_.self, options_.incarnation, ProxyState::Alive, options_.forms};
     proxies_.push_back({std::make_shared<const MemberUpdate>(std::move(own)), {}, true});
@@ -69,14 +69,14 @@
     std::sort(listed_.begin(), listed_.end());
     std::sort(listedDomains_.begin(), listedDomains_.end());
     listedDomains_.erase(std::unique(listedDomains_.begin(), listedDomains_.end()), listedDomains_.end());
-    std::vector<InstanceName> gone;
+    std::vector<InstanceName> unlisted;
     for (const auto &proxy : proxies_) {
         const auto &name = proxy.update->instance.name;
         if (proxy.update->state == ProxyState::Leaving && !isListed(name) && !isSelf(name)) {
-            gone.push_back(name);
+            unlisted.push_back(name);
         }
     }
-    for (const auto &name : gone) {
+    for (const auto &name : unlisted) {
         setState(*find(name), ProxyState::Dead, now);
     }
 }
@@ -89,10 +89,10 @@
     forgetDead(now);
     fetchSnapshot(now, actions);
     if (!nextPing_) {
-        nextPing_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(options_.period.count()))};
+        nextPing_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(options_.pingPeriod.count()))};
     }
     if (now >= *nextPing_) {
-        nextPing_ = std::max(*nextPing_ + options_.period, now);
+        nextPing_ = std::max(*nextPing_ + options_.pingPeriod, now);
         ping(now, actions);
     }
     return actions;
@@ -100,10 +100,10 @@
 
 MembershipMessage MembershipView::onPing(const MembershipMessage &ping, TimePoint now)
 {
-    takeMessage(ping, now);
+    applyMessage(ping, now);
     const auto *sender = find(ping.from);
     auto ack = messageTo(sender);
-    if (ping.introduce) {
+    if (ping.requestReceiverUpdate) {
         ack.updates.push_back(ownUpdate());
     }
     return ack;
@@ -116,7 +116,7 @@
     if (expected) {
         probes_.erase(probe);
     }
-    takeMessage(ack, now);
+    applyMessage(ack, now);
 }
 
 void MembershipView::onRefused(PingId id, TimePoint now)
@@ -142,7 +142,7 @@
 void MembershipView::onSnapshot(const std::vector<SharedUpdate> &updates, TimePoint now)
 {
     for (const auto &update : updates) {
-        take(update, now);
+        applyUpdate(update, now);
     }
 }
 
@@ -156,7 +156,7 @@
     setState(*find(options_.self.name), ProxyState::Leaving, now);
 }
 
-void MembershipView::noteConfiguration(const InstanceName &name, Revision revision)
+void MembershipView::recordConfiguration(const InstanceName &name, Revision revision)
 {
     if (auto *proxy = findMutable(name)) {
         proxy->configuration = std::max(proxy->configuration, revision);
@@ -165,7 +165,7 @@
 
 std::shared_ptr<const InstanceSet> MembershipView::owners()
 {
-    if (ownersMadeAt_ != generation_) {
+    if (ownersGeneration_ != generation_) {
         std::vector<LiveInstance> instances;
         for (const auto &proxy : proxies_) {
             if (ownsGroups(proxy.update->state)) {
@@ -173,7 +173,7 @@
             }
         }
         owners_ = std::make_shared<const InstanceSet>(std::move(instances));
-        ownersMadeAt_ = generation_;
+        ownersGeneration_ = generation_;
     }
     return owners_;
 }
@@ -232,7 +232,7 @@
 {
     MembershipMessage message{options_.self.name, configuration_, false, {}};
     if (receiver != nullptr) {
-        message.introduce = !receiver->heard;
+        message.requestReceiverUpdate = !receiver->contacted;
         const auto state = receiver->update->state;
         if (state == ProxyState::Suspect || state == ProxyState::Dead) {
             // So that it can refute.
@@ -252,7 +252,7 @@
     for (const auto &[name, sent] : rumors_) {
         order.emplace_back(sent, &name);
     }
-    const auto count = std::min(order.size(), options_.updatesPerMessage);
+    const auto count = std::min(order.size(), options_.maxUpdatesPerMessage);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
     order.resize(count);
     std::vector<SharedUpdate> updates;
@@ -272,7 +272,7 @@
 std::size_t MembershipView::rumorLimit() const
 {
     const auto doublings = std::ceil(std::log2(static_cast<double>(proxies_.size() + 1)));
-    return options_.retransmit * static_cast<std::size_t>(doublings);
+    return options_.retransmitMultiplier * static_cast<std::size_t>(doublings);
 }
 
 const KnownProxy *MembershipView::nextTarget()
@@ -310,14 +310,14 @@
     return find(options_.self.name)->update;
 }
 
-bool MembershipView::take(const SharedUpdate &update, TimePoint now)
+bool MembershipView::applyUpdate(const SharedUpdate &update, TimePoint now)
 {
     const auto &name = update->instance.name;
     if (isSelf(name)) {
         refute(*update, now);
         return false;
     }
-    if (update->forms.size() > schemaFormsMost) {
+    if (update->forms.size() > maxSchemaForms) {
         return false;
     }
     const auto *known = find(name);
@@ -325,14 +325,14 @@
     return isNews && set(update, now);
 }
 
-void MembershipView::takeMessage(const MembershipMessage &message, TimePoint now)
+void MembershipView::applyMessage(const MembershipMessage &message, TimePoint now)
 {
     for (const auto &update : message.updates) {
-        if (take(update, now)) {
-            spread(update->instance.name);
+        if (applyUpdate(update, now)) {
+            disseminate(update->instance.name);
         }
     }
-    noteConfiguration(message.from, message.configuration);
+    recordConfiguration(message.from, message.configuration);
 }
 
 void MembershipView::refute(const MemberUpdate &update, TimePoint now)
@@ -349,10 +349,10 @@
     auto refuted = *own;
     refuted.incarnation = update.incarnation + 1;
     set(std::make_shared<const MemberUpdate>(std::move(refuted)), now);
-    spread(options_.self.name);
+    disseminate(options_.self.name);
 }
 
-void MembershipView::spread(const InstanceName &name)
+void MembershipView::disseminate(const InstanceName &name)
 {
     rumors_[name] = 0;
 }
@@ -362,12 +362,12 @@
     const auto name = update->instance.name;
     const auto place = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
     const bool isKnown = place != proxies_.end() && place->update->instance.name == name;
-    if (!isKnown && proxies_.size() >= options_.proxies) {
+    if (!isKnown && proxies_.size() >= options_.maxProxies) {
         return false;
     }
     const auto state = update->state;
     // What only the platform's list says has incarnation 0.
-    const bool heard = update->incarnation > 0;
+    const bool contacted = update->incarnation > 0;
     bool ownersChange = ownsGroups(state);
     if (isKnown) {
         const auto &before = *place->update;
@@ -377,16 +377,16 @@
             place->configuration = {};
         }
         place->update = std::move(update);
-        place->heard = heard;
+        place->contacted = contacted;
     } else {
-        proxies_.insert(place, KnownProxy{std::move(update), {}, heard});
+        proxies_.insert(place, KnownProxy{std::move(update), {}, contacted});
     }
     generation_ += ownersChange ? 1 : 0;
     rumors_.erase(name);
     suspects_.erase(name);
     dead_.erase(name);
     if (state == ProxyState::Suspect) {
-        suspects_[name] = now + options_.suspicion;
+        suspects_[name] = now + options_.suspicionTimeout;
     } else if (state == ProxyState::Dead) {
         dead_[name] = now;
     }
@@ -399,7 +399,7 @@
     changed.state = state;
     const auto name = changed.instance.name;
     if (set(std::make_shared<const MemberUpdate>(std::move(changed)), now)) {
-        spread(name);
+        disseminate(name);
     }
 }
 
@@ -427,8 +427,8 @@
 
 void MembershipView::fetchSnapshot(TimePoint now, MembershipActions &actions)
 {
-    const auto forSize = options_.snapshotPerProxy * static_cast<Milliseconds::rep>(proxies_.size());
-    const auto every = std::max(options_.snapshotEvery, forSize);
+    const auto forSize = options_.snapshotIntervalPerProxy * static_cast<Milliseconds::rep>(proxies_.size());
+    const auto every = std::max(options_.minSnapshotInterval, forSize);
     const auto jitter = [this](Milliseconds span) {
         return Milliseconds{random_.below(static_cast<std::uint64_t>(span.count()) + 1)};
     };
@@ -436,7 +436,7 @@
         nextSnapshot_ = now;
     }
     if (rumors_.size() > manyRumors) {
-        nextSnapshot_ = std::min(*nextSnapshot_, now + options_.snapshotEvery + jitter(options_.snapshotEvery));
+        nextSnapshot_ = std::min(*nextSnapshot_, now + options_.minSnapshotInterval + jitter(options_.minSnapshotInterval));
     }
     if (now < *nextSnapshot_) {
         return;
@@ -451,27 +451,27 @@
 {
     for (auto entry = probes_.begin(); entry != probes_.end();) {
         auto &[id, probe] = *entry;
-        if (now - probe.sentAt >= options_.answerWait) {
+        if (now - probe.sentAt >= options_.probeTimeout) {
             suspect(probe.target, now);
             entry = probes_.erase(entry);
             continue;
         }
-        if (!probe.askedOthers && now - probe.sentAt >= options_.directWait) {
-            probe.askedOthers = true;
-            askOthers(id, probe, actions);
+        if (!probe.indirectPingsSent && now - probe.sentAt >= options_.directPingTimeout) {
+            probe.indirectPingsSent = true;
+            sendIndirectPings(id, probe, actions);
         }
         ++entry;
     }
 }
 
-void MembershipView::askOthers(PingId id, const Probe &probe, MembershipActions &actions)
+void MembershipView::sendIndirectPings(PingId id, const Probe &probe, MembershipActions &actions)
 {
     const auto *target = find(probe.target);
     if (target == nullptr || target->update->state == ProxyState::Dead) {
         return;
     }
     const auto instance = target->update->instance;
-    for (std::size_t asked = 0; asked < options_.indirect; ++asked) {
+    for (std::size_t asked = 0; asked < options_.indirectPings; ++asked) {
         if (const auto *via = randomAlive(probe.target)) {
             actions.push_back(SendIndirectPing{id, via->update->instance, instance, messageTo(find(probe.target))});
         }
@@ -480,13 +480,13 @@
 
 void MembershipView::checkSuspects(TimePoint now)
 {
-    std::vector<InstanceName> late;
+    std::vector<InstanceName> expired;
     for (const auto &[name, deadline] : suspects_) {
         if (now >= deadline) {
-            late.push_back(name);
+            expired.push_back(name);
         }
     }
-    for (const auto &name : late) {
+    for (const auto &name : expired) {
         setState(*find(name), ProxyState::Dead, now);
     }
 }
@@ -495,7 +495,7 @@
 {
     for (auto entry = dead_.begin(); entry != dead_.end();) {
         const auto &[name, since] = *entry;
-        if (isListed(name) || now - since < options_.remember) {
+        if (isListed(name) || now - since < options_.deadRetention) {
             ++entry;
             continue;
         }
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -37,7 +37,7 @@
 };
 
 /// Most schema forms that a proxy may list.
-inline constexpr std::size_t schemaFormsMost = 16;
+inline constexpr std::size_t maxSchemaForms = 16;
 
 /// News of one proxy.
 struct MemberUpdate {
@@ -60,7 +60,7 @@
     /// Revision up to which it had all of the configuration when it last spoke to this proxy; 0 before.
     Revision configuration;
     /// False while only the platform's list names it.
-    bool heard = false;
+    bool contacted = false;
 };
 
 /// Numbers a ping within the proxy that sent it.
@@ -72,7 +72,7 @@
     /// Revision up to which the sender has all of the configuration.
     Revision configuration;
     /// True when the sender lacks the receiver's own news, which the answer then carries.
-    bool introduce = false;
+    bool requestReceiverUpdate = false;
     std::vector<SharedUpdate> updates;
 };
 
@@ -106,26 +106,26 @@
     std::uint64_t incarnation = 1;
     std::vector<SchemaForm> forms;
     /// Time between two pings.
-    Milliseconds period{1000};
+    Milliseconds pingPeriod{1000};
     /// Wait for a direct answer before others are asked to ping.
-    Milliseconds directWait{300};
+    Milliseconds directPingTimeout{300};
     /// Proxies that are asked.
-    std::size_t indirect = 3;
+    std::size_t indirectPings = 3;
     /// Wait for an answer on any way before the proxy is suspected, from the first ping.
-    Milliseconds answerWait{900};
+    Milliseconds probeTimeout{900};
     /// Time for a suspect to refute, before it is held dead.
-    Milliseconds suspicion{3000};
+    Milliseconds suspicionTimeout{3000};
     /// News that one message carries at most.
-    std::size_t updatesPerMessage = 12;
+    std::size_t maxUpdatesPerMessage = 12;
     /// Times that each piece of news is passed on, for each doubling of the fleet.
-    std::size_t retransmit = 2;
+    std::size_t retransmitMultiplier = 2;
     /// Least time between two snapshots fetched, and the part of it for each proxy known; the larger one counts.
-    Milliseconds snapshotEvery{10'000};
-    Milliseconds snapshotPerProxy{500};
+    Milliseconds minSnapshotInterval{10'000};
+    Milliseconds snapshotIntervalPerProxy{500};
     /// How long a dead proxy is remembered after the platform's list no longer names it.
-    Milliseconds remember{60'000};
+    Milliseconds deadRetention{60'000};
     /// Most proxies that are tracked.
-    std::size_t proxies = 20'000;
+    std::size_t maxProxies = 20'000;
     std::uint64_t seed = 1;
 };
 
@@ -169,7 +169,7 @@
     }
 
     /// Notes that \a name had all of the configuration up to \a revision, as other messages show.
-    void noteConfiguration(const InstanceName &name, Revision revision);
+    void recordConfiguration(const InstanceName &name, Revision revision);
 
     /// The proxies that may own groups: alive or suspect, not leaving. Made anew when generation() has grown since the last call.
     [[nodiscard]] std::shared_ptr<const InstanceSet> owners();
@@ -199,7 +199,7 @@
     struct Probe {
         InstanceName target;
         TimePoint sentAt;
-        bool askedOthers = false;
+        bool indirectPingsSent = false;
     };
     /// Times that a piece of news was passed on, by the proxy it is about.
     using Rumors = std::map<InstanceName, std::size_t>;
@@ -218,17 +218,17 @@
         return name == options_.self.name;
     }
     [[nodiscard]] SharedUpdate ownUpdate() const;
-    bool take(const SharedUpdate &update, TimePoint now);
-    void takeMessage(const MembershipMessage &message, TimePoint now);
+    bool applyUpdate(const SharedUpdate &update, TimePoint now);
+    void applyMessage(const MembershipMessage &message, TimePoint now);
     void refute(const MemberUpdate &update, TimePoint now);
     bool set(SharedUpdate update, TimePoint now);
-    void spread(const InstanceName &name);
+    void disseminate(const InstanceName &name);
     void setState(const KnownProxy &proxy, ProxyState state, TimePoint now);
     void suspect(const InstanceName &name, TimePoint now);
     void ping(TimePoint now, MembershipActions &actions);
     void fetchSnapshot(TimePoint now, MembershipActions &actions);
     void checkProbes(TimePoint now, MembershipActions &actions);
-    void askOthers(PingId id, const Probe &probe, MembershipActions &actions);
+    void sendIndirectPings(PingId id, const Probe &probe, MembershipActions &actions);
     void checkSuspects(TimePoint now);
     void forgetDead(TimePoint now);
 
@@ -249,7 +249,7 @@
     std::vector<FailureDomain> listedDomains_;
     std::shared_ptr<const InstanceSet> owners_ = std::make_shared<InstanceSet>();
     std::uint64_t generation_ = 1;
-    std::uint64_t ownersMadeAt_ = 0;
+    std::uint64_t ownersGeneration_ = 0;
     std::uint64_t lastPing_ = 0;
     Revision configuration_;
     std::optional<TimePoint> nextPing_;
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -192,7 +192,7 @@
     wire::PingMessage message;
     message.set_from(ping.message.from.text());
     message.set_configuration(ping.message.configuration.value);
-    message.set_introduce(ping.message.introduce);
+    message.set_introduce(ping.message.requestReceiverUpdate);
     encodeUpdates(ping.message.updates, message.mutable_updates());
     message.set_target(ping.target.text());
     message.set_answered(ping.answered);
@@ -204,7 +204,7 @@
     Ping ping;
     ping.message.from = InstanceName{message.from()};
     ping.message.configuration = Revision{message.configuration()};
-    ping.message.introduce = message.introduce();
+    ping.message.requestReceiverUpdate = message.introduce();
     ping.message.updates = decodeUpdates(message.updates());
     ping.target = Address{message.target()};
     ping.answered = message.answered();
