--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -78,7 +78,7 @@
     throw BadValue("unknown word " + json.dump());
 }
 
-Mark readMark(const Json &json)
+Mark readLogPosition(const Json &json)
 {
     const auto mark = parseMark(json.get<std::string>());
     if (!mark) {
@@ -169,7 +169,7 @@
     return {MemberName{json.at("member").get<std::string>()},
             role == "primary" ? MemberRole::Primary : MemberRole::Replica,
             readTerm(json.at("adopted")),
-            readMark(json.at("log")),
+            readLogPosition(json.at("log")),
             json.at("leaving").get<bool>()};
 }
 
@@ -188,7 +188,7 @@
     return {MemberName{json.at("primary").get<std::string>()},
             readTerm(json.at("term")),
             readTerm(json.at("highest")),
-            readMark(json.at("log")),
+            readLogPosition(json.at("log")),
             Milliseconds{json.at("ageMs").get<std::int64_t>()}};
 }
 
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -10,15 +10,15 @@
 namespace {
 
 /// Longest line that is read; longer ones are no lines of a trace.
-constexpr std::size_t lineBytesMost = std::size_t{1} << 20U;
+constexpr std::size_t maxLineBytes = std::size_t{1} << 20U;
 
 constexpr const char *nothing = "nothing";
 
-std::optional<ReplayDifference> compareActions(const std::vector<std::string> &stated, const GroupActions &actions, std::size_t line)
+std::optional<ReplayDifference> compareActions(const std::vector<std::string> &recorded, const GroupActions &actions, std::size_t line)
 {
-    const auto count = std::max(stated.size(), actions.size());
+    const auto count = std::max(recorded.size(), actions.size());
     for (std::size_t index = 0; index < count; ++index) {
-        const auto before = index < stated.size() ? stated[index] : std::string(nothing);
+        const auto before = index < recorded.size() ? recorded[index] : std::string(nothing);
         const auto after = index < actions.size() ? actionText(actions[index]) : std::string(nothing);
         if (before != after) {
             return ReplayDifference{line, before, after};
@@ -60,7 +60,7 @@
     ReplayReport report;
     while (std::getline(lines, text)) {
         ++line;
-        if (text.size() > lineBytesMost) {
+        if (text.size() > maxLineBytes) {
             return at(Error{ErrorKind::TooLarge, "the line is too long"}, line);
         }
         const auto step = readStep(text);
@@ -76,11 +76,11 @@
     return report;
 }
 
-ReplayExit runReplay(std::istream &lines, std::ostream &out, std::ostream &faults)
+ReplayExit runReplay(std::istream &lines, std::ostream &out, std::ostream &errors)
 {
     const auto report = replay(lines);
     if (!report) {
-        faults << report.error() << "\n";
+        errors << report.error() << "\n";
         return ReplayExit::Unreadable;
     }
     if (!report->difference) {
@@ -89,7 +89,7 @@
     }
     const auto &difference = *report->difference;
     out << "different at line " << difference.line << "\n"
-        << "  stated:   " << difference.stated << "\n"
+        << "  stated:   " << difference.recorded << "\n"
         << "  replayed: " << difference.replayed << "\n";
     return ReplayExit::Different;
 }
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -17,7 +17,7 @@
     /// Line of the trace, counted from 1.
     std::size_t line = 0;
     /// What the trace states, and what the machine did now; "nothing" where one side has no action.
-    std::string stated;
+    std::string recorded;
     std::string replayed;
 
     [[nodiscard]] bool operator==(const ReplayDifference &) const = default;
@@ -45,6 +45,6 @@
 };
 
 /// Replays the trace in \a lines and tells people the result: the subcommand `replay`.
-[[nodiscard]] ReplayExit runReplay(std::istream &lines, std::ostream &out, std::ostream &faults);
+[[nodiscard]] ReplayExit runReplay(std::istream &lines, std::ostream &out, std::ostream &errors);
 
 } // namespace cardamomstep::trace
--- a/src/trace/tracedmonitor.h
+++ b/src/trace/tracedmonitor.h
@@ -40,7 +40,7 @@
     }
 
     /// States the present primary as the outcome that a replay must reach.
-    void stateOutcome(TimePoint now)
+    void recordOutcome(TimePoint now)
     {
         sink_(outcomeLine(monitor_.primary(), now));
     }
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -57,7 +57,7 @@
             }
         }
         now_ = end;
-        monitor_.stateOutcome(now_);
+        monitor_.recordOutcome(now_);
     }
 
     void setUp(const char *member, bool up)
@@ -249,7 +249,7 @@
     cr_assert(runReplay(in, out, faults) == ReplayExit::Different);
     const auto report = replayText(text);
     cr_assert((bool(report) && report->difference.has_value()));
-    cr_assert(report->difference->stated.find("\"member\":\"x") != std::string::npos);
+    cr_assert(report->difference->recorded.find("\"member\":\"x") != std::string::npos);
     cr_assert(report->difference->replayed.find("\"member\":\"m") != std::string::npos);
     cr_assert(out.str().find("different at line " + std::to_string(report->difference->line)) != std::string::npos);
 }
@@ -265,7 +265,7 @@
     const auto report = replayText(fewer);
     cr_assert((bool(report) && report->difference.has_value()));
     cr_assert(report->difference->line == 2);
-    cr_assert(report->difference->stated == "nothing");
+    cr_assert(report->difference->recorded == "nothing");
     const auto more = replayText(replaced(text, "\"actions\":[", "\"actions\":[{\"kind\":\"ask-peers\"},", tick));
     cr_assert((bool(more) && more->difference.has_value()));
 }
