--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -221,7 +221,7 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    ownerHandlers.auditEvent = [](const GroupName &group, const Note &note) {
+    ownerHandlers.auditEvent = [](const GroupName &group, const AuditEvent &note) {
         logEvent(LogLevel::Info,
                  toText(note.kind),
                  {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -7,15 +7,15 @@
 
 struct GroupPolicy;
 struct GroupMember;
-struct PeerSighting;
-struct PrimaryView;
+struct PeerObservation;
+struct PrimaryInfo;
 enum class OrderKind : std::uint8_t;
 enum class PromotionReason : std::uint8_t;
-enum class NoteKind : std::uint8_t;
-enum class Coverage : std::uint8_t;
+enum class AuditEventKind : std::uint8_t;
+enum class QuorumState : std::uint8_t;
 class AckTracker;
 class GroupMonitor;
-class LegitimacyRounds;
+class ReadIndexRounds;
 class Switchover;
 
 } // namespace cardamomstep
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -9,34 +9,34 @@
 namespace {
 
 /// Lateness of a tick beyond which this process itself is taken to have stood still.
-constexpr Milliseconds ownPauseLimit{20};
+constexpr Milliseconds localPauseThreshold{20};
 /// Time given to replies that wait in this process after a pause of its own.
-constexpr Milliseconds ownPauseGrace{10};
+constexpr Milliseconds localPauseGrace{10};
 /// Own pauses from here on are worth a note.
-constexpr Milliseconds notedOwnPause{100};
+constexpr Milliseconds recordedLocalPause{100};
 
-std::vector<MemberWatch> watchesFor(const std::vector<GroupMember> &members, TimePoint now)
+std::vector<MemberTracker> trackersFor(const std::vector<GroupMember> &members, TimePoint now)
 {
-    std::vector<MemberWatch> watches;
-    watches.reserve(members.size());
+    std::vector<MemberTracker> trackers;
+    trackers.reserve(members.size());
     for (const auto &member : members) {
-        watches.emplace_back(member.name, now);
+        trackers.emplace_back(member.name, now);
     }
-    return watches;
+    return trackers;
 }
 
 } // namespace
 
 GroupMonitor::GroupMonitor(std::vector<GroupMember> members, unsigned rank, const GroupPolicy &policy, std::uint64_t seed, TimePoint now)
     : members_(std::move(members))
-    , watches_(watchesFor(members_, now))
+    , trackers_(trackersFor(members_, now))
     , rank_(rank)
     , policy_(policy)
     , random_(seed)
-    , foreignUntil_(now)
-    , peersAskedAt_(now)
-    , lastForgiven_(now)
-    , startAt_(now)
+    , peerAttemptUntil_(now)
+    , peersQueriedAt_(now)
+    , lastDiscountedAt_(now)
+    , attemptAllowedAt_(now)
     , backOffUntil_(now)
     , switchoverAllowedAt_(now)
     , wake_(now)
@@ -45,122 +45,122 @@
 
 GroupActions GroupMonitor::tick(TimePoint now)
 {
-    begin(now);
-    return settle(now);
+    beginInput(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
-    begin(now);
-    if (auto *watch = find(member)) {
-        const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !watch->reportAtOnce();
-        const bool idle = watch->report() == report;
-        watch->reportEnded(early && idle ? now + policy_.idleReportGap : now);
-        learn(*watch, report, sentAt, now);
+    beginInput(now);
+    if (auto *tracker = find(member)) {
+        const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
+        const bool idle = tracker->report() == report;
+        tracker->reportEnded(early && idle ? now + policy_.idleReportGap : now);
+        applyReport(*tracker, report, sentAt, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
-GroupActions GroupMonitor::onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
+GroupActions GroupMonitor::onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
 {
-    begin(now);
-    if (auto *watch = find(member)) {
-        watch->reportEnded(watch->onFailure(failure, policy_, now));
+    beginInput(now);
+    if (auto *tracker = find(member)) {
+        tracker->reportEnded(tracker->onFailure(failure, policy_, now));
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onOrderReply(
     const MemberName &member, OrderKind kind, const Term &term, const TermReply &reply, TimePoint sentAt, TimePoint now)
 {
-    begin(now);
-    if (auto *watch = find(member)) {
-        if (watch->order() == OutstandingOrder{kind, term}) {
-            watch->orderEnded(reply.accepted ? now : now + policy_.orderRetry);
+    beginInput(now);
+    if (auto *tracker = find(member)) {
+        if (tracker->order() == OutstandingOrder{kind, term}) {
+            tracker->orderEnded(reply.accepted ? now : now + policy_.orderRetry);
         }
         if (kind == OrderKind::Follow && reply.accepted) {
-            watch->told(term);
+            tracker->followAccepted(term);
         }
-        learn(*watch, reply.report, sentAt, now);
+        applyReport(*tracker, reply.report, sentAt, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions
 GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now)
 {
-    begin(now);
-    if (auto *watch = find(member)) {
-        if (watch->order() == OutstandingOrder{kind, term}) {
-            watch->orderEnded(now + policy_.orderRetry);
+    beginInput(now);
+    if (auto *tracker = find(member)) {
+        if (tracker->order() == OutstandingOrder{kind, term}) {
+            tracker->orderEnded(now + policy_.orderRetry);
         }
-        watch->onFailure(failure, policy_, now);
+        tracker->onFailure(failure, policy_, now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
-GroupActions GroupMonitor::onPeerSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now)
+GroupActions GroupMonitor::onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now)
 {
-    begin(now);
-    suspicion_.onSighting(peer, sighting, now);
-    noteTerm(sighting.highest, now);
-    return settle(now);
+    beginInput(now);
+    peerObservations_.onObservation(peer, observation, now);
+    observeTerm(observation.highest, now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::onStatementEvidence(const MemberName &member, TimePoint now)
 {
-    begin(now);
-    if (auto *watch = find(member)) {
-        watch->onAlive(now);
+    beginInput(now);
+    if (auto *tracker = find(member)) {
+        tracker->onContact(now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setRank(unsigned rank, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     rank_ = rank;
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setMembers(std::vector<GroupMember> members, TimePoint now)
 {
-    begin(now);
-    auto watches = watchesFor(members, now);
-    for (auto &watch : watches) {
-        if (auto *known = find(watch.name())) {
-            watch = std::move(*known);
+    beginInput(now);
+    auto trackers = trackersFor(members, now);
+    for (auto &tracker : trackers) {
+        if (auto *known = find(tracker.name())) {
+            tracker = std::move(*known);
         }
     }
     members_ = std::move(members);
-    watches_ = std::move(watches);
+    trackers_ = std::move(trackers);
     if (promotion_) {
         abandonPromotion(now);
     }
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::setPolicy(const GroupPolicy &policy, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     policy_ = policy;
-    return settle(now);
+    return finishInput(now);
 }
 
 GroupActions GroupMonitor::requestSwitchover(const MemberName &leaving, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     if (leaving.empty() || find(leaving) != nullptr) {
-        leaving_ = leaving;
+        requestedLeaving_ = leaving;
     }
-    return settle(now);
+    return finishInput(now);
 }
 
-GroupActions GroupMonitor::onPeerHold(TimePoint until, TimePoint now)
+GroupActions GroupMonitor::onPeerWritePause(TimePoint until, TimePoint now)
 {
-    begin(now);
+    beginInput(now);
     switchoverAllowedAt_ = std::max(switchoverAllowedAt_, until + policy_.switchoverRetry + rank_ * policy_.holdLimit);
-    return settle(now);
+    return finishInput(now);
 }
 
 TimePoint GroupMonitor::nextWake() const noexcept
@@ -168,43 +168,43 @@
     return wake_;
 }
 
-std::optional<PrimaryView> GroupMonitor::primary() const
+std::optional<PrimaryInfo> GroupMonitor::primary() const
 {
     auto view = primary_;
     if (view) {
-        view->suspected = need_.has_value();
+        view->suspected = trigger_.has_value();
     }
     return view;
 }
 
-PeerSighting GroupMonitor::sighting(TimePoint now) const
+PeerObservation GroupMonitor::observation(TimePoint now) const
 {
-    PeerSighting sighting;
-    sighting.highest = highest_;
+    PeerObservation observation;
+    observation.highest = highest_;
     if (!primary_) {
-        return sighting;
+        return observation;
     }
-    const auto *watch = find(primary_->member);
-    sighting.primary = primary_->member;
-    sighting.term = primary_->term;
-    sighting.log = watch->report()->log;
-    sighting.age = wholeMilliseconds(now - watch->heardAt());
-    return sighting;
+    const auto *tracker = find(primary_->member);
+    observation.primary = primary_->member;
+    observation.term = primary_->term;
+    observation.log = tracker->report()->log;
+    observation.contactAge = wholeMilliseconds(now - tracker->lastContactAt());
+    return observation;
 }
 
 std::optional<MemberReport> GroupMonitor::lastReport(const MemberName &member) const
 {
-    const auto *watch = find(member);
-    return watch == nullptr ? std::nullopt : watch->report();
+    const auto *tracker = find(member);
+    return tracker == nullptr ? std::nullopt : tracker->report();
 }
 
-std::optional<Microseconds> GroupMonitor::age(const MemberName &member, TimePoint now) const
+std::optional<Microseconds> GroupMonitor::contactAge(const MemberName &member, TimePoint now) const
 {
-    const auto *watch = find(member);
-    if (watch == nullptr || !watch->everHeard()) {
+    const auto *tracker = find(member);
+    if (tracker == nullptr || !tracker->everContacted()) {
         return std::nullopt;
     }
-    return now - watch->heardAt();
+    return now - tracker->lastContactAt();
 }
 
 bool GroupMonitor::promoting() const noexcept
@@ -217,21 +217,21 @@
     return members_;
 }
 
-void GroupMonitor::begin(TimePoint now)
+void GroupMonitor::beginInput(TimePoint now)
 {
     actions_.clear();
-    forgiveOwnPause(now);
+    discountLocalPause(now);
 }
 
-GroupActions GroupMonitor::settle(TimePoint now)
+GroupActions GroupMonitor::finishInput(TimePoint now)
 {
     refreshPrimary(now);
     confirmPrimary();
     refreshReplication(now);
     advancePromotion(now);
-    refreshNeed(now);
+    refreshTrigger(now);
     advanceSwitchover(now);
-    askPeers(now);
+    queryPeers(now);
     redirectMembers(now);
     sendReports(now);
     planWake(now);
@@ -240,60 +240,62 @@
 
 // A process that stood still has heard nobody, which says nothing about the members. At most one pause in each
 // silence bound is forgiven, so that a process that is always late still detects failures.
-void GroupMonitor::forgiveOwnPause(TimePoint now)
+void GroupMonitor::discountLocalPause(TimePoint now)
 {
-    const auto late = now - wake_;
-    if (late <= ownPauseLimit || now - lastForgiven_ < policy_.silenceBound) {
+    const auto lateness = now - wake_;
+    if (lateness <= localPauseThreshold || now - lastDiscountedAt_ < policy_.silenceBound) {
         return;
     }
-    lastForgiven_ = now;
-    for (auto &watch : watches_) {
-        watch.forgive(late + ownPauseGrace, now);
+    lastDiscountedAt_ = now;
+    for (auto &tracker : trackers_) {
+        tracker.discountPause(lateness + localPauseGrace, now);
     }
-    if (late >= notedOwnPause) {
-        note(NoteKind::OwnPause, MemberName{}, Term{});
+    if (lateness >= recordedLocalPause) {
+        recordEvent(AuditEventKind::LocalPause, MemberName{}, Term{});
     }
 }
 
-void GroupMonitor::learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now)
+void GroupMonitor::applyReport(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now)
 {
-    watch.onState(report, sentAt, now);
-    noteTerm(report.adopted, now);
-    noteTerm(report.log.term, now);
+    tracker.onState(report, sentAt, now);
+    observeTerm(report.adopted, now);
+    observeTerm(report.log.term, now);
     if (promotion_) {
         promotion_->onAdopted(report);
     }
 }
 
-void GroupMonitor::noteTerm(const Term &term, TimePoint now)
+void GroupMonitor::observeTerm(const Term &term, TimePoint now)
 {
     if (term <= highest_) {
         return;
     }
     highest_ = term;
-    foreignUntil_ = now + policy_.attemptPatience + rankDelay();
+    peerAttemptUntil_ = now + policy_.attemptPatience + rankDelay();
 }
 
-void GroupMonitor::note(NoteKind kind, const MemberName &member, const Term &term, PromotionReason reason)
+void GroupMonitor::recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason)
 {
-    actions_.emplace_back(Note{kind, member, term, reason});
+    actions_.emplace_back(AuditEvent{kind, member, term, reason});
 }
 
-MemberWatch *GroupMonitor::find(const MemberName &member) noexcept
+MemberTracker *GroupMonitor::find(const MemberName &member) noexcept
 {
-    const auto found = std::find_if(watches_.begin(), watches_.end(), [&](const MemberWatch &watch) { return watch.name() == member; });
-    return found == watches_.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(trackers_.begin(), trackers_.end(), [&](const MemberTracker &tracker) { return tracker.name() == member; });
+    return found == trackers_.end() ? nullptr : &*found;
 }
 
-const MemberWatch *GroupMonitor::find(const MemberName &member) const noexcept
+const MemberTracker *GroupMonitor::find(const MemberName &member) const noexcept
 {
-    const auto found = std::find_if(watches_.begin(), watches_.end(), [&](const MemberWatch &watch) { return watch.name() == member; });
-    return found == watches_.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(trackers_.begin(), trackers_.end(), [&](const MemberTracker &tracker) { return tracker.name() == member; });
+    return found == trackers_.end() ? nullptr : &*found;
 }
 
 std::size_t GroupMonitor::majority() const noexcept
 {
-    return majorityOf(watches_.size());
+    return majorityOf(trackers_.size());
 }
 
 bool GroupMonitor::isPrimary(const MemberName &member) const noexcept
@@ -301,14 +303,14 @@
     return !primary_ || primary_->member == member;
 }
 
-bool GroupMonitor::silent(const MemberWatch &watch, TimePoint now) const noexcept
+bool GroupMonitor::silent(const MemberTracker &tracker, TimePoint now) const noexcept
 {
-    return watch.silent(policy_, isPrimary(watch.name()), now);
+    return tracker.silent(policy_, isPrimary(tracker.name()), now);
 }
 
-bool GroupMonitor::reachable(const MemberWatch &watch, TimePoint now) const noexcept
+bool GroupMonitor::reachable(const MemberTracker &tracker, TimePoint now) const noexcept
 {
-    return watch.report() && !watch.gone() && !silent(watch, now);
+    return tracker.report() && !tracker.isDown() && !silent(tracker, now);
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -6,12 +6,12 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "groups/action.h"
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
 #include "groups/member.h"
+#include "groups/peerobservation.h"
 #include "groups/policy.h"
-#include "groups/sighting.h"
 #include "groups/switchover.h"
 #include "members/member.h"
 
@@ -47,7 +47,7 @@
     [[nodiscard]] GroupActions onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now);
 
     /// A SendReport to \a member failed.
-    [[nodiscard]] GroupActions onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now);
+    [[nodiscard]] GroupActions onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now);
 
     /// \a member replied to the order \a kind of \a term that was sent at \a sentAt.
     [[nodiscard]] GroupActions
@@ -58,7 +58,7 @@
     onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now);
 
     /// Another owner told what it knows.
-    [[nodiscard]] GroupActions onPeerSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now);
+    [[nodiscard]] GroupActions onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now);
 
     /// A statement's exchange with \a member succeeded: a sign of life. Refusals by the member count too.
     [[nodiscard]] GroupActions onStatementEvidence(const MemberName &member, TimePoint now);
@@ -78,22 +78,22 @@
     [[nodiscard]] GroupActions requestSwitchover(const MemberName &leaving, TimePoint now);
 
     /// Another owner holds writes for a switchover until \a until: this one begins none of its own meanwhile.
-    [[nodiscard]] GroupActions onPeerHold(TimePoint until, TimePoint now);
+    [[nodiscard]] GroupActions onPeerWritePause(TimePoint until, TimePoint now);
 
     /// When tick() must be called at the latest.
     [[nodiscard]] TimePoint nextWake() const noexcept;
 
     /// The primary at the highest term known; none while no member is known to lead.
-    [[nodiscard]] std::optional<PrimaryView> primary() const;
+    [[nodiscard]] std::optional<PrimaryInfo> primary() const;
 
     /// What to tell the other owners.
-    [[nodiscard]] PeerSighting sighting(TimePoint now) const;
+    [[nodiscard]] PeerObservation observation(TimePoint now) const;
 
     /// The last report of \a member; none when it has not reported.
     [[nodiscard]] std::optional<MemberReport> lastReport(const MemberName &member) const;
 
     /// Time since the last sign of life of \a member; none when there was none or the member is unknown.
-    [[nodiscard]] std::optional<Microseconds> age(const MemberName &member, TimePoint now) const;
+    [[nodiscard]] std::optional<Microseconds> contactAge(const MemberName &member, TimePoint now) const;
 
     /// True while an own attempt is under way.
     [[nodiscard]] bool promoting() const noexcept;
@@ -102,71 +102,71 @@
     [[nodiscard]] const std::vector<GroupMember> &members() const noexcept;
 
 private:
-    struct Need {
+    struct PromotionTrigger {
         PromotionReason reason = PromotionReason::NoPrimary;
         TimePoint since;
     };
 
     // Inputs, in monitor.cpp
-    void begin(TimePoint now);
-    [[nodiscard]] GroupActions settle(TimePoint now);
-    void forgiveOwnPause(TimePoint now);
-    void learn(MemberWatch &watch, const MemberReport &report, TimePoint sentAt, TimePoint now);
-    void noteTerm(const Term &term, TimePoint now);
-    void note(NoteKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
-    [[nodiscard]] MemberWatch *find(const MemberName &member) noexcept;
-    [[nodiscard]] const MemberWatch *find(const MemberName &member) const noexcept;
+    void beginInput(TimePoint now);
+    [[nodiscard]] GroupActions finishInput(TimePoint now);
+    void discountLocalPause(TimePoint now);
+    void applyReport(MemberTracker &tracker, const MemberReport &report, TimePoint sentAt, TimePoint now);
+    void observeTerm(const Term &term, TimePoint now);
+    void recordEvent(AuditEventKind kind, const MemberName &member, const Term &term, PromotionReason reason = PromotionReason::Observed);
+    [[nodiscard]] MemberTracker *find(const MemberName &member) noexcept;
+    [[nodiscard]] const MemberTracker *find(const MemberName &member) const noexcept;
     [[nodiscard]] std::size_t majority() const noexcept;
     [[nodiscard]] bool isPrimary(const MemberName &member) const noexcept;
-    [[nodiscard]] bool silent(const MemberWatch &watch, TimePoint now) const noexcept;
-    [[nodiscard]] bool reachable(const MemberWatch &watch, TimePoint now) const noexcept;
+    [[nodiscard]] bool silent(const MemberTracker &tracker, TimePoint now) const noexcept;
+    [[nodiscard]] bool reachable(const MemberTracker &tracker, TimePoint now) const noexcept;
 
     // Which member leads, in monitorbelief.cpp
     void refreshPrimary(TimePoint now);
-    void believe(const MemberWatch &watch, TimePoint now);
-    void losePrimary();
+    void setPrimary(const MemberTracker &tracker, TimePoint now);
+    void clearPrimary();
     void confirmPrimary();
     void refreshReplication(TimePoint now);
     [[nodiscard]] Term majorityAdopted() const;
     [[nodiscard]] Mark primaryLog() const;
 
     // Whether a promotion is needed, in monitorneed.cpp
-    void refreshNeed(TimePoint now);
-    void raiseNeed(PromotionReason reason, TimePoint now);
-    void clearNeed();
-    [[nodiscard]] std::optional<PromotionReason> findNeed(TimePoint now);
-    [[nodiscard]] std::optional<PromotionReason> needWithoutPrimary(TimePoint now) const;
-    [[nodiscard]] std::optional<PromotionReason> needWithPrimary(TimePoint now);
-    [[nodiscard]] bool heldBack(const Term &term, TimePoint since) const;
+    void refreshTrigger(TimePoint now);
+    void raiseTrigger(PromotionReason reason, TimePoint now);
+    void clearTrigger();
+    [[nodiscard]] std::optional<PromotionReason> findTrigger(TimePoint now);
+    [[nodiscard]] std::optional<PromotionReason> triggerWithoutPrimary(TimePoint now) const;
+    [[nodiscard]] std::optional<PromotionReason> triggerWithPrimary(TimePoint now);
+    [[nodiscard]] bool overruledByPeers(const Term &term, TimePoint since) const;
     [[nodiscard]] bool primaryStalled(TimePoint now) const;
-    [[nodiscard]] bool termStranded(TimePoint now) const;
+    [[nodiscard]] bool needsTermRepair(TimePoint now) const;
     [[nodiscard]] Microseconds replicationBound() const noexcept;
     [[nodiscard]] Microseconds rankDelay();
     [[nodiscard]] std::size_t reachableMembers(const MemberName &without, TimePoint now) const;
-    void askPeers(TimePoint now);
+    void queryPeers(TimePoint now);
 
     // Attempts, in monitorattempt.cpp
     void startPromotion(PromotionReason reason, TimePoint detectedAt, TimePoint now);
     void advancePromotion(TimePoint now);
     void chooseCandidate(TimePoint now);
     void sendPromotionOrders(TimePoint now);
-    void sendOrder(MemberWatch &watch, OrderKind kind, const Term &term);
+    void sendOrder(MemberTracker &tracker, OrderKind kind, const Term &term);
     void abandonPromotion(TimePoint now);
 
     // Upkeep, in monitorupkeep.cpp
     void redirectMembers(TimePoint now);
-    [[nodiscard]] bool mustFollow(const MemberWatch &watch, TimePoint now) const;
+    [[nodiscard]] bool mustFollow(const MemberTracker &tracker, TimePoint now) const;
     void sendReports(TimePoint now);
     void advanceSwitchover(TimePoint now);
     [[nodiscard]] bool primaryLeaving() const;
     void startSwitchover(TimePoint now);
-    void endSwitchover(NoteKind kind, TimePoint now);
+    void endSwitchover(AuditEventKind kind, TimePoint now);
     void planWake(TimePoint now);
     void wakeAt(TimePoint when, TimePoint now) noexcept;
 
     std::vector<GroupMember> members_;
     /// In the order of members_.
-    std::vector<MemberWatch> watches_;
+    std::vector<MemberTracker> trackers_;
     unsigned rank_;
     GroupPolicy policy_;
     Random random_;
@@ -176,22 +176,22 @@
     /// Highest term seen anywhere; new attempts go above it.
     Term highest_;
     /// Until when another owner's attempt, seen by its term, is left alone.
-    TimePoint foreignUntil_;
-    std::optional<PrimaryView> primary_;
+    TimePoint peerAttemptUntil_;
+    std::optional<PrimaryInfo> primary_;
     /// The last member that was known to lead.
     MemberName previousPrimary_;
     /// Other owners' sightings, at most one for each of Suspicion's bounded number of peers.
-    Suspicion suspicion_;
+    PeerObservations peerObservations_;
     /// How many promotions in a row did not mend replication.
     unsigned stalledPromotions_ = 0;
-    TimePoint peersAskedAt_;
+    TimePoint peersQueriedAt_;
     /// True once the present silence was noted as held back by other owners.
-    bool heldBackNoted_ = false;
-    TimePoint lastForgiven_;
+    bool overrulingRecorded_ = false;
+    TimePoint lastDiscountedAt_;
 
-    std::optional<Need> need_;
+    std::optional<PromotionTrigger> trigger_;
     /// Earliest start of an attempt for need_.
-    TimePoint startAt_;
+    TimePoint attemptAllowedAt_;
     /// End of the pause after a failed attempt.
     TimePoint backOffUntil_;
     unsigned failedAttempts_ = 0;
@@ -202,9 +202,9 @@
     /// Switchovers abandoned in a row; each doubles the pause before the next.
     unsigned abandonedSwitchovers_ = 0;
     /// A member that was asked to leave; empty when none was.
-    MemberName leaving_;
+    MemberName requestedLeaving_;
     /// True when the primary was leaving at the last look, by its own report or by request.
-    bool primaryLeaves_ = false;
+    bool primaryWasLeaving_ = false;
 
     TimePoint wake_;
 };
--- /dev/null
+++ b/src/groups/monitortrigger.cpp
@@ -0,0 +1,179 @@
+// Whether a promotion is needed, and when this owner may begin one.
+#include "groups/monitor.h"
+
+#include <algorithm>
+
+namespace cardamomstep {
+
+namespace {
+
+/// How long before a suspicion the other owners are asked, and how often.
+constexpr Milliseconds peerQueryLead{40};
+
+} // namespace
+
+void GroupMonitor::refreshTrigger(TimePoint now)
+{
+    if (promotion_) {
+        return;
+    }
+    const auto reason = findTrigger(now);
+    if (!reason) {
+        clearTrigger();
+        return;
+    }
+    raiseTrigger(*reason, now);
+    const auto allowedAt = std::max({attemptAllowedAt_, backOffUntil_, peerAttemptUntil_});
+    if (now < allowedAt) {
+        return;
+    }
+    const bool withoutPrimary = *reason == PromotionReason::PrimaryStalled;
+    if (reachableMembers(withoutPrimary ? primary_->member : MemberName{}, now) < majority()) {
+        return;
+    }
+    startPromotion(*reason, trigger_->since, now);
+}
+
+void GroupMonitor::raiseTrigger(PromotionReason reason, TimePoint now)
+{
+    if (trigger_ && trigger_->reason == reason) {
+        return;
+    }
+    if (primary_) {
+        recordEvent(AuditEventKind::PrimarySuspected, primary_->member, primary_->term, reason);
+    }
+    if (trigger_) {
+        trigger_->reason = reason;
+        return;
+    }
+    trigger_ = PromotionTrigger{reason, now};
+    attemptAllowedAt_ = now + rankDelay();
+    if (reason == PromotionReason::TermRepair) {
+        attemptAllowedAt_ += policy_.attemptTimeout;
+    }
+}
+
+void GroupMonitor::clearTrigger()
+{
+    if (trigger_ && primary_ && trigger_->reason != PromotionReason::NoPrimary) {
+        recordEvent(AuditEventKind::SuspicionCleared, primary_->member, primary_->term, trigger_->reason);
+    }
+    trigger_.reset();
+}
+
+std::optional<PromotionReason> GroupMonitor::findTrigger(TimePoint now)
+{
+    return primary_ ? triggerWithPrimary(now) : triggerWithoutPrimary(now);
+}
+
+// A member that was not heard yet may be the primary, so its silence must be as certain as a known primary's.
+std::optional<PromotionReason> GroupMonitor::triggerWithoutPrimary(TimePoint now) const
+{
+    const auto undecided = [&](const MemberTracker &tracker) {
+        return !tracker.report() && !tracker.isDown() && !silent(tracker, now);
+    };
+    if (std::any_of(trackers_.begin(), trackers_.end(), undecided)) {
+        return std::nullopt;
+    }
+    const auto adopted = majorityAdopted();
+    if (overruledByPeers(adopted, now - policy_.silenceBound - policy_.roundTripAllowance)) {
+        return std::nullopt;
+    }
+    return highest_ == Term{} ? PromotionReason::Bootstrap : PromotionReason::NoPrimary;
+}
+
+std::optional<PromotionReason> GroupMonitor::triggerWithPrimary(TimePoint now)
+{
+    const auto &tracker = *find(primary_->member);
+    // Signs of life that others had before the refusal may still arrive within a round trip.
+    if (tracker.isDown() && !overruledByPeers(primary_->term, tracker.refusedAt() + policy_.roundTripAllowance)) {
+        return PromotionReason::PrimaryDown;
+    }
+    if (silent(tracker, now)) {
+        const bool overruled = overruledByPeers(primary_->term, now - policy_.silenceBound - policy_.roundTripAllowance);
+        if (!overruled) {
+            return PromotionReason::PrimarySilent;
+        }
+        if (!overrulingRecorded_) {
+            recordEvent(AuditEventKind::SuspicionOverruled, primary_->member, primary_->term);
+        }
+        overrulingRecorded_ = true;
+    } else {
+        overrulingRecorded_ = false;
+    }
+    if (primaryStalled(now)) {
+        return PromotionReason::PrimaryStalled;
+    }
+    if (needsTermRepair(now)) {
+        return PromotionReason::TermRepair;
+    }
+    return std::nullopt;
+}
+
+// This owner's own verdict is one vote for a dead primary; a suspicion needs more votes for than against it.
+bool GroupMonitor::overruledByPeers(const Term &term, TimePoint since) const
+{
+    const auto votes = peerObservations_.votes(term, since);
+    const auto dead = votes.dead + 1;
+    return votes.alive >= dead;
+}
+
+// Replicas that stand still behind the primary although they answer: the primary takes writes that nobody holds.
+bool GroupMonitor::primaryStalled(TimePoint now) const
+{
+    const auto stalled = [&](const MemberTracker &tracker) {
+        const auto since = tracker.stalledSince();
+        return tracker.name() != primary_->member && reachable(tracker, now) && since && now - *since >= replicationBound();
+    };
+    const auto stalledMembers = static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), stalled));
+    return trackers_.size() - stalledMembers < majority() && reachableMembers(primary_->member, now) >= majority();
+}
+
+// A member that adopted a term which nobody leads refuses the present primary's log.
+bool GroupMonitor::needsTermRepair(TimePoint now) const
+{
+    const auto stranded = [&](const MemberTracker &tracker) {
+        return reachable(tracker, now) && tracker.report()->adopted > primary_->term;
+    };
+    return std::any_of(trackers_.begin(), trackers_.end(), stranded);
+}
+
+Microseconds GroupMonitor::replicationBound() const noexcept
+{
+    constexpr unsigned largestShift = 16;
+    const auto doubled = policy_.stallBound() * (1U << std::min(stalledPromotions_, largestShift));
+    return std::min(doubled, std::max(policy_.replicationBoundLimit, policy_.stallBound()));
+}
+
+Microseconds GroupMonitor::rankDelay()
+{
+    if (rank_ == 0) {
+        return Microseconds{0};
+    }
+    const Microseconds jitter = policy_.jitter;
+    return rank_ * policy_.rankStagger + Microseconds{random_.below(static_cast<std::uint64_t>(jitter.count()))};
+}
+
+std::size_t GroupMonitor::reachableMembers(const MemberName &without, TimePoint now) const
+{
+    const auto counts = [&](const MemberTracker &tracker) {
+        return tracker.name() != without && reachable(tracker, now);
+    };
+    return static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), counts));
+}
+
+void GroupMonitor::queryPeers(TimePoint now)
+{
+    if (!primary_ || promotion_ || now - peersQueriedAt_ < peerQueryLead) {
+        return;
+    }
+    const auto &tracker = *find(primary_->member);
+    const auto queryFrom = tracker.lastContactAt() + policy_.suspectAfter() - peerQueryLead;
+    if (now < queryFrom) {
+        return;
+    }
+    peersQueriedAt_ = now;
+    actions_.emplace_back(QueryPeers{});
+}
+
+} // namespace cardamomstep
--- a/src/owner/groupowner.cpp
+++ b/src/owner/groupowner.cpp
@@ -66,17 +66,17 @@
     core_->feed(trace::SetPolicy{policy});
 }
 
-void GroupOwner::onPeerObservation(const InstanceName &peer, const PeerSighting &observation)
+void GroupOwner::onPeerObservation(const InstanceName &peer, const PeerObservation &observation)
 {
     const std::lock_guard lock(core_->mutex);
-    core_->feed(trace::Sighting{peer, observation});
+    core_->feed(trace::Observation{peer, observation});
 }
 
 void GroupOwner::pauseWrites(Milliseconds span)
 {
     const std::lock_guard lock(core_->mutex);
     core_->writesPausedUntil = span.count() > 0 ? steadyNow() + span : TimePoint{};
-    core_->feed(trace::PeerHold{core_->writesPausedUntil});
+    core_->feed(trace::PeerWritePause{core_->writesPausedUntil});
     core_->primaryWaiters.signalAll();
 }
 
@@ -117,10 +117,10 @@
     return std::any_of(core_->members.begin(), core_->members.end(), hasWaiters);
 }
 
-PeerSighting GroupOwner::observation() const
+PeerObservation GroupOwner::observation() const
 {
     const std::lock_guard lock(core_->mutex);
-    return core_->monitor.sighting(steadyNow());
+    return core_->monitor.observation(steadyNow());
 }
 
 std::vector<MemberName> GroupOwner::busyMembers() const
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -1,7 +1,7 @@
 // The owner of one database group on this proxy: carries its statements and looks after its primary.
 #pragma once
 
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 #include "owner/fwd.h"
 #include "owner/options.h"
 #include "owner/transactions.h"
@@ -20,7 +20,7 @@
 /// What the metrics and status pages show of a group.
 struct GroupSnapshot {
     GroupName group;
-    std::optional<PrimaryView> primary;
+    std::optional<PrimaryInfo> primary;
     std::vector<MemberReport> reports;
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
@@ -49,7 +49,7 @@
     void setPolicy(const GroupPolicy &policy);
 
     /// Takes in what another owner knows.
-    void onPeerObservation(const InstanceName &peer, const PeerSighting &observation);
+    void onPeerObservation(const InstanceName &peer, const PeerObservation &observation);
 
     /// Takes in that another owner holds writes for \a span; zero releases them.
     void pauseWrites(Milliseconds span);
@@ -70,7 +70,7 @@
     [[nodiscard]] bool waitsForConnection() const;
 
     /// What to tell the other owners.
-    [[nodiscard]] PeerSighting observation() const;
+    [[nodiscard]] PeerObservation observation() const;
 
     /// Members at which this proxy has statements or transactions.
     [[nodiscard]] std::vector<MemberName> busyMembers() const;
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -119,19 +119,19 @@
                        [this](const SendAdopt &send) { sendOrder(send.member, OrderKind::Adopt, send.term, nullptr, send.timeout); },
                        [this](const SendLead &send) { sendOrder(send.member, OrderKind::Lead, send.term, nullptr, send.timeout); },
                        [this](const SendFollow &send) { sendOrder(send.member, OrderKind::Follow, send.term, &send, send.timeout); },
-                       [this](const AskPeers & /*ask*/) { handlers.queryPeers(options.group); },
-                       [this](const HoldWrites &hold) {
+                       [this](const QueryPeers & /*ask*/) { handlers.queryPeers(options.group); },
+                       [this](const PauseWrites &hold) {
                            writesPausedUntil = hold.until;
                            handlers.pausePeerWrites(options.group, wholeMilliseconds(hold.until - steadyNow()));
                        },
-                       [this](const ReleaseWrites & /*release*/) {
+                       [this](const ResumeWrites & /*release*/) {
                            writesPausedUntil = TimePoint{};
                            primaryWaiters.signalAll();
                            handlers.pausePeerWrites(options.group, Milliseconds{0});
                        },
                        [this](const PrimaryChanged &change) { onPrimaryChanged(change); },
-                       [this](const Note &note) {
-                           if (note.kind == NoteKind::PrimaryLost) {
+                       [this](const AuditEvent &note) {
+                           if (note.kind == AuditEventKind::PrimaryLost) {
                                router.clearPrimary();
                            }
                            handlers.auditEvent(options.group, note);
@@ -276,8 +276,8 @@
 {
     const auto now = steadyNow();
     while (const auto result = rounds.takeResult(now)) {
-        if (result->legitimate) {
-            router.confirm(roundStartedAt_[result->round], result->readMark);
+        if (result->leaderConfirmed) {
+            router.confirm(roundStartedAt_[result->round], result->readPosition);
         }
         roundResults_[result->round] = *result;
         roundStartedAt_.erase(result->round);
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -47,7 +47,7 @@
 Answer OutcomeFlow::run()
 {
     while (steadyNow() < deadline_) {
-        std::optional<PrimaryView> primary;
+        std::optional<PrimaryInfo> primary;
         {
             std::unique_lock lock(core_.mutex);
             primary = core_.monitor.primary();
@@ -69,7 +69,7 @@
     return unknown("no primary could be asked within the window");
 }
 
-std::optional<OutcomeReply> OutcomeFlow::query(const PrimaryView &primary)
+std::optional<OutcomeReply> OutcomeFlow::query(const PrimaryInfo &primary)
 {
     Address address;
     {
@@ -104,7 +104,7 @@
     for (;;) {
         const auto leader = core_.leader();
         const bool inheritedForGood = leader.startReplicated && leader.term == reply.report.adopted && reply.mark.term < leader.term;
-        if (inheritedForGood || core_.acks.coverage(reply.mark) == Coverage::Covered) {
+        if (inheritedForGood || core_.acks.quorumState(reply.mark) == QuorumState::Replicated) {
             break;
         }
         if (steadyNow() >= deadline_) {
--- a/src/owner/impl/outcomeflow.h
+++ b/src/owner/impl/outcomeflow.h
@@ -19,7 +19,7 @@
 private:
     [[nodiscard]] Answer found(const OutcomeReply &reply);
     [[nodiscard]] Answer closeId();
-    [[nodiscard]] std::optional<OutcomeReply> query(const PrimaryView &primary);
+    [[nodiscard]] std::optional<OutcomeReply> query(const PrimaryInfo &primary);
 
     GroupCore &core_;
     const Statement &statement_;
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -58,10 +58,10 @@
         return std::nullopt;
     }
     const auto result = core_.confirmPrimary(lock_, deadline_);
-    if (!result || !result->legitimate) {
+    if (!result || !result->leaderConfirmed) {
         return std::nullopt;
     }
-    if (checkAgainst(*position, core_.router.highestReported(), result->readMark) != TokenStanding::Ahead) {
+    if (checkAgainst(*position, core_.router.highestReported(), result->readPosition) != TokenStanding::Ahead) {
         return std::nullopt;
     }
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
@@ -70,7 +70,7 @@
 std::optional<Answer> ReadFlow::performConfirm()
 {
     const auto result = core_.confirmPrimary(lock_, deadline_);
-    if (result && result->legitimate) {
+    if (result && result->leaderConfirmed) {
         return std::nullopt;
     }
     const auto now = steadyNow();
@@ -148,9 +148,9 @@
     Waiter waiter;
     const WaitList::Entry entry(core_.quorumWaiters, waiter);
     for (;;) {
-        const auto coverage = core_.acks.coverage(position);
-        if (coverage != Coverage::Pending || position.position == 0) {
-            return coverage != Coverage::Superseded;
+        const auto coverage = core_.acks.quorumState(position);
+        if (coverage != QuorumState::Pending || position.position == 0) {
+            return coverage != QuorumState::Superseded;
         }
         const bool woken = waiter.wait(lock_, deadline_);
         if (!woken && steadyNow() >= deadline_) {
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -34,7 +34,7 @@
     if (!room) {
         return failedAnswer(room.error());
     }
-    std::optional<PrimaryView> primary;
+    std::optional<PrimaryInfo> primary;
     {
         std::unique_lock lock(core_.mutex);
         Waiter waiter;
@@ -54,7 +54,7 @@
     return beginOn(*primary);
 }
 
-Answer TransactionFlow::beginOn(const PrimaryView &primary)
+Answer TransactionFlow::beginOn(const PrimaryInfo &primary)
 {
     std::unique_lock lock(core_.mutex);
     const auto ticket = core_.admit(lock, Lane::Primary, statement_.service, deadline_);
--- a/src/owner/impl/transactionflow.h
+++ b/src/owner/impl/transactionflow.h
@@ -28,7 +28,7 @@
     [[nodiscard]] Answer rollback();
 
 private:
-    [[nodiscard]] Answer beginOn(const PrimaryView &primary);
+    [[nodiscard]] Answer beginOn(const PrimaryInfo &primary);
     [[nodiscard]] Answer finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result);
     void closeConnection(const Transactions::Use &use);
     void release(const Transactions::Use &use);
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -168,12 +168,12 @@
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto now = steadyNow();
-        const auto coverage = core_.acks.coverage(position);
-        if (coverage == Coverage::Covered) {
+        const auto coverage = core_.acks.quorumState(position);
+        if (coverage == QuorumState::Replicated) {
             return attempt.replicated(position);
         }
         const auto leader = core_.leader();
-        if (coverage == Coverage::Superseded || leader.term > position.term) {
+        if (coverage == QuorumState::Superseded || leader.term > position.term) {
             auto step = attempt.primaryChanged(leader, now);
             if (!std::holds_alternative<WaitQuorum>(step)) {
                 return step;
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -192,7 +192,7 @@
     wire::PingMessage message;
     message.set_from(ping.message.from.text());
     message.set_configuration(ping.message.configuration.value);
-    message.set_introduce(ping.message.introduce);
+    message.set_introduce(ping.message.requestReceiverUpdate);
     encodeUpdates(ping.message.updates, message.mutable_updates());
     message.set_target(ping.target.text());
     message.set_answered(ping.answered);
@@ -204,7 +204,7 @@
     Ping ping;
     ping.message.from = InstanceName{message.from()};
     ping.message.configuration = Revision{message.configuration()};
-    ping.message.introduce = message.introduce();
+    ping.message.requestReceiverUpdate = message.introduce();
     ping.message.updates = decodeUpdates(message.updates());
     ping.target = Address{message.target()};
     ping.answered = message.answered();
@@ -274,7 +274,7 @@
     message.set_term(toText(observation.observation.term));
     message.set_highest(toText(observation.observation.highest));
     message.set_log(toText(observation.observation.log));
-    message.set_age_ms(observation.observation.age.count());
+    message.set_age_ms(observation.observation.contactAge.count());
     message.set_hold_ms(observation.writePause ? observation.writePause->count() : absent);
     message.set_revision(observation.revision.value);
     message.set_transactions(observation.openTransactions);
@@ -293,7 +293,7 @@
     observation.observation.term = termOrNone(message.term());
     observation.observation.highest = termOrNone(message.highest());
     observation.observation.log = markOrNone(message.log());
-    observation.observation.age = Milliseconds{message.age_ms()};
+    observation.observation.contactAge = Milliseconds{message.age_ms()};
     if (message.hold_ms() >= 0) {
         observation.writePause = Milliseconds{message.hold_ms()};
     }
--- a/src/trace/groupinput.cpp
+++ b/src/trace/groupinput.cpp
@@ -24,7 +24,7 @@
     }
     GroupActions operator()(const ReportFailure &input)
     {
-        return monitor_.onLinkFailure(input.member, input.failure, now_);
+        return monitor_.onConnectionFailure(input.member, input.failure, now_);
     }
     GroupActions operator()(const OrderReply &input)
     {
@@ -34,9 +34,9 @@
     {
         return monitor_.onOrderFailure(input.member, input.kind, input.term, input.failure, now_);
     }
-    GroupActions operator()(const Sighting &input)
+    GroupActions operator()(const Observation &input)
     {
-        return monitor_.onPeerSighting(input.peer, input.sighting, now_);
+        return monitor_.onPeerObservation(input.peer, input.observation, now_);
     }
     GroupActions operator()(const StatementEvidence &input)
     {
@@ -58,9 +58,9 @@
     {
         return monitor_.requestSwitchover(input.leaving, now_);
     }
-    GroupActions operator()(const PeerHold &input)
+    GroupActions operator()(const PeerWritePause &input)
     {
-        return monitor_.onPeerHold(input.until, now_);
+        return monitor_.onPeerWritePause(input.until, now_);
     }
 
 private:
--- a/src/trace/groupinput.h
+++ b/src/trace/groupinput.h
@@ -39,9 +39,9 @@
     LinkFailure failure;
 };
 /// GroupMonitor::onPeerSighting().
-struct Sighting {
+struct Observation {
     InstanceName peer;
-    PeerSighting sighting;
+    PeerObservation observation;
 };
 /// GroupMonitor::onStatementEvidence().
 struct StatementEvidence {
@@ -64,7 +64,7 @@
     MemberName leaving;
 };
 /// GroupMonitor::onPeerHold().
-struct PeerHold {
+struct PeerWritePause {
     TimePoint until;
 };
 
@@ -74,13 +74,13 @@
                                 ReportFailure,
                                 OrderReply,
                                 OrderFailure,
-                                Sighting,
+                                Observation,
                                 StatementEvidence,
                                 SetRank,
                                 SetMembers,
                                 SetPolicy,
                                 RequestSwitchover,
-                                PeerHold>;
+                                PeerWritePause>;
 
 /// Gives \a input to \a monitor at \a now.
 [[nodiscard]] GroupActions apply(GroupMonitor &monitor, const GroupInput &input, TimePoint now);
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -37,15 +37,15 @@
         json["address"] = action.address.text();
         return json;
     }
-    Json operator()(const AskPeers & /*action*/) const
+    Json operator()(const QueryPeers & /*action*/) const
     {
         return {{"kind", "ask-peers"}};
     }
-    Json operator()(const HoldWrites &action) const
+    Json operator()(const PauseWrites &action) const
     {
         return {{"kind", "hold-writes"}, {"until", write(action.until)}};
     }
-    Json operator()(const ReleaseWrites & /*action*/) const
+    Json operator()(const ResumeWrites & /*action*/) const
     {
         return {{"kind", "release-writes"}};
     }
@@ -59,7 +59,7 @@
                 {"detectedAt", write(action.detectedAt)},
                 {"startedAt", write(action.startedAt)}};
     }
-    Json operator()(const Note &action) const
+    Json operator()(const AuditEvent &action) const
     {
         return {{"kind", "note"},
                 {"note", toText(action.kind)},
@@ -108,9 +108,9 @@
                 {"term", toText(input.term)},
                 {"failure", write(input.failure)}};
     }
-    Json operator()(const Sighting &input) const
+    Json operator()(const Observation &input) const
     {
-        return {{"kind", "peer-sighting"}, {"peer", input.peer.text()}, {"sighting", write(input.sighting)}};
+        return {{"kind", "peer-sighting"}, {"peer", input.peer.text()}, {"sighting", write(input.observation)}};
     }
     Json operator()(const StatementEvidence &input) const
     {
@@ -132,7 +132,7 @@
     {
         return {{"kind", "request-switchover"}, {"leaving", input.leaving.text()}};
     }
-    Json operator()(const PeerHold &input) const
+    Json operator()(const PeerWritePause &input) const
     {
         return {{"kind", "peer-hold"}, {"until", write(input.until)}};
     }
@@ -167,7 +167,7 @@
             memberIn(json), impl::readOrder(json.at("order")), impl::readTerm(json.at("term")), impl::readFailure(json.at("failure"))};
     }
     if (kind == "peer-sighting") {
-        return Sighting{InstanceName{json.at("peer").get<std::string>()}, impl::readSighting(json.at("sighting"))};
+        return Observation{InstanceName{json.at("peer").get<std::string>()}, impl::readObservation(json.at("sighting"))};
     }
     if (kind == "statement-evidence") {
         return StatementEvidence{memberIn(json)};
@@ -185,7 +185,7 @@
         return RequestSwitchover{MemberName{json.at("leaving").get<std::string>()}};
     }
     if (kind == "peer-hold") {
-        return PeerHold{impl::readTime(json.at("until"))};
+        return PeerWritePause{impl::readTime(json.at("until"))};
     }
     throw impl::BadValue("unknown input \"" + kind + "\"");
 }
@@ -227,7 +227,7 @@
     return std::visit(ActionWriter{}, action).dump();
 }
 
-std::string outcomeText(const std::optional<PrimaryView> &primary)
+std::string outcomeText(const std::optional<PrimaryInfo> &primary)
 {
     if (!primary) {
         return "null";
@@ -257,7 +257,7 @@
     return json.dump();
 }
 
-std::string outcomeLine(const std::optional<PrimaryView> &primary, TimePoint now)
+std::string outcomeLine(const std::optional<PrimaryInfo> &primary, TimePoint now)
 {
     return Json{{"at", write(now)}, {"outcome", Json::parse(outcomeText(primary))}}.dump();
 }
--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -78,7 +78,7 @@
     throw BadValue("unknown word " + json.dump());
 }
 
-Mark readMark(const Json &json)
+Mark readLogPosition(const Json &json)
 {
     const auto mark = parseMark(json.get<std::string>());
     if (!mark) {
@@ -113,13 +113,13 @@
     return {{"accepted", reply.accepted}, {"report", write(reply.report)}};
 }
 
-Json write(const PeerSighting &sighting)
+Json write(const PeerObservation &observation)
 {
-    return {{"primary", sighting.primary.text()},
-            {"term", toText(sighting.term)},
-            {"highest", toText(sighting.highest)},
-            {"log", toText(sighting.log)},
-            {"ageMs", sighting.age.count()}};
+    return {{"primary", observation.primary.text()},
+            {"term", toText(observation.term)},
+            {"highest", toText(observation.highest)},
+            {"log", toText(observation.log)},
+            {"ageMs", observation.contactAge.count()}};
 }
 
 Json write(const std::vector<GroupMember> &members)
@@ -169,7 +169,7 @@
     return {MemberName{json.at("member").get<std::string>()},
             role == "primary" ? MemberRole::Primary : MemberRole::Replica,
             readTerm(json.at("adopted")),
-            readMark(json.at("log")),
+            readLogPosition(json.at("log")),
             json.at("leaving").get<bool>()};
 }
 
@@ -183,12 +183,12 @@
     return {json.at("accepted").get<bool>(), readReport(json.at("report"))};
 }
 
-PeerSighting readSighting(const Json &json)
+PeerObservation readObservation(const Json &json)
 {
     return {MemberName{json.at("primary").get<std::string>()},
             readTerm(json.at("term")),
             readTerm(json.at("highest")),
-            readMark(json.at("log")),
+            readLogPosition(json.at("log")),
             Milliseconds{json.at("ageMs").get<std::int64_t>()}};
 }
 
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -248,7 +248,7 @@
             [this, proxy, member, sentAt](const LinkResult<MemberReport> &result) {
                 const auto &name = members[member].name;
                 if (const auto *failure = std::get_if<LinkFailure>(&result)) {
-                    perform(proxy, proxies[proxy].monitor->onLinkFailure(name, *failure, now));
+                    perform(proxy, proxies[proxy].monitor->onConnectionFailure(name, *failure, now));
                     return;
                 }
                 const auto &state = std::get<MemberReport>(result);
@@ -262,14 +262,14 @@
         order(proxy, indexOf(lead->member), OrderKind::Lead, lead->term, -1, lead->timeout);
     } else if (const auto *follow = std::get_if<SendFollow>(&action)) {
         order(proxy, indexOf(follow->member), OrderKind::Follow, follow->term, indexOf(follow->primary), follow->timeout);
-    } else if (std::holds_alternative<AskPeers>(action)) {
+    } else if (std::holds_alternative<QueryPeers>(action)) {
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
             if (peer != proxy) {
                 send(proxy, peer, [this, peer] { gossip(peer, false); });
             }
         }
-    } else if (std::holds_alternative<HoldWrites>(action) || std::holds_alternative<ReleaseWrites>(action)) {
-        const auto *hold = std::get_if<HoldWrites>(&action);
+    } else if (std::holds_alternative<PauseWrites>(action) || std::holds_alternative<ResumeWrites>(action)) {
+        const auto *hold = std::get_if<PauseWrites>(&action);
         const bool held = hold != nullptr;
         const auto until = held ? hold->until : now;
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
@@ -280,7 +280,7 @@
             send(proxy, peer, [this, peer, held, until] {
                 proxies[peer].heldUntil = until;
                 if (held && proxies[peer].alive) {
-                    perform(peer, proxies[peer].monitor->onPeerHold(until, now));
+                    perform(peer, proxies[peer].monitor->onPeerWritePause(until, now));
                 }
             });
         }
@@ -445,11 +445,11 @@
 {
     auto &pending = proxies[proxy].pending;
     for (auto write = pending.begin(); write != pending.end();) {
-        const auto coverage = proxies[proxy].tracker->coverage(write->mark);
-        if (coverage == Coverage::Covered) {
+        const auto coverage = proxies[proxy].tracker->quorumState(write->mark);
+        if (coverage == QuorumState::Replicated) {
             acked.push_back({write->id, write->mark, write->appendedAt, now});
         }
-        write = coverage == Coverage::Pending ? std::next(write) : pending.erase(write);
+        write = coverage == QuorumState::Pending ? std::next(write) : pending.erase(write);
     }
 }
 
@@ -505,14 +505,14 @@
         at(now + gossipInterval, [this, proxy] { gossip(proxy, true); });
     }
     const InstanceName name{"p" + std::to_string(proxy)};
-    const auto sighting = proxies[proxy].monitor->sighting(now);
+    const auto sighting = proxies[proxy].monitor->observation(now);
     for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
         if (peer == proxy) {
             continue;
         }
         send(proxy, peer, [this, peer, name, sighting] {
             if (proxies[peer].alive) {
-                perform(peer, proxies[peer].monitor->onPeerSighting(name, sighting, now));
+                perform(peer, proxies[peer].monitor->onPeerObservation(name, sighting, now));
             }
         });
     }
@@ -631,10 +631,10 @@
     return {};
 }
 
-std::size_t Cluster::count(NoteKind kind) const
+std::size_t Cluster::count(AuditEventKind kind) const
 {
     return static_cast<std::size_t>(std::count_if(events.begin(), events.end(), [&](const auto &event) {
-        const auto *note = std::get_if<Note>(&event.second);
+        const auto *note = std::get_if<AuditEvent>(&event.second);
         return note != nullptr && note->kind == kind;
     }));
 }
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,11 +1,11 @@
 // The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
-#include "groups/coverage.h"
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
-#include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/pacing.h"
+#include "groups/quorumstate.h"
+#include "groups/readindexrounds.h"
 #include "groups/switchover.h"
 
 #include <criterion/criterion.h>
@@ -39,11 +39,11 @@
 {
     AckTracker tracker{{a, b, c}};
     cr_assert(!tracker.onState(a, Mark{first, 5}, first));
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
     cr_assert(tracker.onState(b, Mark{first, 3}, first));
-    cr_assert(tracker.coverage(Mark{first, 3}) == Coverage::Covered);
-    cr_assert(tracker.coverage(Mark{first, 4}) == Coverage::Pending);
-    cr_assert((tracker.covered() == Mark{first, 3}));
+    cr_assert(tracker.quorumState(Mark{first, 3}) == QuorumState::Replicated);
+    cr_assert(tracker.quorumState(Mark{first, 4}) == QuorumState::Pending);
+    cr_assert((tracker.replicated() == Mark{first, 3}));
 }
 
 Test(groups, reportsAtAHigherTermDoNotCoverALowerOnesEntry)
@@ -51,10 +51,10 @@
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, Mark{first, 5}, first);
     tracker.onState(b, Mark{second, 9}, second);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
     cr_assert(tracker.onState(c, Mark{second, 9}, second));
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Superseded);
-    cr_assert(tracker.coverage(Mark{second, 9}) == Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Superseded);
+    cr_assert(tracker.quorumState(Mark{second, 9}) == QuorumState::Replicated);
 }
 
 Test(groups, coveredEntryStaysCoveredAfterAPromotion)
@@ -64,8 +64,8 @@
     tracker.onState(b, Mark{first, 5}, first);
     tracker.onState(b, Mark{second, 6}, second);
     tracker.onState(c, Mark{second, 6}, second);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Covered);
-    cr_assert(tracker.coverage(Mark{first, 6}) == Coverage::Superseded);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Replicated);
+    cr_assert(tracker.quorumState(Mark{first, 6}) == QuorumState::Superseded);
 }
 
 Test(groups, copiesMadeUnderAHigherTermDoNotCoverAnEntry)
@@ -77,9 +77,9 @@
     tracker.onState(b, Mark{second, 5}, second);
     tracker.onState(a, Mark{third, 6}, third);
     tracker.onState(c, Mark{first, 5}, third);
-    cr_assert(tracker.coverage(Mark{first, 5}) != Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{first, 5}) != QuorumState::Replicated);
     tracker.onState(c, Mark{third, 6}, third);
-    cr_assert(tracker.coverage(Mark{third, 6}) == Coverage::Covered);
+    cr_assert(tracker.quorumState(Mark{third, 6}) == QuorumState::Replicated);
 }
 
 Test(groups, unknownMembersCoverNothing)
@@ -87,7 +87,7 @@
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, Mark{first, 5}, first);
     tracker.onState(MemberName{"d"}, Mark{first, 5}, first);
-    cr_assert(tracker.coverage(Mark{first, 5}) == Coverage::Pending);
+    cr_assert(tracker.quorumState(Mark{first, 5}) == QuorumState::Pending);
 }
 
 Test(groups, coverageIsTheMajorityPositionAtEachTerm)
@@ -101,17 +101,17 @@
         std::sort(sorted.begin(), sorted.end());
         const std::uint64_t covered = sorted[1];
         // Position 0 asks for the term's start entry, which stands at 1 or later.
-        const auto atStart = covered > 0 ? Coverage::Covered : Coverage::Pending;
-        RC_ASSERT(tracker.coverage(Mark{first, 0}) == atStart);
-        RC_ASSERT(tracker.coverage(Mark{first, covered}) == atStart);
-        RC_ASSERT(tracker.coverage(Mark{first, covered + 1}) == Coverage::Pending);
+        const auto atStart = covered > 0 ? QuorumState::Replicated : QuorumState::Pending;
+        RC_ASSERT(tracker.quorumState(Mark{first, 0}) == atStart);
+        RC_ASSERT(tracker.quorumState(Mark{first, covered}) == atStart);
+        RC_ASSERT(tracker.quorumState(Mark{first, covered + 1}) == QuorumState::Pending);
     });
     cr_assert(holds);
 }
 
 Test(groups, readRoundCountsOnlyRepliesToWhatWasSentAfterItBegan)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     const auto round = rounds.join(at(10));
     cr_assert_eq(rounds.join(at(11)), round);
@@ -123,13 +123,13 @@
     cr_assert(!rounds.takeResult(at(14)), "no reply of the primary counts yet");
     rounds.onState(a, first, Mark{first, 8}, at(13));
     const auto result = rounds.takeResult(at(20));
-    cr_assert(result && result->legitimate && result->round == round);
-    cr_assert((result->readMark == Mark{first, 8}));
+    cr_assert(result && result->leaderConfirmed && result->round == round);
+    cr_assert((result->readPosition == Mark{first, 8}));
 }
 
 Test(groups, readMarkIsNeverOfALowerTerm)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, second);
     (void)rounds.join(at(0));
     (void)rounds.begin(at(0));
@@ -137,12 +137,12 @@
     rounds.onState(a, second, Mark{first, 4}, at(1));
     cr_assert(!rounds.takeResult(at(2)), "an old mark says nothing on the primary's log");
     rounds.onState(a, second, Mark{second, 9}, at(1));
-    cr_assert((rounds.takeResult(at(3))->readMark == Mark{second, 9}));
+    cr_assert((rounds.takeResult(at(3))->readPosition == Mark{second, 9}));
 }
 
 Test(groups, readsDuringARoundJoinTheNextOne)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     const auto earlier = rounds.join(at(0));
     cr_assert(rounds.begin(at(0)));
@@ -157,31 +157,31 @@
 
 Test(groups, readRoundFailsWhenSupersededOrLate)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     (void)rounds.join(at(0));
     (void)rounds.begin(at(0));
     rounds.onState(b, second, Mark{}, at(1));
     cr_assert(!rounds.takeResult(at(1)), "one member alone does not supersede");
     rounds.onState(c, second, Mark{}, at(1));
-    cr_assert(!rounds.takeResult(at(2))->legitimate);
+    cr_assert(!rounds.takeResult(at(2))->leaderConfirmed);
     (void)rounds.join(at(3));
     (void)rounds.begin(at(3));
     cr_assert(!rounds.takeResult(at(100)));
-    cr_assert(!rounds.takeResult(*rounds.nextWake())->legitimate);
+    cr_assert(!rounds.takeResult(*rounds.nextWake())->leaderConfirmed);
     (void)rounds.join(at(300));
     (void)rounds.begin(at(300));
     rounds.setPrimary(b, second);
-    cr_assert(!rounds.takeResult(at(301))->legitimate);
+    cr_assert(!rounds.takeResult(at(301))->leaderConfirmed);
 }
 
 Test(groups, readRoundWithoutAPrimaryFailsInTime)
 {
-    LegitimacyRounds rounds{{a, b, c}};
+    ReadIndexRounds rounds{{a, b, c}};
     const auto round = rounds.join(at(0));
     cr_assert(!rounds.begin(at(0)));
     const auto result = rounds.takeResult(*rounds.nextWake());
-    cr_assert(result && result->round == round && !result->legitimate);
+    cr_assert(result && result->round == round && !result->leaderConfirmed);
 }
 
 Test(groups, switchoverWaitsForQuietAndForAReplica)
@@ -227,7 +227,7 @@
 
 Test(groups, overlappingRepliesNeverTakeAMemberBack)
 {
-    MemberWatch watch{a, at(0)};
+    MemberTracker watch{a, at(0)};
     watch.onState(report(a, second, Mark{second, 4}, MemberRole::Primary), at(0), at(10));
     watch.onState(report(a, first, Mark{first, 9}), at(5), at(11));
     watch.onState(report(a, second, Mark{first, 3}), at(5), at(12));
@@ -238,10 +238,10 @@
 
 Test(groups, peersVotesNeedFreshNews)
 {
-    Suspicion suspicion;
-    suspicion.onSighting(InstanceName{"p"}, PeerSighting{a, first, first, Mark{first, 9}, Milliseconds{10}}, at(100));
-    suspicion.onSighting(InstanceName{"q"}, PeerSighting{a, first, first, Mark{first, 4}, Milliseconds{300}}, at(100));
-    suspicion.onSighting(InstanceName{"r"}, PeerSighting{}, at(100));
+    PeerObservations suspicion;
+    suspicion.onObservation(InstanceName{"p"}, PeerObservation{a, first, first, Mark{first, 9}, Milliseconds{10}}, at(100));
+    suspicion.onObservation(InstanceName{"q"}, PeerObservation{a, first, first, Mark{first, 4}, Milliseconds{300}}, at(100));
+    suspicion.onObservation(InstanceName{"r"}, PeerObservation{}, at(100));
     const auto fresh = suspicion.votes(first, at(50));
     cr_assert(fresh.alive == 1 && fresh.dead == 1);
     const auto stale = suspicion.votes(first, at(200));
@@ -280,7 +280,7 @@
     (void)monitor.setMembers({members[1], members[2]}, at(10));
     cr_assert(!monitor.primary());
     cr_assert(!monitor.lastReport(a) && monitor.lastReport(b));
-    cr_assert(!monitor.age(a, at(20)) && *monitor.age(b, at(20)) == Milliseconds{15});
+    cr_assert(!monitor.contactAge(a, at(20)) && *monitor.contactAge(b, at(20)) == Milliseconds{15});
 }
 
 Test(groups, refusalByAHigherTermEndsTheAttempt)
@@ -308,7 +308,7 @@
     const TermReply refused{false, report(b, Term{9, 1}, Mark{})};
     cr_assert(!holdsLead(monitor.onOrderReply(b, OrderKind::Adopt, term, refused, at(5), at(12))));
     cr_assert(!monitor.promoting());
-    cr_assert_eq(monitor.sighting(at(12)).highest.number, 9);
+    cr_assert_eq(monitor.observation(at(12)).highest.number, 9);
     const TermReply late{true, report(c, term, Mark{})};
     cr_assert(!holdsLead(monitor.onOrderReply(c, OrderKind::Adopt, term, late, at(5), at(13))), "the attempt has ended");
 }
