--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -22,9 +22,9 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-Mark markOf(std::int64_t position)
+LogPosition markOf(std::int64_t position)
 {
-    return Mark{Term{3, 9}, static_cast<std::uint64_t>(position)};
+    return LogPosition{Term{3, 9}, static_cast<std::uint64_t>(position)};
 }
 
 MemberReport reportOf(const char *member, std::int64_t position)
@@ -95,7 +95,7 @@
         ++position;
         router.confirm(at(200'000 + round * 100), markOf(position));
         router.report(reportOf("ledger-1-b", position), at(200'000 + round * 100 + 50));
-        return router.highestSeen().position;
+        return router.highestSeen().index;
     });
 }
 
--- a/src/base/fwd.h
+++ b/src/base/fwd.h
@@ -9,7 +9,7 @@
 class StrongId;
 
 struct Term;
-struct Mark;
+struct LogPosition;
 struct Error;
 struct SourcePosition;
 enum class ErrorKind : std::uint8_t;
--- a/src/base/mark.cpp
+++ b/src/base/logposition.cpp
@@ -1,5 +1,5 @@
 // Text forms of terms and marks.
-#include "base/mark.h"
+#include "base/logposition.h"
 
 #include <charconv>
 #include <optional>
@@ -36,9 +36,9 @@
     return std::to_string(term.number) + "." + std::string(digits, written.ptr);
 }
 
-std::string toText(const Mark &mark)
+std::string toText(const LogPosition &position)
 {
-    return toText(mark.term) + "/" + std::to_string(mark.position);
+    return toText(position.term) + "/" + std::to_string(position.index);
 }
 
 Result<Term> parseTerm(std::string_view text)
@@ -55,18 +55,18 @@
     return Term{*number, *proposer};
 }
 
-Result<Mark> parseMark(std::string_view text)
+Result<LogPosition> parseLogPosition(std::string_view text)
 {
     const auto slash = text.find('/');
     if (slash == std::string_view::npos) {
         return malformed("log mark", text);
     }
     const auto term = parseTerm(text.substr(0, slash));
-    const auto position = parseNumber(text.substr(slash + 1), decimal);
-    if (!term || !position) {
+    const auto index = parseNumber(text.substr(slash + 1), decimal);
+    if (!term || !index) {
         return malformed("log mark", text);
     }
-    return Mark{*term, *position};
+    return LogPosition{*term, *index};
 }
 
 std::ostream &operator<<(std::ostream &out, const Term &term)
@@ -74,9 +74,9 @@
     return out << toText(term);
 }
 
-std::ostream &operator<<(std::ostream &out, const Mark &mark)
+std::ostream &operator<<(std::ostream &out, const LogPosition &position)
 {
-    return out << toText(mark);
+    return out << toText(position);
 }
 
 } // namespace cardamomstep
--- a/src/base/mark.h
+++ b/src/base/logposition.h
@@ -29,27 +29,27 @@
 ///
 /// Marks are ordered by term first. A log whose last entry has a higher term holds every acknowledged
 /// entry of all lower terms, so `member >= wanted` is the whole test for freshness.
-struct Mark {
+struct LogPosition {
     Term term;
     /// Number of entries in the log up to and including this one.
-    std::uint64_t position = 0;
+    std::uint64_t index = 0;
 
-    [[nodiscard]] constexpr auto operator<=>(const Mark &) const noexcept = default;
+    [[nodiscard]] constexpr auto operator<=>(const LogPosition &) const noexcept = default;
 };
 
 /// \a term as text: the number, a dot, the proposer in hexadecimal, for example "7.1f".
 [[nodiscard]] std::string toText(const Term &term);
 
 /// \a mark as text: the term, a slash, the position, for example "7.1f/120".
-[[nodiscard]] std::string toText(const Mark &mark);
+[[nodiscard]] std::string toText(const LogPosition &position);
 
 /// Reads a term that toText() wrote; the error is ErrorKind::MalformedRequest.
 [[nodiscard]] Result<Term> parseTerm(std::string_view text);
 
 /// Reads a mark that toText() wrote; the error is ErrorKind::MalformedRequest.
-[[nodiscard]] Result<Mark> parseMark(std::string_view text);
+[[nodiscard]] Result<LogPosition> parseLogPosition(std::string_view text);
 
 std::ostream &operator<<(std::ostream &out, const Term &term);
-std::ostream &operator<<(std::ostream &out, const Mark &mark);
+std::ostream &operator<<(std::ostream &out, const LogPosition &position);
 
 } // namespace cardamomstep
--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -5,15 +5,15 @@
 
 namespace {
 
-void fill(wire::Position &message, const Mark &mark)
+void fill(wire::Position &message, const LogPosition &mark)
 {
     message.set_term(mark.term.number);
-    message.set_number(mark.position);
+    message.set_number(mark.index);
 }
 
-Mark markOf(const wire::Position &message)
+LogPosition markOf(const wire::Position &message)
 {
-    return Mark{Term{message.term(), 0}, message.number()};
+    return LogPosition{Term{message.term(), 0}, message.number()};
 }
 
 void fill(wire::Record &message, const leadership::GroupRecord &record)
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -47,7 +47,7 @@
 
 /// What the receiver of an announcement has acknowledged to callers.
 struct HoldReply {
-    Mark acknowledged;
+    LogPosition acknowledged;
     Milliseconds uptime{0};
 };
 
--- a/src/gateway/membercontrol.h
+++ b/src/gateway/membercontrol.h
@@ -86,7 +86,7 @@
     void open()
     {
         MemberLinkHandlers handlers;
-        handlers.opened = [self = this->shared_from_this()](const std::optional<Mark> &) {
+        handlers.opened = [self = this->shared_from_this()](const std::optional<LogPosition> &) {
             self->open_ = true;
             self->link_->send(std::exchange(self->unsent_, {}));
         };
--- a/src/gateway/memberlink.h
+++ b/src/gateway/memberlink.h
@@ -15,7 +15,7 @@
 
 /// What a member's connection reports.
 struct MemberLinkHandlers {
-    std::function<void(const std::optional<Mark> &position)> opened;
+    std::function<void(const std::optional<LogPosition> &position)> opened;
     std::function<void(const relay::MemberReply &reply)> replied;
     /// The connection ended or was refused; called once, and not after close().
     std::function<void(std::optional<relay::MemberFault> refusal)> closed;
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -327,7 +327,7 @@
     {
         const auto key = action.link;
         MemberLinkHandlers handlers;
-        handlers.opened = [this, key](const std::optional<Mark> &position) {
+        handlers.opened = [this, key](const std::optional<LogPosition> &position) {
             engine_.linkOpened(key, position, evloop::bootTimeNow());
             perform();
         };
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/viewkeeper.h
@@ -114,7 +114,7 @@
     }
 
     /// Highest position in \a group that this process acknowledged, or that others told here that they did.
-    [[nodiscard]] Mark acknowledged(const GroupName &group) const
+    [[nodiscard]] LogPosition acknowledged(const GroupName &group) const
     {
         const auto told = acknowledged_.find(group);
         const auto own = context_.host.engine.acknowledged(group);
@@ -246,7 +246,7 @@
     /// Proxies that renew their views here, and when they last did.
     std::map<InstanceName, TimePoint> clients_;
     /// What others told here that they acknowledged to callers.
-    std::map<GroupName, Mark> acknowledged_;
+    std::map<GroupName, LogPosition> acknowledged_;
     bool storeRenewing_ = false;
     TimePoint storeRenewedAt_;
 };
--- a/src/groups/coverage.cpp
+++ b/src/groups/coverage.cpp
@@ -23,7 +23,7 @@
     states_ = std::move(states);
 }
 
-bool AckTracker::onState(const MemberName &member, const Mark &log, const Term &adopted)
+bool AckTracker::onState(const MemberName &member, const LogPosition &log, const Term &adopted)
 {
     const auto state = std::find_if(states_.begin(), states_.end(), [&](const State &known) { return known.member == member; });
     if (state == states_.end()) {
@@ -38,31 +38,31 @@
     }
     // Under a higher adopted term the entries may have come from that term's primary, and then prove nothing.
     if (log.term == adopted && advance(state->furthest, log)) {
-        changed = advance(covered_, Mark{log.term, majorityPosition(log.term)}) || changed;
+        changed = advance(covered_, LogPosition{log.term, majorityPosition(log.term)}) || changed;
     }
     return changed;
 }
 
-Coverage AckTracker::coverage(const Mark &mark) const noexcept
+Coverage AckTracker::coverage(const LogPosition &mark) const noexcept
 {
     // A term without covered entries has position 0, which says nothing about its start entry.
-    if (positionAt(covered_, mark.term) >= std::max<std::uint64_t>(mark.position, 1)) {
+    if (positionAt(covered_, mark.term) >= std::max<std::uint64_t>(mark.index, 1)) {
         return Coverage::Covered;
     }
     return majorityAdopted_ > mark.term ? Coverage::Superseded : Coverage::Pending;
 }
 
-Mark AckTracker::covered() const noexcept
+LogPosition AckTracker::covered() const noexcept
 {
     return covered_.front();
 }
 
-bool AckTracker::advance(Positions &positions, const Mark &mark) noexcept
+bool AckTracker::advance(Positions &positions, const LogPosition &mark) noexcept
 {
-    if (mark.position == 0) {
+    if (mark.index == 0) {
         return false;
     }
-    const auto same = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == mark.term; });
+    const auto same = std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == mark.term; });
     const auto place = same == positions.end() ? std::prev(positions.end()) : same;
     if (*place >= mark) {
         return false;
@@ -74,8 +74,8 @@
 
 std::uint64_t AckTracker::positionAt(const Positions &positions, const Term &term) noexcept
 {
-    const auto found = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == term; });
-    return found == positions.end() ? 0 : found->position;
+    const auto found = std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == term; });
+    return found == positions.end() ? 0 : found->index;
 }
 
 std::uint64_t AckTracker::majorityPosition(const Term &term) const
--- a/src/groups/coverage.h
+++ b/src/groups/coverage.h
@@ -1,7 +1,7 @@
 // Whether a log entry is held by a majority of a group's members, and so outlives any promotion.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "groups/member.h"
 #include "members/member.h"
 
@@ -36,19 +36,19 @@
     /// Takes in a report or the state in any reply of \a member; unknown members are left out.
     ///
     /// Returns true when a further entry became covered or a term was superseded, so that waiting writes need a look.
-    bool onState(const MemberName &member, const Mark &log, const Term &adopted);
+    bool onState(const MemberName &member, const LogPosition &log, const Term &adopted);
 
     /// What is known about the entry at \a mark.
-    [[nodiscard]] Coverage coverage(const Mark &mark) const noexcept;
+    [[nodiscard]] Coverage coverage(const LogPosition &mark) const noexcept;
 
     /// The last covered entry of the highest term that has one; position 0 when there is none.
-    [[nodiscard]] Mark covered() const noexcept;
+    [[nodiscard]] LogPosition covered() const noexcept;
 
 private:
     /// Terms for which a member's or the group's furthest position is kept.
     static constexpr std::size_t keptTerms = 3;
     /// Highest term first; unused places have position 0.
-    using Positions = std::array<Mark, keptTerms>;
+    using Positions = std::array<LogPosition, keptTerms>;
 
     struct State {
         MemberName member;
@@ -56,7 +56,7 @@
         Positions furthest{};
     };
 
-    static bool advance(Positions &positions, const Mark &mark) noexcept;
+    static bool advance(Positions &positions, const LogPosition &mark) noexcept;
     [[nodiscard]] static std::uint64_t positionAt(const Positions &positions, const Term &term) noexcept;
     [[nodiscard]] std::uint64_t majorityPosition(const Term &term) const;
     [[nodiscard]] Term majorityAdopted() const;
--- a/src/groups/impl/memberwatch.cpp
+++ b/src/groups/impl/memberwatch.cpp
@@ -50,7 +50,7 @@
     return movedAt_;
 }
 
-void MemberWatch::onPrimaryLog(const Mark &primaryLog, TimePoint now) noexcept
+void MemberWatch::onPrimaryLog(const LogPosition &primaryLog, TimePoint now) noexcept
 {
     if (!report_ || report_->log >= primaryLog) {
         behindSince_.reset();
--- a/src/groups/impl/memberwatch.h
+++ b/src/groups/impl/memberwatch.h
@@ -33,7 +33,7 @@
     [[nodiscard]] TimePoint movedAt() const noexcept;
 
     /// The primary's log ends at \a primaryLog: notes since when this member is behind it.
-    void onPrimaryLog(const Mark &primaryLog, TimePoint now) noexcept;
+    void onPrimaryLog(const LogPosition &primaryLog, TimePoint now) noexcept;
     /// Since when this member has been behind its primary without moving, although it answers; none when it is not behind.
     [[nodiscard]] std::optional<TimePoint> stuckSince() const noexcept;
 
--- a/src/groups/impl/suspicion.cpp
+++ b/src/groups/impl/suspicion.cpp
@@ -37,9 +37,9 @@
     return votes;
 }
 
-Mark Suspicion::furthestLog(const MemberName &primary, const Term &term) const noexcept
+LogPosition Suspicion::furthestLog(const MemberName &primary, const Term &term) const noexcept
 {
-    Mark furthest;
+    LogPosition furthest;
     for (const auto &kept : kept_) {
         if (kept.sighting.primary == primary && kept.sighting.term == term) {
             furthest = std::max(furthest, kept.sighting.log);
--- a/src/groups/impl/suspicion.h
+++ b/src/groups/impl/suspicion.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "groups/sighting.h"
 
@@ -29,7 +29,7 @@
     [[nodiscard]] PeerVotes votes(const Term &term, TimePoint since) const noexcept;
 
     /// The furthest log of \a primary at \a term that a peer saw.
-    [[nodiscard]] Mark furthestLog(const MemberName &primary, const Term &term) const noexcept;
+    [[nodiscard]] LogPosition furthestLog(const MemberName &primary, const Term &term) const noexcept;
 
 private:
     static constexpr std::size_t keptPeers = 4;
--- a/src/groups/legitimacy.cpp
+++ b/src/groups/legitimacy.cpp
@@ -66,7 +66,7 @@
     return current_;
 }
 
-void LegitimacyRounds::onState(const MemberName &member, const Term &adopted, const Mark &log, TimePoint sentAt)
+void LegitimacyRounds::onState(const MemberName &member, const Term &adopted, const LogPosition &log, TimePoint sentAt)
 {
     const bool known = std::find(members_.begin(), members_.end(), member) != members_.end();
     if (!inFlight_ || !known || sentAt < startedAt_ || adopted < term_) {
@@ -121,7 +121,7 @@
 void LegitimacyRounds::finish(bool legitimate)
 {
     inFlight_ = false;
-    results_.push_back(RoundResult{current_, legitimate, legitimate ? *primaryLog_ : Mark{}});
+    results_.push_back(RoundResult{current_, legitimate, legitimate ? *primaryLog_ : LogPosition{}});
 }
 
 } // namespace cardamomstep
--- a/src/groups/legitimacy.h
+++ b/src/groups/legitimacy.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     /// True when no higher term had been adopted by a majority when the round began.
     bool legitimate = false;
     /// The primary's last entry at or after the round's start: a member at or above it is current for these reads.
-    Mark readMark;
+    LogPosition readMark;
 };
 
 /// Read checks of one group.
@@ -50,7 +50,7 @@
     ///
     /// \a log must be the member's last entry then, or one that was appended for the request itself: the mark of a repeated
     /// write is neither and would make the read mark too low.
-    void onState(const MemberName &member, const Term &adopted, const Mark &log, TimePoint sentAt);
+    void onState(const MemberName &member, const Term &adopted, const LogPosition &log, TimePoint sentAt);
 
     /// The result of a round that ended, each once.
     [[nodiscard]] std::optional<RoundResult> takeResult(TimePoint now);
@@ -77,7 +77,7 @@
     std::vector<MemberName> confirmed_;
     /// Members that showed a higher term in this round; each at most once.
     std::vector<MemberName> superseded_;
-    std::optional<Mark> primaryLog_;
+    std::optional<LogPosition> primaryLog_;
     /// Ended rounds that were not taken yet.
     std::vector<RoundResult> results_;
 };
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/random.h"
 #include "base/time.h"
 #include "groups/action.h"
@@ -128,7 +128,7 @@
     void confirmPrimary();
     void refreshReplication(TimePoint now);
     [[nodiscard]] Term majorityAdopted() const;
-    [[nodiscard]] Mark primaryLog() const;
+    [[nodiscard]] LogPosition primaryLog() const;
 
     // Whether a promotion is needed, in monitorneed.cpp
     void refreshNeed(TimePoint now);
--- a/src/groups/monitorbelief.cpp
+++ b/src/groups/monitorbelief.cpp
@@ -93,7 +93,7 @@
     return adopted.empty() ? Term{} : adopted[majority() - 1];
 }
 
-Mark GroupMonitor::primaryLog() const
+LogPosition GroupMonitor::primaryLog() const
 {
     if (!primary_) {
         return {};
--- a/src/groups/sighting.h
+++ b/src/groups/sighting.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 
 namespace cardamomstep {
@@ -16,7 +16,7 @@
     /// Highest term that it saw adopted by any member.
     Term highest;
     /// Last entry of the primary's log that it saw.
-    Mark log;
+    LogPosition log;
     /// Time since its last sign of life from the primary.
     Milliseconds age{0};
 
--- a/src/groups/switchover.cpp
+++ b/src/groups/switchover.cpp
@@ -11,7 +11,7 @@
     from_ = from;
     target_ = MemberName{};
     deadline_ = now + policy.holdLimit;
-    still_ = Mark{};
+    still_ = LogPosition{};
     stillSince_ = now;
 }
 
--- a/src/groups/switchover.h
+++ b/src/groups/switchover.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "groups/policy.h"
 #include "members/member.h"
@@ -53,7 +53,7 @@
     MemberName target_;
     TimePoint deadline_;
     /// The primary's last entry and since when it has not moved.
-    Mark still_;
+    LogPosition still_;
     TimePoint stillSince_;
 };
 
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/promotion.cpp
@@ -18,7 +18,7 @@
     record_.moving = true;
 }
 
-void Promotion::known(const Mark &acknowledged)
+void Promotion::known(const LogPosition &acknowledged)
 {
     acknowledged_ = std::max(acknowledged_, acknowledged);
 }
@@ -57,7 +57,7 @@
     gatherSooner(now);
 }
 
-void Promotion::held(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now)
+void Promotion::held(const InstanceName &proxy, const LogPosition &acknowledged, Milliseconds uptime, TimePoint now)
 {
     held_[proxy] = uptime >= limits_.knowingUptime;
     known(acknowledged);
--- a/src/leadership/promotion.h
+++ b/src/leadership/promotion.h
@@ -81,7 +81,7 @@
     Promotion(GroupRecord record, MoveReason reason, TimePoint now, const PromotionLimits &limits = {});
 
     /// Takes in a position that some proxy was heard to have acknowledged, also by a process that has ended since.
-    void known(const Mark &acknowledged);
+    void known(const LogPosition &acknowledged);
 
     /// Sets the group's registered members, now and whenever they change.
     void setMembers(const std::vector<relay::MemberEntry> &members);
@@ -90,7 +90,7 @@
     /// The record could not be stored; \a conflict ends the move.
     void recordFailed(bool conflict, TimePoint now);
     void proxiesListed(const std::vector<InstanceName> &proxies, TimePoint now);
-    void held(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now);
+    void held(const InstanceName &proxy, const LogPosition &acknowledged, Milliseconds uptime, TimePoint now);
     void memberStatus(const MemberStatus &status);
     /// The member confirmed that its replication stopped; \a status is as of then.
     void memberPaused(const MemberStatus &status, std::uint64_t term);
@@ -131,7 +131,7 @@
 
     struct Candidate {
         MemberName member;
-        Mark received;
+        LogPosition received;
         bool draining = false;
     };
 
@@ -165,7 +165,7 @@
     std::optional<std::set<InstanceName>> proxies_;
     /// Proxies that hold, and whether they know all that their instance acknowledged.
     std::map<InstanceName, bool> held_;
-    Mark acknowledged_;
+    LogPosition acknowledged_;
     std::map<MemberName, MemberStatus> statuses_;
     /// Replicas whose replication was stopped at fenceTerm_.
     std::set<MemberName> paused_;
--- a/src/leadership/record.h
+++ b/src/leadership/record.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "relay/message.h"
 #include "store/object.h"
@@ -39,7 +39,7 @@
     /// Time since which writes have gone unanswered.
     Milliseconds writesStalled{0};
     /// Highest position that this proxy acknowledged to a caller, or was told that others did.
-    Mark acknowledged;
+    LogPosition acknowledged;
 };
 
 /// A member's account of itself, and which member that is.
--- a/src/members/impl/membercodec.cpp
+++ b/src/members/impl/membercodec.cpp
@@ -60,14 +60,14 @@
     return term ? std::optional<Term>(*term) : std::nullopt;
 }
 
-std::optional<Mark> markField(const Json &object, const char *key)
+std::optional<LogPosition> markField(const Json &object, const char *key)
 {
     const auto text = textField(object, key);
     if (!text) {
         return std::nullopt;
     }
-    const auto mark = parseMark(*text);
-    return mark ? std::optional<Mark>(*mark) : std::nullopt;
+    const auto mark = parseLogPosition(*text);
+    return mark ? std::optional<LogPosition>(*mark) : std::nullopt;
 }
 
 std::uint64_t decimalNumber(const std::string &text)
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/result.h"
 #include "members/fwd.h"
 
@@ -28,7 +28,7 @@
     /// Highest term adopted: the member refuses everything of a lower term.
     Term adopted;
     /// Last entry of its log.
-    Mark log;
+    LogPosition log;
     /// True when the member has been told to stop.
     bool leaving = false;
 
@@ -91,7 +91,7 @@
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Last log entry when the statement ran; for writes, the entry that holds the effect.
-    Mark mark;
+    LogPosition mark;
     /// Highest adopted term when it ran.
     Term adopted;
     /// The member-side transaction that a begin opened.
@@ -104,7 +104,7 @@
 struct OutcomeReply {
     bool found = false;
     /// Entry that holds the effect, when found.
-    Mark mark;
+    LogPosition mark;
     std::uint64_t fingerprint = 0;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
--- a/src/owner/impl/flow.cpp
+++ b/src/owner/impl/flow.cpp
@@ -46,7 +46,7 @@
     return std::max(Milliseconds{1}, std::min(remaining, links.answerTimeout()));
 }
 
-std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &mark)
+std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &mark)
 {
     // Room was checked before the request ran, so the merge cannot fail.
     (void)session.merge(group, mark);
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -63,6 +63,6 @@
 }
 
 /// The answer's session token: \a session with \a mark merged in.
-[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &mark);
+[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &mark);
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -261,7 +261,7 @@
     pumpRounds();
 }
 
-void GroupCore::onState(const MemberName &member, const Mark &log, const Term &adopted, TimePoint sentAt)
+void GroupCore::onState(const MemberName &member, const LogPosition &log, const Term &adopted, TimePoint sentAt)
 {
     rounds.onState(member, adopted, log, sentAt);
     if (acks.onState(member, log, adopted)) {
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -67,7 +67,7 @@
     void feed(const trace::GroupInput &input);
 
     /// Feeds a member's state from any reply to the trackers and wakes who waited for it.
-    void onState(const MemberName &member, const Mark &log, const Term &adopted, TimePoint sentAt);
+    void onState(const MemberName &member, const LogPosition &log, const Term &adopted, TimePoint sentAt);
 
     /// Begins due read checks and hands out their results.
     void pumpRounds();
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -143,13 +143,13 @@
     return answer;
 }
 
-bool ReadFlow::waitLasting(const Mark &mark)
+bool ReadFlow::waitLasting(const LogPosition &mark)
 {
     Waiter waiter;
     const WaitList::Entry entry(core_.coverageWaiters, waiter);
     for (;;) {
         const auto coverage = core_.acks.coverage(mark);
-        if (coverage != Coverage::Pending || mark.position == 0) {
+        if (coverage != Coverage::Pending || mark.index == 0) {
             return coverage != Coverage::Superseded;
         }
         const bool woken = waiter.wait(lock_, deadline_);
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -23,7 +23,7 @@
     [[nodiscard]] std::optional<Answer> performAsk(ReadPlan &plan, const AskMember &ask);
     [[nodiscard]] std::optional<Answer> judge(ReadPlan &plan, const AskMember &ask, const MemberReply &reply);
     /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
-    [[nodiscard]] bool waitLasting(const Mark &mark);
+    [[nodiscard]] bool waitLasting(const LogPosition &mark);
     void performAwait(TimePoint until);
     [[nodiscard]] Answer noPrimary() const;
 
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -161,7 +161,7 @@
     return attempt.outcome(*reply, steadyNow());
 }
 
-WriteStep WriteFlow::performCoverage(WriteAttempt &attempt, const Mark &mark)
+WriteStep WriteFlow::performCoverage(WriteAttempt &attempt, const LogPosition &mark)
 {
     Waiter waiter;
     const WaitList::Entry forCoverage(core_.coverageWaiters, waiter);
--- a/src/owner/impl/writeflow.h
+++ b/src/owner/impl/writeflow.h
@@ -29,7 +29,7 @@
     [[nodiscard]] LinkResult<MemberReply> sendOnce(const Term &term);
     [[nodiscard]] WriteStep performSend(WriteAttempt &attempt, const Term &term, const Sender &send);
     [[nodiscard]] WriteStep performAsk(WriteAttempt &attempt, const AskOutcome &ask);
-    [[nodiscard]] WriteStep performCoverage(WriteAttempt &attempt, const Mark &mark);
+    [[nodiscard]] WriteStep performCoverage(WriteAttempt &attempt, const LogPosition &mark);
     [[nodiscard]] WriteStep performWaitPrimary(WriteAttempt &attempt);
     [[nodiscard]] Answer toAnswer(const AnswerWrite &result) const;
 
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -82,10 +82,10 @@
     return delta;
 }
 
-Mark markOrNone(const std::string &text)
+LogPosition markOrNone(const std::string &text)
 {
-    const auto mark = parseMark(text);
-    return mark ? *mark : Mark{};
+    const auto mark = parseLogPosition(text);
+    return mark ? *mark : LogPosition{};
 }
 
 Term termOrNone(const std::string &text)
--- a/src/relay/callersession.cpp
+++ b/src/relay/callersession.cpp
@@ -148,17 +148,17 @@
     return open ? StatementNeed::EndAtMember : StatementNeed::Answered;
 }
 
-void CallerSession::succeeded(const SessionStatement &statement, const std::optional<Mark> &position)
+void CallerSession::succeeded(const SessionStatement &statement, const std::optional<LogPosition> &position)
 {
     if (phase_ == TransactionPhase::None) {
         if (writes(statement) && position) {
-            lastCommit_ = std::max(lastCommit_.value_or(Mark{}), *position);
+            lastCommit_ = std::max(lastCommit_.value_or(LogPosition{}), *position);
         }
         return;
     }
     if (statement.kind == StatementKind::Commit) {
         if (wrote_ && position) {
-            lastCommit_ = std::max(lastCommit_.value_or(Mark{}), *position);
+            lastCommit_ = std::max(lastCommit_.value_or(LogPosition{}), *position);
         }
         end();
         return;
--- a/src/relay/callersession.h
+++ b/src/relay/callersession.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "relay/message.h"
 
@@ -67,7 +67,7 @@
     }
 
     /// Takes in a member's success for a forwarded \a statement; \a position is its log position.
-    void succeeded(const SessionStatement &statement, const std::optional<Mark> &position);
+    void succeeded(const SessionStatement &statement, const std::optional<LogPosition> &position);
 
     /// Takes in that a forwarded \a statement was not answered with success; the state afterwards is state().
     void failed(const SessionStatement &statement) noexcept;
@@ -110,7 +110,7 @@
     }
 
     /// Position of the session's own last acknowledged commit.
-    [[nodiscard]] const std::optional<Mark> &lastCommit() const noexcept
+    [[nodiscard]] const std::optional<LogPosition> &lastCommit() const noexcept
     {
         return lastCommit_;
     }
@@ -130,7 +130,7 @@
     /// Meaningless outside a transaction.
     bool readOnly_ = false;
     bool wrote_ = false;
-    std::optional<Mark> lastCommit_;
+    std::optional<LogPosition> lastCommit_;
 };
 
 } // namespace cardamomstep::relay
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -51,7 +51,7 @@
             }
             found->second.setEntry(member);
             if (restarted) {
-                found->second.position = Mark{};
+                found->second.position = LogPosition{};
             }
         }
         for (auto pool = group.pools.begin(); pool != group.pools.end();) {
@@ -203,10 +203,10 @@
     return pool == found->second.pools.end() ? TimePoint{} : pool->second.lastAnswer();
 }
 
-Mark Engine::acknowledged(const GroupName &group) const
+LogPosition Engine::acknowledged(const GroupName &group) const
 {
     const auto found = groups_.find(group);
-    return found == groups_.end() ? Mark{} : found->second.acknowledged;
+    return found == groups_.end() ? LogPosition{} : found->second.acknowledged;
 }
 
 std::optional<TimePoint> Engine::writesStalledSince(const GroupName &group) const
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -104,7 +104,7 @@
 
     // Links.
 
-    void linkOpened(LinkKey link, const std::optional<Mark> &position, TimePoint now);
+    void linkOpened(LinkKey link, const std::optional<LogPosition> &position, TimePoint now);
     void linkReplied(LinkKey link, const MemberReply &reply, TimePoint now);
     /// Takes in that a link broke or could not be opened; \a refusal is set when the member refused it.
     void linkClosed(LinkKey link, std::optional<MemberFault> refusal, TimePoint now);
@@ -137,7 +137,7 @@
     /// When \a member last answered anything; the clock's origin when it never did.
     [[nodiscard]] TimePoint lastAnswer(const GroupName &group, const MemberName &member) const;
     /// Highest position that was acknowledged to any caller in \a group.
-    [[nodiscard]] Mark acknowledged(const GroupName &group) const;
+    [[nodiscard]] LogPosition acknowledged(const GroupName &group) const;
     /// Since when writes at the group's primary have gone unanswered; nothing while they are answered.
     [[nodiscard]] std::optional<TimePoint> writesStalledSince(const GroupName &group) const;
 
@@ -202,7 +202,7 @@
         std::map<MemberName, MemberPool> pools;
         /// Callers that wait for a link, most urgent first.
         std::vector<std::pair<TimePoint, CallerKey>> waiting;
-        Mark acknowledged;
+        LogPosition acknowledged;
         /// Last probe of the primary's position.
         TimePoint probedAt;
         /// Last read that needed evidence of the primary's position.
@@ -236,13 +236,14 @@
     // Lending (enginelending.cpp)
     void pump(Group &group, TimePoint now);
     [[nodiscard]] bool serve(CallerKey key, Caller &caller, Group &group, TimePoint now);
-    [[nodiscard]] std::optional<Mark> requiredMark(const Caller &caller, Group &group, TimePoint now) const;
+    [[nodiscard]] std::optional<LogPosition> requiredMark(const Caller &caller, Group &group, TimePoint now) const;
     [[nodiscard]] MemberPool *primaryPool(Group &group, TimePoint now);
-    [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now);
+    [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<LogPosition> &required, TimePoint now);
     void openLinks(Group &group, TimePoint now);
     void openLink(Group &group, MemberPool &pool, TimePoint now);
-    void lend(CallerKey key, Caller &caller, Link &link, const std::optional<Mark> &required, TimePoint now);
-    void sendStatement(Caller &caller, Link &link, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now);
+    void lend(CallerKey key, Caller &caller, Link &link, const std::optional<LogPosition> &required, TimePoint now);
+    void sendStatement(
+        Caller &caller, Link &link, const std::optional<LogPosition> &required, std::vector<MemberRequest> requests, TimePoint now);
     void lineUp(const Caller &caller, Link &link, std::vector<MemberRequest> &requests, TimePoint now);
     void await(Link &link, ReplyPurpose purpose, TimePoint now, Milliseconds patience);
     void probe(Group &group, TimePoint now);
--- a/src/relay/enginelending.cpp
+++ b/src/relay/enginelending.cpp
@@ -49,7 +49,7 @@
 }
 
 /// The position that a replica must hold to serve the caller's read; nothing when it is not known.
-std::optional<Mark> Engine::requiredMark(const Caller &caller, Group &group, TimePoint now) const
+std::optional<LogPosition> Engine::requiredMark(const Caller &caller, Group &group, TimePoint now) const
 {
     if (needsPrimary(caller)) {
         return std::nullopt;
@@ -72,7 +72,7 @@
 }
 
 /// The member with an idle link that should answer a read soonest; the primary only where it is much sooner.
-MemberPool *Engine::chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now)
+MemberPool *Engine::chooseReader(const Caller &caller, Group &group, const std::optional<LogPosition> &required, TimePoint now)
 {
     MemberPool *best = nullptr;
     Microseconds least{0};
@@ -134,7 +134,7 @@
     actions_.emplace_back(OpenLink{key, link.member, link.group, pool.entry().address});
 }
 
-void Engine::lend(CallerKey key, Caller &caller, Link &link, const std::optional<Mark> &required, TimePoint now)
+void Engine::lend(CallerKey key, Caller &caller, Link &link, const std::optional<LogPosition> &required, TimePoint now)
 {
     auto &group = groupState(caller.group);
     link.phase = LinkPhase::Lent;
@@ -163,7 +163,7 @@
 
 /// Sends the caller's statement, after \a requests.
 void Engine::sendStatement(
-    Caller &caller, Link &link, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now)
+    Caller &caller, Link &link, const std::optional<LogPosition> &required, std::vector<MemberRequest> requests, TimePoint now)
 {
     auto &group = groupState(caller.group);
     auto &pool = group.pools.at(link.member);
--- a/src/relay/enginelinks.cpp
+++ b/src/relay/enginelinks.cpp
@@ -23,7 +23,7 @@
     return (*pool)->find(key);
 }
 
-void Engine::linkOpened(LinkKey key, const std::optional<Mark> &position, TimePoint now)
+void Engine::linkOpened(LinkKey key, const std::optional<LogPosition> &position, TimePoint now)
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
@@ -131,7 +131,7 @@
     budget_.succeeded();
     if (lasting) {
         group.stalledSince.reset();
-        group.acknowledged = std::max(group.acknowledged, reply.position.value_or(Mark{}));
+        group.acknowledged = std::max(group.acknowledged, reply.position.value_or(LogPosition{}));
     }
     caller.session.succeeded(caller.statement, reply.position);
     CallerReply answered;
--- a/src/relay/forwardedsession.cpp
+++ b/src/relay/forwardedsession.cpp
@@ -13,7 +13,7 @@
     need_ = session_.take(statement, reply_);
 }
 
-void ForwardedSession::answered(bool success, SessionState state, const std::optional<Mark> &position)
+void ForwardedSession::answered(bool success, SessionState state, const std::optional<LogPosition> &position)
 {
     partPassed_ = false;
     if (need_ == StatementNeed::Forward) {
--- a/src/relay/forwardedsession.h
+++ b/src/relay/forwardedsession.h
@@ -30,7 +30,7 @@
     }
 
     /// Takes in the end of the answer.
-    void answered(bool success, SessionState state, const std::optional<Mark> &position);
+    void answered(bool success, SessionState state, const std::optional<LogPosition> &position);
 
     /// True when the session can go on elsewhere: its state is certain and the caller holds no part of an answer.
     [[nodiscard]] bool known() const noexcept
--- a/src/relay/memberpool.h
+++ b/src/relay/memberpool.h
@@ -180,7 +180,7 @@
     }
 
     /// Position of the member's log as last told; replicas only.
-    Mark position;
+    LogPosition position;
     /// Until when reads are kept away because the log lagged behind what they needed.
     TimePoint laggingUntil;
 
--- a/src/relay/message.h
+++ b/src/relay/message.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "statements/statement.h"
 
 #include <cstdint>
@@ -66,7 +66,7 @@
     std::optional<Error> error;
     SessionState state = SessionState::Idle;
     /// Position of the log that answered; nothing when none did.
-    std::optional<Mark> position;
+    std::optional<LogPosition> position;
 };
 
 /// Why a member did not answer with success.
@@ -97,7 +97,7 @@
     std::string signature;
     std::optional<MemberFault> fault;
     SessionState state = SessionState::Idle;
-    std::optional<Mark> position;
+    std::optional<LogPosition> position;
 };
 
 /// What this process asks of a member on its own account.
@@ -121,7 +121,7 @@
     bool primary = false;
     std::uint64_t term = 0;
     /// End of the log that it has received.
-    Mark received;
+    LogPosition received;
 };
 
 /// One request to a member.
@@ -135,7 +135,7 @@
     std::string name;
     Access access = Access::Read;
     /// The member must refuse the request when its log lacks this position.
-    std::optional<Mark> mustHold;
+    std::optional<LogPosition> mustHold;
 };
 
 } // namespace cardamomstep::relay
--- a/src/relay/wire.h
+++ b/src/relay/wire.h
@@ -41,7 +41,7 @@
 /// Ends each answer.
 struct MemberReady {
     SessionState state = SessionState::Idle;
-    std::optional<Mark> position;
+    std::optional<LogPosition> position;
 };
 using MemberLine = std::variant<MemberRow, MemberSuccess, MemberError, MemberReady, UnreadableLine>;
 
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -61,7 +61,7 @@
     return hold(reply.mark, sentTerm_, now);
 }
 
-WriteStep WriteAttempt::covered(const Mark &mark)
+WriteStep WriteAttempt::covered(const LogPosition &mark)
 {
     const auto *waiting = std::get_if<WaitCoverage>(&step_);
     if (waiting == nullptr || waiting->mark != mark) {
@@ -218,10 +218,10 @@
     return keep(AskOutcome{view_.term, notBefore});
 }
 
-WriteStep WriteAttempt::hold(const Mark &entry, const Term &leader, TimePoint now)
+WriteStep WriteAttempt::hold(const LogPosition &entry, const Term &leader, TimePoint now)
 {
     mayHaveRun(leader);
-    step_ = WaitCoverage{std::max(entry, Mark{leader, 0})};
+    step_ = WaitCoverage{std::max(entry, LogPosition{leader, 0})};
     return timeFor(Microseconds{0}, now) ? step_ : giveUp();
 }
 
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "members/member.h"
 #include "requests/fwd.h"
@@ -43,7 +43,7 @@
 
 /// Wait until a majority of members has adopted no higher term than \a mark's and has logs at or beyond \a mark.
 struct WaitCoverage {
-    Mark mark;
+    LogPosition mark;
 
     [[nodiscard]] bool operator==(const WaitCoverage &) const = default;
 };
@@ -61,7 +61,7 @@
     /// Set unless the write is acknowledged.
     std::optional<Error> error;
     /// Entry that holds the effect, when it ran.
-    Mark mark;
+    LogPosition mark;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Highest term at which the request was sent and may have run, for an unknown outcome.
@@ -132,7 +132,7 @@
     [[nodiscard]] WriteStep replied(const MemberReply &reply, TimePoint now);
 
     /// \a mark, as WaitCoverage named it, is covered.
-    [[nodiscard]] WriteStep covered(const Mark &mark);
+    [[nodiscard]] WriteStep covered(const LogPosition &mark);
 
     /// Coverage is not expected before \a expected; answers at once when that is too late.
     [[nodiscard]] WriteStep coverageExpected(TimePoint expected, TimePoint now);
@@ -168,7 +168,7 @@
     [[nodiscard]] WriteStep sendAgain(Error otherwise, TimePoint now);
     [[nodiscard]] WriteStep waitForNext(const Term &above, ErrorKind kind, TimePoint now);
     [[nodiscard]] WriteStep resolve(TimePoint notBefore, TimePoint now);
-    [[nodiscard]] WriteStep hold(const Mark &entry, const Term &leader, TimePoint now);
+    [[nodiscard]] WriteStep hold(const LogPosition &entry, const Term &leader, TimePoint now);
     [[nodiscard]] WriteStep refusedBy(const MemberReply &reply, TimePoint now);
     [[nodiscard]] WriteStep foundOutcome(const OutcomeReply &reply, TimePoint now);
     [[nodiscard]] WriteStep absentOutcome(const OutcomeReply &reply, TimePoint now);
--- a/src/sessions/freshness.cpp
+++ b/src/sessions/freshness.cpp
@@ -6,7 +6,7 @@
 
 namespace cardamomstep {
 
-std::optional<Mark> acknowledgedBound(std::vector<Mark> logs, std::size_t members)
+std::optional<LogPosition> acknowledgedBound(std::vector<LogPosition> logs, std::size_t members)
 {
     const auto majority = members / 2 + 1;
     if (logs.size() < majority) {
@@ -18,7 +18,7 @@
     return *place;
 }
 
-void FreshnessHistory::confirm(TimePoint began, const Mark &bound)
+void FreshnessHistory::confirm(TimePoint began, const LogPosition &bound)
 {
     if (marks_.size() > 0 && began < marks_.last().time) {
         return;
--- a/src/sessions/freshness.h
+++ b/src/sessions/freshness.h
@@ -1,7 +1,7 @@
 // The history of confirmed marks, which proves the age of a replica's data.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "sessions/fwd.h"
 #include "sessions/impl/timedmarks.h"
@@ -18,7 +18,7 @@
 /// A write is acknowledged once a majority has it, so at least a majority less the missing reports shows it.
 /// With two reports of three this is the greater mark, with three of three the second greatest. Neither role nor term
 /// of the members matters. Returns nothing while the reports are less than a majority.
-[[nodiscard]] std::optional<Mark> acknowledgedBound(std::vector<Mark> logs, std::size_t members);
+[[nodiscard]] std::optional<LogPosition> acknowledgedBound(std::vector<LogPosition> logs, std::size_t members);
 
 /// Remembers which marks cover the writes acknowledged up to which time.
 ///
@@ -36,12 +36,12 @@
     /// Adds that every write acknowledged before \a began has a mark of at most \a bound.
     ///
     /// A round that began before the newest known one is ignored.
-    void confirm(TimePoint began, const Mark &bound);
+    void confirm(TimePoint began, const LogPosition &bound);
 
     /// The lowest known mark that covers every write acknowledged before \a time.
     ///
     /// Returns nothing when no round began at or after \a time; a new round is needed then.
-    [[nodiscard]] std::optional<Mark> markCovering(TimePoint time) const noexcept
+    [[nodiscard]] std::optional<LogPosition> markCovering(TimePoint time) const noexcept
     {
         return marks_.markAt(time);
     }
--- a/src/sessions/impl/timedmarks.cpp
+++ b/src/sessions/impl/timedmarks.cpp
@@ -5,7 +5,7 @@
 
 namespace cardamomstep::impl {
 
-void TimedMarks::append(TimePoint time, const Mark &mark)
+void TimedMarks::append(TimePoint time, const LogPosition &mark)
 {
     if (size_ == capacity) {
         dropDensest(time);
@@ -30,7 +30,7 @@
     --size_;
 }
 
-std::optional<Mark> TimedMarks::markAt(TimePoint time) const noexcept
+std::optional<LogPosition> TimedMarks::markAt(TimePoint time) const noexcept
 {
     const auto *end = pairs_.data() + size_;
     const auto *place = std::lower_bound(pairs_.data(), end, time, [](const Pair &pair, TimePoint wanted) { return pair.time < wanted; });
@@ -40,10 +40,11 @@
     return place->mark;
 }
 
-std::optional<TimePoint> TimedMarks::timeOf(const Mark &mark) const noexcept
+std::optional<TimePoint> TimedMarks::timeOf(const LogPosition &mark) const noexcept
 {
     const auto *end = pairs_.data() + size_;
-    const auto *place = std::lower_bound(pairs_.data(), end, mark, [](const Pair &pair, const Mark &wanted) { return pair.mark < wanted; });
+    const auto *place =
+        std::lower_bound(pairs_.data(), end, mark, [](const Pair &pair, const LogPosition &wanted) { return pair.mark < wanted; });
     if (place == end) {
         return std::nullopt;
     }
--- a/src/sessions/impl/timedmarks.h
+++ b/src/sessions/impl/timedmarks.h
@@ -1,7 +1,7 @@
 // A bounded series of times and rising log marks, fine for recent times and coarse for old ones.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 
 #include <array>
@@ -21,11 +21,11 @@
 
     struct Pair {
         TimePoint time;
-        Mark mark;
+        LogPosition mark;
     };
 
     /// Adds a pair at the end; \a time must not lie before the last one and \a mark must lie above it.
-    void append(TimePoint time, const Mark &mark);
+    void append(TimePoint time, const LogPosition &mark);
 
     /// Removes the last pair.
     void removeLast() noexcept
@@ -44,10 +44,10 @@
     }
 
     /// The mark of the first pair at or after \a time.
-    [[nodiscard]] std::optional<Mark> markAt(TimePoint time) const noexcept;
+    [[nodiscard]] std::optional<LogPosition> markAt(TimePoint time) const noexcept;
 
     /// The time of the first pair whose mark is at or beyond \a mark.
-    [[nodiscard]] std::optional<TimePoint> timeOf(const Mark &mark) const noexcept;
+    [[nodiscard]] std::optional<TimePoint> timeOf(const LogPosition &mark) const noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept
     {
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -74,7 +74,7 @@
     primary_ = maxMembers;
 }
 
-void ReadRouter::confirm(TimePoint began, const Mark &bound)
+void ReadRouter::confirm(TimePoint began, const LogPosition &bound)
 {
     history_.confirm(began, bound);
     learnPrimaryMark(bound, began);
@@ -127,7 +127,7 @@
     return giveUp(plan, now);
 }
 
-bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const Mark &mark, TimePoint now)
+bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const LogPosition &mark, TimePoint now)
 {
     auto *found = find(member);
     const bool fresh = plan.required_ && mark >= *plan.required_;
@@ -159,7 +159,7 @@
     }
 }
 
-std::optional<TimePoint> ReadRouter::coverageExpected(const Mark &mark, TimePoint now) const
+std::optional<TimePoint> ReadRouter::coverageExpected(const LogPosition &mark, TimePoint now) const
 {
     std::vector<TimePoint> expected;
     for (std::size_t index = 0; index < members_.size(); ++index) {
@@ -219,7 +219,7 @@
     if (!covering) {
         return CollectReports{};
     }
-    plan.required_ = std::max(*covering, need.token.value_or(Mark{}));
+    plan.required_ = std::max(*covering, need.token.value_or(LogPosition{}));
     return std::nullopt;
 }
 
@@ -298,7 +298,7 @@
     return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.comingBackAfter(retryAfterNotFresh)};
 }
 
-TimePoint ReadRouter::expectedAt(const Member &member, const Mark &wanted, TimePoint now) const noexcept
+TimePoint ReadRouter::expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept
 {
     const auto reached = primaryMarks_.timeOf(wanted).value_or(now);
     const auto usual = reached + member.lag.withMargin(lagMargin);
@@ -315,7 +315,7 @@
     return member.roundTrip + inFront * limits_.queuePenalty;
 }
 
-void ReadRouter::learnMark(Member &member, const Mark &mark, TimePoint now)
+void ReadRouter::learnMark(Member &member, const LogPosition &mark, TimePoint now)
 {
     if (member.known && mark > member.mark) {
         const auto reached = primaryMarks_.timeOf(mark).value_or(now);
@@ -327,7 +327,7 @@
     highestSeen_ = std::max(highestSeen_, mark);
 }
 
-void ReadRouter::learnPrimaryMark(const Mark &mark, TimePoint now)
+void ReadRouter::learnPrimaryMark(const LogPosition &mark, TimePoint now)
 {
     if (primaryMarks_.size() == 0 || (mark > primaryMarks_.last().mark && now >= primaryMarks_.last().time)) {
         primaryMarks_.append(now, mark);
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/result.h"
 #include "base/time.h"
 #include "connections/smoothedtime.h"
@@ -21,7 +21,7 @@
 /// What one read asks of the data it sees.
 struct ReadNeed {
     /// The session's mark in this group; nothing when it has not written there.
-    std::optional<Mark> token;
+    std::optional<LogPosition> token;
     /// Age of data that the caller accepts, counted back from `arrived`; without it the read is current.
     std::optional<Milliseconds> acceptedAge;
     /// When the read arrived at this process.
@@ -40,7 +40,7 @@
     MemberName member;
     bool isPrimary = false;
     /// The reply's mark must reach this.
-    Mark required;
+    LogPosition required;
 
     [[nodiscard]] bool operator==(const AskMember &) const = default;
 };
@@ -77,7 +77,7 @@
     }
 
     /// The mark that an answer must reach, once it is known.
-    [[nodiscard]] const std::optional<Mark> &required() const noexcept
+    [[nodiscard]] const std::optional<LogPosition> &required() const noexcept
     {
         return required_;
     }
@@ -86,7 +86,7 @@
     friend class ReadRouter;
 
     ReadNeed need_;
-    std::optional<Mark> required_;
+    std::optional<LogPosition> required_;
     /// Members that failed this read or answered it too old; bit N stands for the member at index N of the router's members.
     std::uint32_t failed_ = 0;
     std::uint32_t stale_ = 0;
@@ -147,7 +147,7 @@
     void clearPrimary() noexcept;
 
     /// Takes in a confirmed round; see FreshnessHistory::confirm().
-    void confirm(TimePoint began, const Mark &bound);
+    void confirm(TimePoint began, const LogPosition &bound);
 
     /// Marks a member as suspect (its connections fail or are silent) or clears the suspicion.
     void setSuspect(const MemberName &member, bool suspect);
@@ -165,7 +165,7 @@
     ///
     /// Before it is answered, a majority must be known to hold \a mark too, or a promotion may drop what the read saw.
     /// A stale reply raises the estimate of that member's lag, and the plan asks it no more.
-    [[nodiscard]] bool verify(ReadPlan &plan, const MemberName &member, const Mark &mark, TimePoint now);
+    [[nodiscard]] bool verify(ReadPlan &plan, const MemberName &member, const LogPosition &mark, TimePoint now);
 
     /// Takes in that \a member gave no usable reply; the plan asks it no more.
     void failed(ReadPlan &plan, const MemberName &member);
@@ -174,10 +174,10 @@
     ///
     /// Returns nothing when too few replicas are usable to make up a majority. A write that waits for coverage is told this time;
     /// see WriteAttempt::coverageExpected().
-    [[nodiscard]] std::optional<TimePoint> coverageExpected(const Mark &mark, TimePoint now) const;
+    [[nodiscard]] std::optional<TimePoint> coverageExpected(const LogPosition &mark, TimePoint now) const;
 
     /// The greatest log mark in any report.
-    [[nodiscard]] const Mark &highestSeen() const noexcept
+    [[nodiscard]] const LogPosition &highestSeen() const noexcept
     {
         return highestSeen_;
     }
@@ -195,7 +195,7 @@
         bool leaving = false;
         bool suspect = false;
         /// Last entry known to be in its log, and when that was learned.
-        Mark mark;
+        LogPosition mark;
         TimePoint seenAt;
         /// Time between the primary's and this member's reaching a mark.
         SmoothedTime lag;
@@ -218,10 +218,10 @@
     [[nodiscard]] std::optional<TimePoint> waitForReplica(ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] GiveUpRead giveUp(const ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] bool usable(std::size_t index, const ReadPlan &plan, TimePoint now) const noexcept;
-    [[nodiscard]] TimePoint expectedAt(const Member &member, const Mark &wanted, TimePoint now) const noexcept;
+    [[nodiscard]] TimePoint expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept;
     [[nodiscard]] Microseconds costOf(const Member &member) const noexcept;
-    void learnMark(Member &member, const Mark &mark, TimePoint now);
-    void learnPrimaryMark(const Mark &mark, TimePoint now);
+    void learnMark(Member &member, const LogPosition &mark, TimePoint now);
+    void learnPrimaryMark(const LogPosition &mark, TimePoint now);
 
     ReadRouterLimits limits_;
     FreshnessHistory history_;
@@ -231,7 +231,7 @@
     std::size_t primary_ = maxMembers;
     /// When the primary was first seen at each mark.
     impl::TimedMarks primaryMarks_;
-    Mark highestSeen_;
+    LogPosition highestSeen_;
 };
 
 } // namespace cardamomstep
--- a/src/sessions/token.cpp
+++ b/src/sessions/token.cpp
@@ -46,7 +46,7 @@
         return invalid("malformed entry");
     }
     auto group = impl::percentDecoded(text.substr(0, equals));
-    const auto mark = parseMark(text.substr(equals + 1));
+    const auto mark = parseLogPosition(text.substr(equals + 1));
     if (!group || !mark) {
         return invalid("malformed entry");
     }
@@ -117,7 +117,7 @@
     return text + "!" + checksum;
 }
 
-std::optional<Mark> SessionToken::find(const GroupName &group) const
+std::optional<LogPosition> SessionToken::find(const GroupName &group) const
 {
     const auto place = lowerBound(entries_, group);
     if (place == entries_.end() || place->group != group) {
@@ -140,7 +140,7 @@
     return Success{};
 }
 
-Result<Success> SessionToken::merge(const GroupName &group, const Mark &mark)
+Result<Success> SessionToken::merge(const GroupName &group, const LogPosition &mark)
 {
     auto room = checkRoom(group);
     if (!room) {
@@ -155,7 +155,7 @@
     return Success{};
 }
 
-TokenStanding checkAgainst(const Mark &mark, const Mark &highestSeen, const std::optional<Mark> &confirmed) noexcept
+TokenStanding checkAgainst(const LogPosition &mark, const LogPosition &highestSeen, const std::optional<LogPosition> &confirmed) noexcept
 {
     if (mark <= highestSeen || (confirmed && mark <= *confirmed)) {
         return TokenStanding::Reached;
--- a/src/sessions/token.h
+++ b/src/sessions/token.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/result.h"
 #include "sessions/fwd.h"
 
@@ -41,7 +41,7 @@
     /// What the session knows of one group.
     struct Entry {
         GroupName group;
-        Mark mark;
+        LogPosition mark;
 
         [[nodiscard]] bool operator==(const Entry &) const = default;
     };
@@ -56,13 +56,13 @@
     [[nodiscard]] std::string format() const;
 
     /// The mark of \a group; nothing when the session has not written there.
-    [[nodiscard]] std::optional<Mark> find(const GroupName &group) const;
+    [[nodiscard]] std::optional<LogPosition> find(const GroupName &group) const;
 
     /// Tells before a write whether its mark will fit; the error is ErrorKind::TooLarge.
     [[nodiscard]] Result<Success> checkRoom(const GroupName &group) const;
 
     /// Keeps the greater of \a mark and the mark known for \a group; the error is checkRoom()'s.
-    [[nodiscard]] Result<Success> merge(const GroupName &group, const Mark &mark);
+    [[nodiscard]] Result<Success> merge(const GroupName &group, const LogPosition &mark);
 
     /// All entries, in ascending order of groups.
     [[nodiscard]] const std::vector<Entry> &entries() const noexcept
@@ -81,6 +81,7 @@
 ///
 /// \a highestSeen is the greatest log mark in any member's report. \a confirmed is the acknowledgedBound() of a round of reports
 /// that began after the token arrived. Tokens hold acknowledged writes only, so a mark above both cannot stem from this group.
-[[nodiscard]] TokenStanding checkAgainst(const Mark &mark, const Mark &highestSeen, const std::optional<Mark> &confirmed) noexcept;
+[[nodiscard]] TokenStanding
+checkAgainst(const LogPosition &mark, const LogPosition &highestSeen, const std::optional<LogPosition> &confirmed) noexcept;
 
 } // namespace cardamomstep
--- a/src/statements/statement.h
+++ b/src/statements/statement.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "statements/fwd.h"
 
 #include <cstdint>
@@ -70,7 +70,7 @@
     /// The open transaction, for Verb::Begin.
     TransactionId transaction;
     /// Place of the effect (writes) or of the data seen (reads) in the group's log.
-    Mark mark;
+    LogPosition mark;
 };
 
 /// "begin", "commit", "rollback", "outcome", "write" or "read", for logs and metrics.
--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -78,9 +78,9 @@
     throw BadValue("unknown word " + json.dump());
 }
 
-Mark readMark(const Json &json)
+LogPosition readMark(const Json &json)
 {
-    const auto mark = parseMark(json.get<std::string>());
+    const auto mark = parseLogPosition(json.get<std::string>());
     if (!mark) {
         throw BadValue(mark.error().description);
     }
--- a/standins/member.cpp
+++ b/standins/member.cpp
@@ -264,7 +264,7 @@
 Reply Member::pullLog(const http::Request &request)
 {
     const auto term = parseTerm(request.parameter("term"));
-    const auto after = parseMark(request.parameter("afterMark"));
+    const auto after = parseLogPosition(request.parameter("afterMark"));
     if (!term || !after) {
         return jsonReply(badRequest, {{"error", "term and afterMark are needed"}});
     }
@@ -278,8 +278,8 @@
     };
     const auto wait = Milliseconds(milliseconds(request.parameter("waitMs")));
     const auto &log = state_.log();
-    const bool matches = after->position <= log.size() && log.markAt(after->position) == *after;
-    changed_.wait_for(lock, wait, [&] { return !leads() || !matches || log.size() > after->position; });
+    const bool matches = after->index <= log.size() && log.markAt(after->index) == *after;
+    changed_.wait_for(lock, wait, [&] { return !leads() || !matches || log.size() > after->index; });
     Json answer{{"adopted", toText(state_.adopted())}, {"last", toText(log.last())}, {"domain", options_.domain}};
     if (!leads()) {
         answer["refusal"] = state_.adopted() > *term ? "lower-term" : "not-primary";
@@ -288,12 +288,12 @@
     answer["matches"] = matches;
     answer["entries"] = Json::array();
     if (!matches) {
-        const auto limit = after->position == 0 ? 0 : after->position - 1;
+        const auto limit = after->index == 0 ? 0 : after->index - 1;
         answer["try"] = toText(log.markAt(log.lastPositionUpTo(limit, after->term)));
         return jsonReply(ok, answer);
     }
-    const auto end = std::min<std::uint64_t>(log.size(), after->position + maxEntriesPerPull);
-    for (auto position = after->position + 1; position <= end; ++position) {
+    const auto end = std::min<std::uint64_t>(log.size(), after->index + maxEntriesPerPull);
+    for (auto position = after->index + 1; position <= end; ++position) {
         answer["entries"].push_back(toJson(log.at(position)));
     }
     return jsonReply(ok, answer);
--- a/standins/memberlog.cpp
+++ b/standins/memberlog.cpp
@@ -35,7 +35,7 @@
     return entry;
 }
 
-Mark MemberLog::last() const
+LogPosition MemberLog::last() const
 {
     return markAt(entries_.size());
 }
@@ -45,7 +45,7 @@
     return position == 0 ? Term{} : entries_[position - 1].term;
 }
 
-Mark MemberLog::markAt(std::uint64_t position) const
+LogPosition MemberLog::markAt(std::uint64_t position) const
 {
     return {termAt(position), position};
 }
--- a/standins/memberlog.h
+++ b/standins/memberlog.h
@@ -1,7 +1,7 @@
 // A stand-in member's log, with the rows and the request ids that follow from it.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "rows.h"
 
 #include <cstdint>
@@ -33,7 +33,7 @@
 class MemberLog
 {
 public:
-    [[nodiscard]] Mark last() const;
+    [[nodiscard]] LogPosition last() const;
     [[nodiscard]] std::uint64_t size() const noexcept
     {
         return entries_.size();
@@ -41,7 +41,7 @@
 
     /// Term of the entry at \a position; the lowest term for position 0.
     [[nodiscard]] Term termAt(std::uint64_t position) const;
-    [[nodiscard]] Mark markAt(std::uint64_t position) const;
+    [[nodiscard]] LogPosition markAt(std::uint64_t position) const;
 
     /// The entry at \a position, from 1 to size().
     [[nodiscard]] const Entry &at(std::uint64_t position) const
--- a/standins/memberreplication.cpp
+++ b/standins/memberreplication.cpp
@@ -90,9 +90,9 @@
     if (!answer.is_discarded() && answer.value("matches", false)) {
         take(answer, term, cursor);
     } else if (!answer.is_discarded() && answer.contains("try")) {
-        const auto hint = parseMark(answer["try"].get<std::string>());
+        const auto hint = parseLogPosition(answer["try"].get<std::string>());
         const std::lock_guard lock(mutex_);
-        cursor = hint ? state_.log().lastPositionUpTo(hint->position, hint->term) : 0;
+        cursor = hint ? state_.log().lastPositionUpTo(hint->index, hint->term) : 0;
     }
 }
 
@@ -112,9 +112,9 @@
         ++cursor;
         changed_.notify_all();
     }
-    const auto last = parseMark(answer.value("last", std::string()));
+    const auto last = parseLogPosition(answer.value("last", std::string()));
     const std::lock_guard lock(mutex_);
-    if (last && last->position == cursor && cursor < state_.log().size()) {
+    if (last && last->index == cursor && cursor < state_.log().size()) {
         state_.dropTail(term, cursor);
         changed_.notify_all();
     }
--- a/standins/memberstate.cpp
+++ b/standins/memberstate.cpp
@@ -261,7 +261,7 @@
     return true;
 }
 
-Mark MemberState::write(const Call &call, std::vector<Operation> operations, Json rows, std::int64_t now)
+LogPosition MemberState::write(const Call &call, std::vector<Operation> operations, Json rows, std::int64_t now)
 {
     append({adopted_, std::move(operations), call.requestId, call.fingerprint, std::move(rows), now});
     return log_.last();
--- a/standins/memberstate.h
+++ b/standins/memberstate.h
@@ -30,7 +30,7 @@
     std::string refusal;
     std::string description;
     nlohmann::json rows = nlohmann::json::array();
-    std::optional<Mark> mark;
+    std::optional<LogPosition> mark;
     std::string transaction;
     bool repeated = false;
     bool changed = false;
@@ -118,7 +118,7 @@
     [[nodiscard]] Transaction *findTransaction(const std::string &id, std::uint64_t connection);
     [[nodiscard]] bool hasTransaction(std::uint64_t connection) const;
     [[nodiscard]] bool isStillCurrent(const Transaction &transaction) const;
-    [[nodiscard]] Mark write(const Call &call, std::vector<Operation> operations, nlohmann::json rows, std::int64_t now);
+    [[nodiscard]] LogPosition write(const Call &call, std::vector<Operation> operations, nlohmann::json rows, std::int64_t now);
     void append(Entry entry);
     void truncate(std::uint64_t position);
     void setAdopted(const Term &term);
--- a/tests/base/test_base.cpp
+++ b/tests/base/test_base.cpp
@@ -2,7 +2,7 @@
 #include "base/errorkind.h"
 #include "base/hash.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/random.h"
 
 #include <criterion/criterion.h>
@@ -15,8 +15,8 @@
 Test(base, marksRoundTripAsText)
 {
     const bool holds = rc::check("marks round trip", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position) {
-        const Mark mark{Term{number, proposer}, position};
-        const auto read = parseMark(toText(mark));
+        const LogPosition mark{Term{number, proposer}, position};
+        const auto read = parseLogPosition(toText(mark));
         RC_ASSERT(bool(read));
         RC_ASSERT(*read == mark);
     });
@@ -26,7 +26,7 @@
 Test(base, malformedMarksAreRefused)
 {
     for (const char *text : {"", "7", "7.x", "7.1f", "7.1f/", "7.1f/-1", "7.1f/99999999999999999999", "a.1/1", "7.1f/1 "}) {
-        const auto read = parseMark(text);
+        const auto read = parseLogPosition(text);
         cr_assert(!read, "accepted %s", text);
         cr_assert(read.error().kind == ErrorKind::MalformedRequest);
     }
@@ -34,8 +34,8 @@
 
 Test(base, higherTermOutranksHigherPosition)
 {
-    cr_assert((Mark{Term{2, 0}, 1} > Mark{Term{1, 9}, 100}));
-    cr_assert((Mark{Term{1, 2}, 1} > Mark{Term{1, 1}, 100}));
+    cr_assert((LogPosition{Term{2, 0}, 1} > LogPosition{Term{1, 9}, 100}));
+    cr_assert((LogPosition{Term{1, 2}, 1} > LogPosition{Term{1, 1}, 100}));
 }
 
 Test(base, everyErrorKindHasAnAnswer)
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -56,9 +56,9 @@
     std::vector<std::function<void()>> watchers;
     std::vector<std::function<void()>> breakers;
 
-    [[nodiscard]] Mark mark() const
+    [[nodiscard]] LogPosition mark() const
     {
-        return log.empty() ? Mark{} : Mark{log.back().term, log.size()};
+        return log.empty() ? LogPosition{} : LogPosition{log.back().term, log.size()};
     }
     [[nodiscard]] MemberReport report() const
     {
@@ -68,13 +68,13 @@
 
 struct WriteReply {
     bool accepted = false;
-    Mark mark;
+    LogPosition mark;
     Term adopted;
 };
 
 struct PendingWrite {
     std::uint64_t id = 0;
-    Mark mark;
+    LogPosition mark;
     TimePoint appendedAt;
 };
 
@@ -92,7 +92,7 @@
 
 struct AckedWrite {
     std::uint64_t id = 0;
-    Mark mark;
+    LogPosition mark;
     TimePoint appendedAt;
     TimePoint ackedAt;
 };
--- a/tests/groups/test_monitor.cpp
+++ b/tests/groups/test_monitor.cpp
@@ -325,7 +325,7 @@
         cluster.run(Milliseconds{300});
         cluster.restart(replica);
         cluster.run(Milliseconds{1500});
-        cr_assert(cluster.members[replica].mark().position + 20 > cluster.members[cluster.primary()].mark().position);
+        cr_assert(cluster.members[replica].mark().index + 20 > cluster.members[cluster.primary()].mark().index);
     }
     expectWhole(cluster);
     cr_assert_eq(cluster.promotions(), 1);
--- a/tests/leadership/test_promotion.cpp
+++ b/tests/leadership/test_promotion.cpp
@@ -25,7 +25,7 @@
 
 MemberStatus status(const std::string &name, std::uint64_t number, bool primary = false, std::uint64_t term = 1)
 {
-    return {MemberName{name}, {primary, term, Mark{Term{term, 0}, number}}};
+    return {MemberName{name}, {primary, term, LogPosition{Term{term, 0}, number}}};
 }
 
 template<typename Action>
@@ -67,7 +67,7 @@
     const auto pauses = only<PauseMember>(actions);
     cr_assert(pauses.size() == 2);
     cr_assert(pauses.front().term == 2, "above the newest known term");
-    move.held(InstanceName{"one"}, Mark{Term{1, 0}, 20}, Seconds{60}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{Term{1, 0}, 20}, Seconds{60}, at(140));
     move.memberPaused(status("r1", 22), 2);
     cr_assert(only<PromoteMember>(move.next(at(141))).empty(), "the other replica may hold more");
     move.memberPaused(status("r2", 21), 2);
@@ -81,12 +81,12 @@
 Test(promotion, whatAProxyAcknowledgedBeforeItsRestartIsWaitedFor)
 {
     auto move = begun(MoveReason::Silent, three);
-    move.known(Mark{Term{1, 0}, 22});
+    move.known(LogPosition{Term{1, 0}, 22});
     (void)move.next(at(5));
     move.proxiesListed({InstanceName{"one"}}, at(9));
     move.memberStatus(status("r1", 20));
     (void)move.next(at(130));
-    move.held(InstanceName{"one"}, Mark{Term{1, 0}, 20}, Seconds{7}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{Term{1, 0}, 20}, Seconds{7}, at(140));
     move.memberPaused(status("r1", 20), 2);
     for (std::int64_t time = 150; time < 20'000; time += 100) {
         cr_assert(only<PromoteMember>(move.next(at(time))).empty(), "at %ld ms", time);
@@ -116,7 +116,7 @@
     std::size_t records = 0;
     for (std::int64_t time = 700; time < 1700; time += 10) {
         const auto &proxy = proxies[static_cast<std::size_t>(time / 10) % proxies.size()];
-        move.held(proxy, Mark{}, Seconds{60}, at(time));
+        move.held(proxy, LogPosition{}, Seconds{60}, at(time));
         if (time == 1200) {
             move.promoted(MemberName{"r1"}, true, false, at(time));
             move.memberStatus(status("r1", 22, true, 3));
@@ -137,7 +137,7 @@
     move.memberStatus(status("r1", 20));
     move.memberStatus(status("r2", 20));
     (void)move.next(at(130));
-    move.held(InstanceName{"one"}, Mark{}, Seconds{60}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{}, Seconds{60}, at(140));
     move.memberPaused(status("r1", 20), 2);
     move.memberPaused(status("r2", 20), 2);
     for (std::int64_t time = 150; time < 704; time += 50) {
@@ -153,7 +153,7 @@
     move.proxiesListed({InstanceName{"one"}}, at(9));
     move.memberStatus(status("r1", 20));
     (void)move.next(at(130));
-    move.held(InstanceName{"one"}, Mark{Term{1, 0}, 25}, Seconds{60}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{Term{1, 0}, 25}, Seconds{60}, at(140));
     move.memberPaused(status("r1", 20), 2);
     cr_assert(only<PromoteMember>(move.next(at(3000))).empty(), "the other replica holds the acknowledged commits");
     move.memberStatus(status("r2", 25));
@@ -172,7 +172,7 @@
     move.memberStatus(status("r1", 30));
     move.memberStatus(status("r2", 29));
     cr_assert(only<PauseMember>(move.next(at(130))).empty(), "commits in flight still need the replicas");
-    move.held(InstanceName{"one"}, Mark{Term{1, 0}, 29}, Seconds{60}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{Term{1, 0}, 29}, Seconds{60}, at(140));
     cr_assert(only<PauseMember>(move.next(at(141))).size() == 2);
     move.memberPaused(status("r1", 30), 2);
     move.memberPaused(status("r2", 29), 2);
@@ -196,7 +196,7 @@
     move.promoted(chosen, true, false, at(150));
     auto actions = move.next(at(151));
     cr_assert(only<StoreRecord>(actions).empty() && only<AskMember>(actions).size() == 1);
-    move.memberStatus({chosen, {true, 3, Mark{Term{3, 0}, 20}}});
+    move.memberStatus({chosen, {true, 3, LogPosition{Term{3, 0}, 20}}});
     actions = move.next(at(800));
     const auto stored = only<StoreRecord>(actions);
     cr_assert(stored.size() == 1);
@@ -235,7 +235,7 @@
     move.memberStatus(status("p", 40, true));
     move.memberStatus(status("r1", 3));
     (void)move.next(at(130));
-    move.held(InstanceName{"one"}, Mark{Term{1, 0}, 36}, Seconds{60}, at(140));
+    move.held(InstanceName{"one"}, LogPosition{Term{1, 0}, 36}, Seconds{60}, at(140));
     move.memberPaused(status("r1", 3), 2);
     cr_assert(only<PromoteMember>(move.next(at(150))).empty());
     (void)move.next(at(1000));
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -47,9 +47,9 @@
     cr_assert(std::get<MemberError>(LineProtocol::parseMember("ERROR LAGGING i-7")).fault == MemberFault::Lagging);
     cr_assert(std::get<MemberError>(LineProtocol::parseMember("ERROR NEWCODE x")).fault == MemberFault::Unknown);
     const auto ready = std::get<MemberReady>(LineProtocol::parseMember("READY E 3.1209"));
-    cr_assert(ready.state == SessionState::Failed && ready.position == (Mark{Term{3, 0}, 1209}));
+    cr_assert(ready.state == SessionState::Failed && ready.position == (LogPosition{Term{3, 0}, 1209}));
     const auto account = LineProtocol::parseAccount("replica 3 3.1209 0 12 2 17");
-    cr_assert(account && !account->primary && account->term == 3 && account->received.position == 1209);
+    cr_assert(account && !account->primary && account->term == 3 && account->received.index == 1209);
     cr_assert(!LineProtocol::parseAccount("replica x"));
 }
 
@@ -59,7 +59,7 @@
     MemberRequest read;
     read.id = "5c0e";
     read.text = "READ 1a4";
-    read.mustHold = Mark{Term{3, 0}, 1207};
+    read.mustHold = LogPosition{Term{3, 0}, 1207};
     LineProtocol::appendMemberRequest(out, read);
     cr_assert(out == "QUERY 5c0e AFTER 3.1207 READ 1a4\r\n");
     out.clear();
--- a/tests/relay/relaydriver.h
+++ b/tests/relay/relaydriver.h
@@ -16,9 +16,9 @@
     return TimePoint{Milliseconds{1'000'000 + milliseconds}};
 }
 
-inline Mark position(std::uint64_t term, std::uint64_t number)
+inline LogPosition position(std::uint64_t term, std::uint64_t number)
 {
-    return Mark{Term{term, 0}, number};
+    return LogPosition{Term{term, 0}, number};
 }
 
 /// Shape of the group under test.
@@ -110,7 +110,7 @@
     }
 
     /// Answers the oldest requests that a member has, up to and including the next forwarded one.
-    void answerNext(std::optional<MemberFault> fault = std::nullopt, Mark mark = position(1, 10))
+    void answerNext(std::optional<MemberFault> fault = std::nullopt, LogPosition mark = position(1, 10))
     {
         while (!requests.empty()) {
             const auto [link, request] = requests.front();
--- a/tests/relay/test_forwardedsession.cpp
+++ b/tests/relay/test_forwardedsession.cpp
@@ -15,9 +15,9 @@
     return made;
 }
 
-Mark mark(std::uint64_t number)
+LogPosition mark(std::uint64_t number)
 {
-    return Mark{Term{1, 0}, number};
+    return LogPosition{Term{1, 0}, number};
 }
 
 ForwardedSession session()
@@ -25,7 +25,7 @@
     return ForwardedSession{DatabaseName{"db"}};
 }
 
-void pass(ForwardedSession &session, StatementKind kind, SessionState after, std::optional<Mark> position = {})
+void pass(ForwardedSession &session, StatementKind kind, SessionState after, std::optional<LogPosition> position = {})
 {
     session.sent(statement(kind));
     session.answered(true, after, position);
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -35,7 +35,7 @@
     return need;
 }
 
-MemberReply doneAt(const Mark &mark)
+MemberReply doneAt(const LogPosition &mark)
 {
     MemberReply reply;
     reply.mark = mark;
@@ -50,15 +50,15 @@
     return reply;
 }
 
-OutcomeReply outcomeAt(const Term &leader, std::optional<Mark> found, std::uint64_t fingerprint = ourFingerprint)
+OutcomeReply outcomeAt(const Term &leader, std::optional<LogPosition> found, std::uint64_t fingerprint = ourFingerprint)
 {
     OutcomeReply reply;
     reply.found = found.has_value();
-    reply.mark = found.value_or(Mark{});
+    reply.mark = found.value_or(LogPosition{});
     reply.fingerprint = fingerprint;
     reply.report.role = MemberRole::Primary;
     reply.report.adopted = leader;
-    reply.report.log = Mark{leader, 50};
+    reply.report.log = LogPosition{leader, 50};
     return reply;
 }
 
@@ -73,7 +73,7 @@
     return std::get<AnswerWrite>(step);
 }
 
-WriteStep covering(const Mark &mark)
+WriteStep covering(const LogPosition &mark)
 {
     return WaitCoverage{mark};
 }
@@ -96,9 +96,9 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendWrite{termOf(3)}});
-    const Mark entry{termOf(3), 12};
+    const LogPosition entry{termOf(3), 12};
     cr_assert(attempt.replied(doneAt(entry), at(5)) == covering(entry));
-    cr_assert(is<WaitCoverage>(attempt.covered(Mark{termOf(3), 11})));
+    cr_assert(is<WaitCoverage>(attempt.covered(LogPosition{termOf(3), 11})));
     const auto answer = answerOf(attempt.covered(entry));
     cr_assert(answer.ran == Ran::Yes && !answer.error && answer.mark == entry);
 }
@@ -108,9 +108,9 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(5), true}, at(0));
-    auto reply = doneAt(Mark{termOf(3), 12});
+    auto reply = doneAt(LogPosition{termOf(3), 12});
     reply.repeated = true;
-    cr_assert(attempt.replied(reply, at(5)) == covering(Mark{termOf(5), 0}));
+    cr_assert(attempt.replied(reply, at(5)) == covering(LogPosition{termOf(5), 0}));
 }
 
 Test(requests, aLostAnswerIsAskedForAndNeverResent)
@@ -121,7 +121,7 @@
     cr_assert(attempt.sendFailed(lost(), at(5)) == asking(termOf(3), at(5)));
     // Absent at the same primary proves nothing: the request may still arrive.
     cr_assert(is<AskOutcome>(attempt.outcome(outcomeAt(termOf(3), std::nullopt), at(10))));
-    const Mark entry{termOf(3), 12};
+    const LogPosition entry{termOf(3), 12};
     cr_assert(attempt.outcome(outcomeAt(termOf(3), entry), at(40)) == covering(entry));
     cr_assert(answerOf(attempt.covered(entry)).ran == Ran::Yes);
     cr_assert(attempt.sends() == 1);
@@ -133,10 +133,10 @@
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.sendFailed(lost(), at(5));
-    auto onReplica = outcomeAt(termOf(3), Mark{termOf(3), 12});
+    auto onReplica = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
     onReplica.report.role = MemberRole::Replica;
     cr_assert(is<AskOutcome>(attempt.outcome(onReplica, at(10))));
-    auto superseded = outcomeAt(termOf(3), Mark{termOf(3), 12});
+    auto superseded = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
     superseded.report.adopted = termOf(4);
     cr_assert(is<AskOutcome>(attempt.outcome(superseded, at(40))));
 }
@@ -159,11 +159,11 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
+    (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
     cr_assert(attempt.primaryChanged({termOf(4), true}, at(9)) == asking(termOf(4), at(9)));
-    const Mark entry{termOf(3), 12};
-    cr_assert(attempt.outcome(outcomeAt(termOf(4), entry), at(20)) == covering(Mark{termOf(4), 0}));
-    const auto answer = answerOf(attempt.covered(Mark{termOf(4), 0}));
+    const LogPosition entry{termOf(3), 12};
+    cr_assert(attempt.outcome(outcomeAt(termOf(4), entry), at(20)) == covering(LogPosition{termOf(4), 0}));
+    const auto answer = answerOf(attempt.covered(LogPosition{termOf(4), 0}));
     cr_assert(answer.ran == Ran::Yes && answer.mark == entry);
 }
 
@@ -232,7 +232,7 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
+    (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
     cr_assert(is<WaitCoverage>(attempt.coverageExpected(at(500), at(6))));
     const auto answer = answerOf(attempt.coverageExpected(at(5000), at(6)));
     cr_assert(answer.ran == Ran::Unknown && answer.error->kind == ErrorKind::OutcomeUnknown);
@@ -259,7 +259,7 @@
     WriteAttempt second{needUntil(1000), budget};
     (void)second.start({termOf(3), true}, at(0));
     (void)second.sendFailed(lost(), at(5));
-    const auto found = answerOf(second.outcome(outcomeAt(termOf(3), Mark{termOf(3), 4}, ourFingerprint + 1), at(9)));
+    const auto found = answerOf(second.outcome(outcomeAt(termOf(3), LogPosition{termOf(3), 4}, ourFingerprint + 1), at(9)));
     cr_assert(found.ran == Ran::No && found.error->kind == ErrorKind::RequestIdReused);
 }
 
@@ -313,8 +313,8 @@
 
     WriteAttempt ran{need, budget};
     (void)ran.start({termOf(4), true}, at(0));
-    (void)ran.outcome(outcomeAt(termOf(4), Mark{termOf(3), 8}), at(8));
-    cr_assert(answerOf(ran.covered(Mark{termOf(4), 0})).ran == Ran::Yes);
+    (void)ran.outcome(outcomeAt(termOf(4), LogPosition{termOf(3), 8}), at(8));
+    cr_assert(answerOf(ran.covered(LogPosition{termOf(4), 0})).ran == Ran::Yes);
     cr_assert(ran.sends() == 0);
 }
 
@@ -334,16 +334,16 @@
         bool leads = false;
         std::vector<Entry> log{{termOf(1), false}};
 
-        [[nodiscard]] Mark last() const
+        [[nodiscard]] LogPosition last() const
         {
-            return Mark{log.back().term, log.size()};
+            return LogPosition{log.back().term, log.size()};
         }
 
-        [[nodiscard]] std::optional<Mark> ours() const
+        [[nodiscard]] std::optional<LogPosition> ours() const
         {
             for (std::size_t index = 0; index < log.size(); ++index) {
                 if (log[index].ours) {
-                    return Mark{log[index].term, index + 1};
+                    return LogPosition{log[index].term, index + 1};
                 }
             }
             return std::nullopt;
@@ -363,7 +363,7 @@
         members[0].leads = true;
     }
 
-    [[nodiscard]] bool covered(const Term &term, const Mark &mark) const
+    [[nodiscard]] bool covered(const Term &term, const LogPosition &mark) const
     {
         const auto reached = std::count_if(
             members.begin(), members.end(), [&](const Member &member) { return member.adopted == term && member.last() >= mark; });
@@ -387,7 +387,7 @@
     [[nodiscard]] LeaderView view() const
     {
         const auto *leader = primary();
-        return leader == nullptr ? LeaderView{} : LeaderView{leader->adopted, covered(leader->adopted, Mark{leader->adopted, 0})};
+        return leader == nullptr ? LeaderView{} : LeaderView{leader->adopted, covered(leader->adopted, LogPosition{leader->adopted, 0})};
     }
 
     // Runs a send at the member that leads its term, even when that member was superseded and does not know it.
--- a/tests/sessions/test_freshness.cpp
+++ b/tests/sessions/test_freshness.cpp
@@ -17,9 +17,9 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-Mark markOf(std::uint64_t position)
+LogPosition markOf(std::uint64_t position)
 {
-    return Mark{Term{1, 1}, position};
+    return LogPosition{Term{1, 1}, position};
 }
 
 } // namespace
@@ -67,8 +67,8 @@
         const auto exact = static_cast<std::uint64_t>((hour - age) / step);
         const auto mark = history.markCovering(at(hour - age));
         cr_assert(bool(mark));
-        cr_assert(mark->position >= exact);
-        const auto tooStrictBy = static_cast<double>(mark->position - exact) * step / static_cast<double>(age);
+        cr_assert(mark->index >= exact);
+        const auto tooStrictBy = static_cast<double>(mark->index - exact) * step / static_cast<double>(age);
         std::printf("history: age %lld ms is held to %.1f%% less\n", static_cast<long long>(age / 1000), 100 * tooStrictBy);
         cr_assert(tooStrictBy < 0.5);
     }
--- a/tests/sessions/test_readrouter.cpp
+++ b/tests/sessions/test_readrouter.cpp
@@ -22,9 +22,9 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-Mark markOf(std::uint64_t position)
+LogPosition markOf(std::uint64_t position)
 {
-    return Mark{Term{1, 1}, position};
+    return LogPosition{Term{1, 1}, position};
 }
 
 MemberName nameOf(std::size_t member)
@@ -42,7 +42,7 @@
     return report;
 }
 
-ReadNeed needAt(std::int64_t arrived, std::optional<Milliseconds> age = std::nullopt, std::optional<Mark> token = std::nullopt)
+ReadNeed needAt(std::int64_t arrived, std::optional<Milliseconds> age = std::nullopt, std::optional<LogPosition> token = std::nullopt)
 {
     return ReadNeed{token, age, at(arrived), at(arrived + 300'000)};
 }
@@ -89,7 +89,7 @@
         const auto logs = *rc::gen::container<std::vector<std::uint64_t>>(members, rc::gen::inRange<std::uint64_t>(0, 9));
         const auto written = *rc::gen::inRange<std::uint64_t>(0, 9);
         const auto holders = std::count_if(logs.begin(), logs.end(), [&](auto log) { return log >= written; });
-        std::vector<Mark> reports;
+        std::vector<LogPosition> reports;
         for (const auto log : logs) {
             if (*rc::gen::inRange(0, 4) != 0) {
                 reports.push_back(markOf(log));
@@ -263,7 +263,7 @@
         auto router = routerWithMembers();
         std::int64_t now = 1000;
         ReadPlan plan{needAt(now)};
-        std::optional<Mark> required;
+        std::optional<LogPosition> required;
         for (int steps = 0;; ++steps) {
             RC_ASSERT(steps < 400);
             const auto step = router.route(plan, at(now));
@@ -404,7 +404,7 @@
     void begin(std::size_t index)
     {
         const auto &read = trace_.reads[index];
-        const auto token = read.token > 0 ? std::optional<Mark>{markOf(read.token)} : std::nullopt;
+        const auto token = read.token > 0 ? std::optional<LogPosition>{markOf(read.token)} : std::nullopt;
         go(std::make_shared<Running>(index, needAt(read.arrived, read.age, token)));
     }
 
@@ -469,7 +469,7 @@
         const auto reads = std::move(joining_);
         joining_.clear();
         const auto began = now_;
-        std::vector<std::pair<std::int64_t, Mark>> replies;
+        std::vector<std::pair<std::int64_t, LogPosition>> replies;
         for (std::size_t member = 0; member < memberCount; ++member) {
             const auto sampled = began + delayOf(member);
             if (trace_.answers(member, sampled)) {
@@ -484,7 +484,7 @@
             : all                                        ? replies.back().first
                                                          : majority + roundPatience;
         schedule(end, [this, reads, replies, primaryReply, began]() {
-            std::vector<Mark> logs;
+            std::vector<LogPosition> logs;
             for (const auto &reply : replies) {
                 logs.push_back(reply.second);
             }
--- a/tests/sessions/test_token.cpp
+++ b/tests/sessions/test_token.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-Mark markOf(std::uint64_t term, std::uint64_t position)
+LogPosition markOf(std::uint64_t term, std::uint64_t position)
 {
-    return Mark{Term{term, 7}, position};
+    return LogPosition{Term{term, 7}, position};
 }
 
 SessionToken sampleToken()
@@ -79,7 +79,7 @@
     for (std::size_t index = 0; index < SessionToken::maxGroups; ++index) {
         auto name = std::string(SessionToken::maxGroupBytes, 'x');
         name[0] = static_cast<char>('a' + index);
-        cr_assert(bool(token.merge(GroupName{name}, Mark{Term{most, most}, most})));
+        cr_assert(bool(token.merge(GroupName{name}, LogPosition{Term{most, most}, most})));
     }
     cr_assert(token.format().size() <= SessionToken::maxBytes);
     cr_assert(bool(SessionToken::parse(token.format())));
@@ -95,7 +95,7 @@
         SessionToken forward;
         SessionToken backward;
         const GroupName group{"g"};
-        Mark greatest;
+        LogPosition greatest;
         for (const auto &[term, position] : marks) {
             greatest = std::max(greatest, markOf(term, position));
             RC_ASSERT(bool(forward.merge(group, markOf(term, position))));
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -161,7 +161,7 @@
         if (kind == OrderKind::Lead) {
             const bool first = report.role != MemberRole::Primary;
             report.role = MemberRole::Primary;
-            report.log = first ? Mark{term, report.log.position + 1} : report.log;
+            report.log = first ? LogPosition{term, report.log.index + 1} : report.log;
             return true;
         }
         if (term > report.adopted || kind == OrderKind::Follow) {
@@ -301,7 +301,8 @@
 {
     const bool holds = rc::check("inputs survive", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position, bool flag) {
         const Term term{number, proposer};
-        const MemberReport report{MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, Mark{term, position}, flag};
+        const MemberReport report{
+            MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, LogPosition{term, position}, flag};
         const TimePoint time{Microseconds{*rc::gen::inRange<std::int64_t>(0, 1'000'000'000'000)}};
         GroupPolicy policy;
         policy.silenceBound = Milliseconds{*rc::gen::inRange(1, 10'000)};
