--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -22,7 +22,7 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-LogPosition markOf(std::int64_t position)
+LogPosition positionOf(std::int64_t position)
 {
     return LogPosition{Term{3, 9}, static_cast<std::uint64_t>(position)};
 }
@@ -32,7 +32,7 @@
     MemberReport report;
     report.member = MemberName{member};
     report.adopted = Term{3, 9};
-    report.log = markOf(position);
+    report.log = positionOf(position);
     return report;
 }
 
@@ -55,7 +55,7 @@
     router.setMembers({MemberName{"ledger-1-a"}, MemberName{"ledger-1-b"}, MemberName{"ledger-1-c"}});
     router.setPrimary(MemberName{"ledger-1-a"});
     for (std::int64_t time = 0; time < 100; ++time) {
-        router.confirm(at(time * 1'000), markOf(time));
+        router.confirm(at(time * 1'000), positionOf(time));
         for (const auto *member : {"ledger-1-a", "ledger-1-b", "ledger-1-c"}) {
             router.report(reportOf(member, time), at(time * 1'000 + 3'000));
         }
@@ -65,7 +65,7 @@
 
 ReadNeed agedRead(std::int64_t time)
 {
-    return ReadNeed{markOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
+    return ReadNeed{positionOf(40), Milliseconds{50}, at(time), at(time + 300'000)};
 }
 
 AdmissionRequest replicaRead(std::int64_t round, std::int64_t window)
@@ -80,7 +80,7 @@
         ReadPlan plan{agedRead(100'000 + round % 1'000)};
         const auto step = router.route(plan, at(100'000 + round % 1'000));
         const auto *ask = std::get_if<AskMember>(&step);
-        return ask != nullptr && router.verify(plan, ask->member, markOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
+        return ask != nullptr && router.verify(plan, ask->member, positionOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
     });
     AdmissionQueue queue;
     (void)queue.setSlots(Lane::Replica, slots, at(0));
@@ -93,7 +93,7 @@
     std::int64_t position = 100;
     measure("take in a report", [&](std::int64_t round) {
         ++position;
-        router.confirm(at(200'000 + round * 100), markOf(position));
+        router.confirm(at(200'000 + round * 100), positionOf(position));
         router.report(reportOf("ledger-1-b", position), at(200'000 + round * 100 + 50));
         return router.highestSeen().index;
     });
@@ -122,21 +122,21 @@
         WriteAttempt attempt{need, budget};
         (void)attempt.start({Term{3, 9}, true}, at(round));
         MemberReply reply;
-        reply.mark = markOf(round);
+        reply.position = positionOf(round);
         (void)attempt.replied(reply, at(round + 5'000));
-        return attempt.covered(reply.mark).index();
+        return attempt.covered(reply.position).index();
     });
 }
 
 void measureTokenAndPool()
 {
     SessionToken token;
-    (void)token.merge(GroupName{"ledger-1"}, markOf(120'000));
-    (void)token.merge(GroupName{"ledger-2"}, markOf(90'000));
+    (void)token.merge(GroupName{"ledger-1"}, positionOf(120'000));
+    (void)token.merge(GroupName{"ledger-2"}, positionOf(90'000));
     const auto text = token.format();
     measure("read, merge and write a token", [&](std::int64_t round) {
         auto read = SessionToken::parse(text);
-        (void)read->merge(GroupName{"ledger-1"}, markOf(120'000 + round));
+        (void)read->merge(GroupName{"ledger-1"}, positionOf(120'000 + round));
         return read->format().size();
     });
     ConnectionPool pool;
--- a/src/entry/callercodec.cpp
+++ b/src/entry/callercodec.cpp
@@ -198,7 +198,7 @@
 void addSuccess(Json &body, const Answer &answer)
 {
     body["rowCount"] = answer.rowCount;
-    body["mark"] = toText(answer.mark);
+    body["mark"] = toText(answer.position);
     body["servedBy"] = answer.servedBy.text();
     body["fromReplica"] = answer.fromReplica;
     if (!answer.transaction.empty()) {
--- a/src/members/impl/membercodec.cpp
+++ b/src/members/impl/membercodec.cpp
@@ -60,14 +60,14 @@
     return term ? std::optional<Term>(*term) : std::nullopt;
 }
 
-std::optional<LogPosition> markField(const Json &object, const char *key)
+std::optional<LogPosition> positionField(const Json &object, const char *key)
 {
     const auto text = textField(object, key);
     if (!text) {
         return std::nullopt;
     }
-    const auto mark = parseLogPosition(*text);
-    return mark ? std::optional<LogPosition>(*mark) : std::nullopt;
+    const auto position = parseLogPosition(*text);
+    return position ? std::optional<LogPosition>(*position) : std::nullopt;
 }
 
 std::uint64_t decimalNumber(const std::string &text)
@@ -92,7 +92,7 @@
     const auto member = textField(object, "member");
     const auto role = textField(object, "role");
     const auto adopted = termField(object, "adopted");
-    const auto log = markField(object, "log");
+    const auto log = positionField(object, "log");
     const auto leaving = flagField(object, "leaving");
     const bool knownRole = role && (*role == "primary" || *role == "replica");
     if (!member || !knownRole || !adopted || !log || !leaving) {
@@ -173,12 +173,12 @@
     if (!reply.found) {
         return reply;
     }
-    const auto mark = markField(object, "mark");
+    const auto position = positionField(object, "mark");
     const auto fingerprint = textField(object, "fingerprint");
-    if (!mark || !fingerprint || !readRows(object, reply.rows, reply.rowCount)) {
+    if (!position || !fingerprint || !readRows(object, reply.rows, reply.rowCount)) {
         return std::nullopt;
     }
-    reply.mark = *mark;
+    reply.position = *position;
     reply.fingerprint = decimalNumber(*fingerprint);
     return reply;
 }
@@ -193,12 +193,12 @@
     reply.exchange = exchange;
     reply.description = textField(object, "description").value_or("");
     const auto adopted = termField(object, "adopted");
-    const auto mark = markField(object, "mark");
-    if (!adopted || !mark) {
+    const auto position = positionField(object, "mark");
+    if (!adopted || !position) {
         return std::nullopt;
     }
     reply.adopted = *adopted;
-    reply.mark = *mark;
+    reply.position = *position;
     if (const auto name = textField(object, "refusal")) {
         reply.refusal = refusalFromName(*name);
         return reply.refusal ? std::optional<MemberReply>(reply) : std::nullopt;
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -91,7 +91,7 @@
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Last log entry when the statement ran; for writes, the entry that holds the effect.
-    LogPosition mark;
+    LogPosition position;
     /// Highest adopted term when it ran.
     Term adopted;
     /// The member-side transaction that a begin opened.
@@ -104,7 +104,7 @@
 struct OutcomeReply {
     bool found = false;
     /// Entry that holds the effect, when found.
-    LogPosition mark;
+    LogPosition position;
     std::uint64_t fingerprint = 0;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -56,7 +56,7 @@
     core.feed(trace::StatementEvidence{name});
     // A stored reply names the entry of its effect, not the end of the log.
     if (!reply->repeated) {
-        core.onState(name, reply->mark, reply->adopted, sentAt);
+        core.onState(name, reply->position, reply->adopted, sentAt);
     }
     core.router.setRoundTrip(name, now - sentAt);
     return result;
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -103,8 +103,8 @@
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
-        const bool inheritedForGood = leader.startCovered && leader.term == reply.report.adopted && reply.mark.term < leader.term;
-        if (inheritedForGood || core_.acks.coverage(reply.mark) == Coverage::Covered) {
+        const bool inheritedForGood = leader.startCovered && leader.term == reply.report.adopted && reply.position.term < leader.term;
+        if (inheritedForGood || core_.acks.coverage(reply.position) == Coverage::Covered) {
             break;
         }
         if (steadyNow() >= deadline_) {
@@ -121,8 +121,8 @@
     Answer answer;
     answer.rows = reply.rows;
     answer.rowCount = reply.rowCount;
-    answer.mark = reply.mark;
-    answer.session = sessionAfter(session_, core_.options.group, reply.mark);
+    answer.position = reply.position;
+    answer.session = sessionAfter(session_, core_.options.group, reply.position);
     return answer;
 }
 
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -126,10 +126,10 @@
         core_.router.failed(plan, ask.member);
         return std::nullopt;
     }
-    if (!core_.router.verify(plan, ask.member, reply.mark, steadyNow())) {
+    if (!core_.router.verify(plan, ask.member, reply.position, steadyNow())) {
         return std::nullopt;
     }
-    if (!waitLasting(reply.mark)) {
+    if (!waitLasting(reply.position)) {
         core_.router.failed(plan, ask.member);
         return std::nullopt;
     }
@@ -138,7 +138,7 @@
     answer.rowCount = reply.rowCount;
     answer.servedBy = ask.member;
     answer.fromReplica = !ask.isPrimary;
-    answer.mark = reply.mark;
+    answer.position = reply.position;
     answer.session = statement_.session;
     return answer;
 }
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -91,7 +91,7 @@
     answer.transaction = *id;
     answer.servedBy = view.member;
     answer.session = statement_.session;
-    answer.mark = reply->mark;
+    answer.position = reply->position;
     return answer;
 }
 
@@ -140,7 +140,7 @@
     answer.servedBy = use.transaction.member;
     answer.session = statement_.session;
     answer.transaction = statement_.transaction;
-    answer.mark = reply->mark;
+    answer.position = reply->position;
     return answer;
 }
 
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -212,7 +212,7 @@
     answer.error = result.error;
     answer.rows = result.rows;
     answer.rowCount = result.rowCount;
-    answer.mark = result.mark;
+    answer.position = result.mark;
     answer.servedBy = servedBy_;
     answer.session = statement_.session;
     if (!result.error) {
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -158,7 +158,7 @@
     message.set_from_replica(answer.fromReplica);
     message.set_request_id(answer.requestId.text());
     message.set_transaction(answer.transaction.text());
-    message.set_mark(toText(answer.mark));
+    message.set_mark(toText(answer.position));
     return message;
 }
 
@@ -183,7 +183,7 @@
     answer.fromReplica = message.from_replica();
     answer.requestId = RequestId{message.request_id()};
     answer.transaction = TransactionId{message.transaction()};
-    answer.mark = markOrNone(message.mark());
+    answer.position = markOrNone(message.mark());
     return answer;
 }
 
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -51,14 +51,14 @@
     if (reply.refusal) {
         return refusedBy(reply, now);
     }
-    if (reply.mark.term > sentTerm_) {
+    if (reply.position.term > sentTerm_) {
         mayHaveRun(sentTerm_);
         return resolve(now, now);
     }
-    result_.mark = reply.mark;
+    result_.mark = reply.position;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return hold(reply.mark, sentTerm_, now);
+    return hold(reply.position, sentTerm_, now);
 }
 
 WriteStep WriteAttempt::covered(const LogPosition &mark)
@@ -251,7 +251,7 @@
 WriteStep WriteAttempt::foundOutcome(const OutcomeReply &reply, TimePoint now)
 {
     const bool leads = reply.report.role == MemberRole::Primary && reply.report.log.term == reply.report.adopted;
-    if (!leads || reply.mark.term > reply.report.adopted) {
+    if (!leads || reply.position.term > reply.report.adopted) {
         return resolve(now + need_.askPause, now);
     }
     if (need_.fingerprint && reply.fingerprint != *need_.fingerprint) {
@@ -259,10 +259,10 @@
         return fail(
             Error{ErrorKind::RequestIdReused, "the request id stands in the log with another body"}.withRan(ours ? Ran::No : Ran::Unknown));
     }
-    result_.mark = reply.mark;
+    result_.mark = reply.position;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return hold(reply.mark, reply.report.adopted, now);
+    return hold(reply.position, reply.report.adopted, now);
 }
 
 WriteStep WriteAttempt::absentOutcome(const OutcomeReply &reply, TimePoint now)
--- a/src/statements/statement.h
+++ b/src/statements/statement.h
@@ -70,7 +70,7 @@
     /// The open transaction, for Verb::Begin.
     TransactionId transaction;
     /// Place of the effect (writes) or of the data seen (reads) in the group's log.
-    LogPosition mark;
+    LogPosition position;
 };
 
 /// "begin", "commit", "rollback", "outcome", "write" or "read", for logs and metrics.
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -38,7 +38,7 @@
 MemberReply doneAt(const LogPosition &mark)
 {
     MemberReply reply;
-    reply.mark = mark;
+    reply.position = mark;
     reply.adopted = mark.term;
     return reply;
 }
@@ -54,7 +54,7 @@
 {
     OutcomeReply reply;
     reply.found = found.has_value();
-    reply.mark = found.value_or(LogPosition{});
+    reply.position = found.value_or(LogPosition{});
     reply.fingerprint = fingerprint;
     reply.report.role = MemberRole::Primary;
     reply.report.adopted = leader;
--- a/tests/sessions/test_freshness.cpp
+++ b/tests/sessions/test_freshness.cpp
@@ -17,7 +17,7 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-LogPosition markOf(std::uint64_t position)
+LogPosition positionOf(std::uint64_t position)
 {
     return LogPosition{Term{1, 1}, position};
 }
@@ -43,11 +43,11 @@
             }
             // The round began a while ago; the primary's log may have grown since.
             const auto began = now - *rc::gen::inRange(0, 9'000);
-            history.confirm(at(began), markOf(position));
+            history.confirm(at(began), positionOf(position));
             const auto asked = at(now - *rc::gen::inRange<std::int64_t>(0, 3'000'000));
             const auto mark = history.markCovering(asked);
             for (const auto &[time, written] : acknowledged) {
-                RC_ASSERT(!mark || time >= asked || markOf(written) <= *mark);
+                RC_ASSERT(!mark || time >= asked || positionOf(written) <= *mark);
             }
         }
         RC_ASSERT(history.size() <= FreshnessHistory::capacity);
@@ -61,7 +61,7 @@
     constexpr std::int64_t hour = 3'600'000'000;
     constexpr std::int64_t step = 10'000;
     for (std::int64_t time = 0; time < hour; time += step) {
-        history.confirm(at(time), markOf(static_cast<std::uint64_t>(time / step)));
+        history.confirm(at(time), positionOf(static_cast<std::uint64_t>(time / step)));
     }
     for (const std::int64_t age : {50'000, 1'000'000, 30'000'000, 600'000'000}) {
         const auto exact = static_cast<std::uint64_t>((hour - age) / step);
@@ -78,17 +78,17 @@
 {
     FreshnessHistory history;
     cr_assert(!history.markCovering(at(0)));
-    history.confirm(at(100), markOf(5));
-    cr_assert(history.markCovering(at(100)) == markOf(5));
+    history.confirm(at(100), positionOf(5));
+    cr_assert(history.markCovering(at(100)) == positionOf(5));
     cr_assert(!history.markCovering(at(101)));
 }
 
 Test(sessions, aLaterRoundWithALowerMarkIsTheTighterProof)
 {
     FreshnessHistory history;
-    history.confirm(at(100), markOf(12));
-    history.confirm(at(200), markOf(11));
-    cr_assert(history.markCovering(at(100)) == markOf(11));
-    history.confirm(at(150), markOf(20));
-    cr_assert(history.markCovering(at(200)) == markOf(11));
+    history.confirm(at(100), positionOf(12));
+    history.confirm(at(200), positionOf(11));
+    cr_assert(history.markCovering(at(100)) == positionOf(11));
+    history.confirm(at(150), positionOf(20));
+    cr_assert(history.markCovering(at(200)) == positionOf(11));
 }
--- a/tests/sessions/test_readrouter.cpp
+++ b/tests/sessions/test_readrouter.cpp
@@ -22,7 +22,7 @@
     return TimePoint{Microseconds{microseconds}};
 }
 
-LogPosition markOf(std::uint64_t position)
+LogPosition positionOf(std::uint64_t position)
 {
     return LogPosition{Term{1, 1}, position};
 }
@@ -38,7 +38,7 @@
     report.member = nameOf(member);
     report.role = member == 0 ? MemberRole::Primary : MemberRole::Replica;
     report.adopted = Term{1, 1};
-    report.log = markOf(position);
+    report.log = positionOf(position);
     return report;
 }
 
@@ -80,10 +80,10 @@
 
 Test(sessions, reportsOfAMajorityBoundWhatWasAcknowledged)
 {
-    cr_assert(!acknowledgedBound({markOf(5)}, 3));
-    cr_assert(acknowledgedBound({markOf(5), markOf(9)}, 3) == markOf(9));
-    cr_assert(acknowledgedBound({markOf(5), markOf(9), markOf(7)}, 3) == markOf(7));
-    cr_assert(acknowledgedBound({markOf(5)}, 1) == markOf(5));
+    cr_assert(!acknowledgedBound({positionOf(5)}, 3));
+    cr_assert(acknowledgedBound({positionOf(5), positionOf(9)}, 3) == positionOf(9));
+    cr_assert(acknowledgedBound({positionOf(5), positionOf(9), positionOf(7)}, 3) == positionOf(7));
+    cr_assert(acknowledgedBound({positionOf(5)}, 1) == positionOf(5));
     const bool holds = rc::check("the bound covers whatever a majority holds", []() {
         const auto members = *rc::gen::inRange<std::size_t>(1, 8);
         const auto logs = *rc::gen::container<std::vector<std::uint64_t>>(members, rc::gen::inRange<std::uint64_t>(0, 9));
@@ -92,12 +92,12 @@
         std::vector<LogPosition> reports;
         for (const auto log : logs) {
             if (*rc::gen::inRange(0, 4) != 0) {
-                reports.push_back(markOf(log));
+                reports.push_back(positionOf(log));
             }
         }
         const auto bound = acknowledgedBound(reports, members);
         const bool acknowledged = static_cast<std::size_t>(holders) > members / 2;
-        RC_ASSERT(!bound || !acknowledged || *bound >= markOf(written));
+        RC_ASSERT(!bound || !acknowledged || *bound >= positionOf(written));
     });
     cr_assert(holds);
 }
@@ -106,25 +106,25 @@
 {
     auto router = routerWithMembers();
     router.report(reportOf(1, 10), at(0));
-    router.confirm(at(999), markOf(10));
+    router.confirm(at(999), positionOf(10));
     ReadPlan plan{needAt(1000)};
     cr_assert(is<CollectReports>(router.route(plan, at(1000))));
-    router.confirm(at(1000), markOf(10));
+    router.confirm(at(1000), positionOf(10));
     cr_assert(askedMember(router.route(plan, at(8000))) == 1);
-    cr_assert(plan.required() == markOf(10));
+    cr_assert(plan.required() == positionOf(10));
 }
 
 Test(sessions, anAcceptedAgeUsesEarlierRounds)
 {
     auto router = routerWithMembers();
     router.report(reportOf(2, 10), at(0));
-    router.confirm(at(0), markOf(10));
-    router.confirm(at(900'000), markOf(500));
+    router.confirm(at(0), positionOf(10));
+    router.confirm(at(900'000), positionOf(500));
     ReadPlan aged{needAt(1'000'000, Milliseconds{1'000})};
     cr_assert(askedMember(router.route(aged, at(1'000'000))) == 2);
-    ReadPlan own{needAt(1'000'000, Milliseconds{1'000}, markOf(11))};
+    ReadPlan own{needAt(1'000'000, Milliseconds{1'000}, positionOf(11))};
     (void)router.route(own, at(1'000'000));
-    cr_assert(own.required() == markOf(11), "the session's own write is never too new to be seen");
+    cr_assert(own.required() == positionOf(11), "the session's own write is never too new to be seen");
 }
 
 Test(sessions, aStaleAnswerIsDiscardedAndTheReadGoesOn)
@@ -132,16 +132,16 @@
     auto router = routerWithMembers();
     router.report(reportOf(0, 10), at(0));
     router.report(reportOf(1, 10), at(0));
-    router.confirm(at(1000), markOf(10));
+    router.confirm(at(1000), positionOf(10));
     ReadPlan plan{needAt(1000)};
     cr_assert(askedMember(router.route(plan, at(1000))) == 1);
-    cr_assert(!router.verify(plan, nameOf(1), markOf(9), at(8000)));
+    cr_assert(!router.verify(plan, nameOf(1), positionOf(9), at(8000)));
     auto step = router.route(plan, at(8000));
     while (is<AwaitReplica>(step)) {
         step = router.route(plan, std::get<AwaitReplica>(step).until);
     }
     cr_assert(askedMember(step) == 0);
-    cr_assert(router.verify(plan, nameOf(0), markOf(10), at(15'000)));
+    cr_assert(router.verify(plan, nameOf(0), positionOf(10), at(15'000)));
 }
 
 Test(sessions, membersThatLeaveOrAreSuspectGetNoReads)
@@ -152,7 +152,7 @@
     router.report(reportOf(0, 10), at(0));
     router.report(leaving, at(0));
     router.report(reportOf(2, 10), at(0));
-    router.confirm(at(1000), markOf(10));
+    router.confirm(at(1000), positionOf(10));
     ReadPlan first{needAt(1000)};
     cr_assert(askedMember(router.route(first, at(1000))) == 2);
     router.setSuspect(nameOf(2), true);
@@ -174,7 +174,7 @@
         auto report = reportOf(0, 100);
         report.member = fresh;
         router.report(report, at(round * 1000));
-        router.confirm(at(round * 1000), markOf(100));
+        router.confirm(at(round * 1000), positionOf(100));
         ReadPlan plan{needAt(round * 1000)};
         const auto step = router.route(plan, at(round * 1000 + 100));
         cr_assert(is<AskMember>(step));
@@ -187,7 +187,7 @@
     auto router = routerWithMembers();
     router.report(reportOf(1, 10), at(0));
     router.report(reportOf(2, 10), at(0));
-    router.confirm(at(1000), markOf(10));
+    router.confirm(at(1000), positionOf(10));
     router.setLoad(nameOf(1), 2, 2);
     router.setLoad(nameOf(2), 1, 2);
     ReadPlan plan{needAt(1000)};
@@ -198,13 +198,13 @@
 {
     auto router = routerWithMembers();
     router.report(reportOf(0, 10), at(0));
-    ReadPlan plan{needAt(1000, Milliseconds{60'000}, markOf(11))};
+    ReadPlan plan{needAt(1000, Milliseconds{60'000}, positionOf(11))};
     cr_assert(is<CollectReports>(router.route(plan, at(1000))));
-    router.confirm(at(1500), markOf(10));
+    router.confirm(at(1500), positionOf(10));
     cr_assert(givenUp(router.route(plan, at(8000))) == ErrorKind::TokenAhead);
-    ReadPlan roamed{needAt(9000, Milliseconds{60'000}, markOf(12))};
+    ReadPlan roamed{needAt(9000, Milliseconds{60'000}, positionOf(12))};
     cr_assert(is<CollectReports>(router.route(roamed, at(9000))));
-    router.confirm(at(9500), markOf(12));
+    router.confirm(at(9500), positionOf(12));
     router.report(reportOf(1, 12), at(9900));
     cr_assert(askedMember(router.route(roamed, at(10'000))) == 1);
 }
@@ -215,7 +215,7 @@
     router.clearPrimary();
     router.report(reportOf(1, 10), at(0));
     router.report(reportOf(2, 8), at(0));
-    router.confirm(at(1000), markOf(10));
+    router.confirm(at(1000), positionOf(10));
     ReadPlan plan{needAt(1000)};
     cr_assert(askedMember(router.route(plan, at(1000))) == 1);
     router.failed(plan, nameOf(1));
@@ -225,7 +225,7 @@
         now += 7'000;
         if (const auto *ask = std::get_if<AskMember>(&step)) {
             cr_assert(ask->member == nameOf(2));
-            cr_assert(!router.verify(plan, nameOf(2), markOf(8), at(now)));
+            cr_assert(!router.verify(plan, nameOf(2), positionOf(8), at(now)));
         }
         cr_assert(now < 100'000, "the read is not held to its deadline");
         step = router.route(plan, at(now));
@@ -246,14 +246,14 @@
     }
     const std::int64_t now = 5'100'000;
     router.report(reportOf(0, 51), at(now));
-    const auto soon = router.coverageExpected(markOf(51), at(now));
+    const auto soon = router.coverageExpected(positionOf(51), at(now));
     cr_assert(soon && *soon > at(now) && *soon < at(now + 20'000), "the near replica takes 5 ms");
-    cr_assert(router.coverageExpected(markOf(50), at(now)) == at(now), "a majority has it already");
+    cr_assert(router.coverageExpected(positionOf(50), at(now)) == at(now), "a majority has it already");
     router.setSuspect(nameOf(1), true);
-    const auto late = router.coverageExpected(markOf(51), at(now));
+    const auto late = router.coverageExpected(positionOf(51), at(now));
     cr_assert(late && *late > at(now + 80'000), "the other one is 100 ms behind");
     router.setSuspect(nameOf(2), true);
-    cr_assert(!router.coverageExpected(markOf(51), at(now)));
+    cr_assert(!router.coverageExpected(positionOf(51), at(now)));
 }
 
 // A plan ends in a bounded number of steps and its required mark never moves, whatever is reported meanwhile.
@@ -277,15 +277,15 @@
                 const auto position = *rc::gen::inRange<std::uint64_t>(0, 12);
                 if (*rc::gen::inRange(0, 3) == 0) {
                     router.failed(plan, ask->member);
-                } else if (router.verify(plan, ask->member, markOf(position), at(now))) {
-                    RC_ASSERT(markOf(position) >= ask->required);
+                } else if (router.verify(plan, ask->member, positionOf(position), at(now))) {
+                    RC_ASSERT(positionOf(position) >= ask->required);
                     break;
                 }
             } else if (const auto *await = std::get_if<AwaitReplica>(&step)) {
                 RC_ASSERT(await->until > at(now));
                 now = await->until.time_since_epoch().count();
             } else {
-                router.confirm(at(now), markOf(*rc::gen::inRange<std::uint64_t>(5, 10)));
+                router.confirm(at(now), positionOf(*rc::gen::inRange<std::uint64_t>(5, 10)));
                 now += 7'000;
             }
             router.report(reportOf(*rc::gen::inRange<std::size_t>(0, 3), *rc::gen::inRange<std::uint64_t>(0, 12)), at(now));
@@ -404,7 +404,7 @@
     void begin(std::size_t index)
     {
         const auto &read = trace_.reads[index];
-        const auto token = read.token > 0 ? std::optional<LogPosition>{markOf(read.token)} : std::nullopt;
+        const auto token = read.token > 0 ? std::optional<LogPosition>{positionOf(read.token)} : std::nullopt;
         go(std::make_shared<Running>(index, needAt(read.arrived, read.age, token)));
     }
 
@@ -473,7 +473,7 @@
         for (std::size_t member = 0; member < memberCount; ++member) {
             const auto sampled = began + delayOf(member);
             if (trace_.answers(member, sampled)) {
-                replies.emplace_back(sampled + delayOf(member), markOf(trace_.position(member, sampled)));
+                replies.emplace_back(sampled + delayOf(member), positionOf(trace_.position(member, sampled)));
             }
         }
         const auto primaryReply = replies.front();
@@ -512,7 +512,7 @@
         }
         schedule(executed + serviceTime + delayOf(member), [this, read, member, executed]() {
             const auto position = trace_.position(member, executed);
-            if (router_.verify(read->plan, nameOf(member), markOf(position), at(now_))) {
+            if (router_.verify(read->plan, nameOf(member), positionOf(position), at(now_))) {
                 answer(*read, member, position);
                 return;
             }
--- a/tests/sessions/test_token.cpp
+++ b/tests/sessions/test_token.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-LogPosition markOf(std::uint64_t term, std::uint64_t position)
+LogPosition positionOf(std::uint64_t term, std::uint64_t position)
 {
     return LogPosition{Term{term, 7}, position};
 }
@@ -21,8 +21,8 @@
 SessionToken sampleToken()
 {
     SessionToken token;
-    cr_assert(bool(token.merge(GroupName{"ledger-1"}, markOf(3, 40))));
-    cr_assert(bool(token.merge(GroupName{"pay tables,1=!%"}, markOf(1, 7))));
+    cr_assert(bool(token.merge(GroupName{"ledger-1"}, positionOf(3, 40))));
+    cr_assert(bool(token.merge(GroupName{"pay tables,1=!%"}, positionOf(1, 7))));
     return token;
 }
 
@@ -33,7 +33,7 @@
     const bool holds = rc::check("tokens round trip", [](const std::vector<std::pair<std::string, std::uint64_t>> &writes) {
         SessionToken token;
         for (const auto &[group, position] : writes) {
-            (void)token.merge(GroupName{group}, markOf(position % 5, position));
+            (void)token.merge(GroupName{group}, positionOf(position % 5, position));
         }
         const auto text = token.format();
         RC_ASSERT(text.size() <= SessionToken::maxBytes);
@@ -97,12 +97,12 @@
         const GroupName group{"g"};
         LogPosition greatest;
         for (const auto &[term, position] : marks) {
-            greatest = std::max(greatest, markOf(term, position));
-            RC_ASSERT(bool(forward.merge(group, markOf(term, position))));
+            greatest = std::max(greatest, positionOf(term, position));
+            RC_ASSERT(bool(forward.merge(group, positionOf(term, position))));
         }
         std::reverse(marks.begin(), marks.end());
         for (const auto &[term, position] : marks) {
-            RC_ASSERT(bool(backward.merge(group, markOf(term, position))));
+            RC_ASSERT(bool(backward.merge(group, positionOf(term, position))));
         }
         RC_ASSERT(forward == backward);
         RC_ASSERT(marks.empty() || forward.find(group) == greatest);
@@ -112,11 +112,11 @@
 
 Test(sessions, onlyAConfirmationProvesATokenAhead)
 {
-    const auto seen = markOf(2, 100);
-    cr_assert(checkAgainst(markOf(2, 100), seen, std::nullopt) == TokenStanding::Reached);
-    cr_assert(checkAgainst(markOf(1, 900), seen, std::nullopt) == TokenStanding::Reached);
-    cr_assert(checkAgainst(markOf(2, 101), seen, std::nullopt) == TokenStanding::Unproven);
-    cr_assert(checkAgainst(markOf(2, 101), seen, markOf(2, 100)) == TokenStanding::Ahead);
-    cr_assert(checkAgainst(markOf(3, 1), seen, markOf(2, 400)) == TokenStanding::Ahead);
-    cr_assert(checkAgainst(markOf(2, 101), seen, markOf(2, 101)) == TokenStanding::Reached);
+    const auto seen = positionOf(2, 100);
+    cr_assert(checkAgainst(positionOf(2, 100), seen, std::nullopt) == TokenStanding::Reached);
+    cr_assert(checkAgainst(positionOf(1, 900), seen, std::nullopt) == TokenStanding::Reached);
+    cr_assert(checkAgainst(positionOf(2, 101), seen, std::nullopt) == TokenStanding::Unproven);
+    cr_assert(checkAgainst(positionOf(2, 101), seen, positionOf(2, 100)) == TokenStanding::Ahead);
+    cr_assert(checkAgainst(positionOf(3, 1), seen, positionOf(2, 400)) == TokenStanding::Ahead);
+    cr_assert(checkAgainst(positionOf(2, 101), seen, positionOf(2, 101)) == TokenStanding::Reached);
 }
