--- a/src/operators/platformstore.cpp
+++ b/src/operators/platformstore.cpp
@@ -53,7 +53,7 @@
     if (replaced != nullptr) {
         before = {objectKey.kind, objectKey.name, Revision{replaced->version}, replaced->text};
     }
-    auto value = withWriterMark(text, nonce, replaced == nullptr ? nullptr : &before);
+    auto value = withWriterStamp(text, nonce, replaced == nullptr ? nullptr : &before);
     if (!value) {
         return value.error();
     }
--- a/src/store/resolution.cpp
+++ b/src/store/resolution.cpp
@@ -15,11 +15,11 @@
 /// When to ask again after an answer that names no better time.
 constexpr Milliseconds comeBack{1000};
 
-const WriterNonce *nonceAt(const WriterMark &mark, Revision version)
+const WriterNonce *nonceAt(const WriterStamp &stamp, Revision version)
 {
     const auto entry =
-        std::find_if(mark.earlier.begin(), mark.earlier.end(), [&](const EarlierWriter &writer) { return writer.version == version; });
-    return entry == mark.earlier.end() ? nullptr : &entry->nonce;
+        std::find_if(stamp.earlier.begin(), stamp.earlier.end(), [&](const EarlierWriter &writer) { return writer.version == version; });
+    return entry == stamp.earlier.end() ? nullptr : &entry->nonce;
 }
 
 } // namespace
@@ -100,17 +100,17 @@
         // Either another writer changed it first, or it was removed and made anew.
         return unknownAt(found.version);
     }
-    const auto mark = readWriterMark(found.value);
-    if (mark.nonce == write_.nonce) {
+    const auto stamp = readWriterStamp(found.value);
+    if (stamp.nonce == write_.nonce) {
         return finishedAt(found.version);
     }
     const auto ours = std::find_if(
-        mark.earlier.begin(), mark.earlier.end(), [this](const EarlierWriter &writer) { return writer.nonce == write_.nonce; });
-    if (ours != mark.earlier.end()) {
+        stamp.earlier.begin(), stamp.earlier.end(), [this](const EarlierWriter &writer) { return writer.nonce == write_.nonce; });
+    if (ours != stamp.earlier.end()) {
         return finishedAt(ours->version);
     }
     // The chain of writers goes back to the version expected, without this write: another one came first.
-    const bool chainReachesExpected = write_.expected.value != 0 && nonceAt(mark, write_.expected) != nullptr;
+    const bool chainReachesExpected = write_.expected.value != 0 && nonceAt(stamp, write_.expected) != nullptr;
     return chainReachesExpected ? conflictAt(found.version) : unknownAt(found.version);
 }
 
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -26,34 +26,34 @@
     return found != object.end() && found->is_number_unsigned() ? Revision{found->get<std::uint64_t>()} : Revision{};
 }
 
-WriterMark markOf(const Json &value)
+WriterStamp stampOf(const Json &value)
 {
-    WriterMark mark;
+    WriterStamp stamp;
     if (!value.is_object() || !value.contains(writerField) || !value[writerField].is_object()) {
-        return mark;
+        return stamp;
     }
     const auto &writer = value[writerField];
-    mark.nonce = WriterNonce{textIn(writer, nonceField)};
+    stamp.nonce = WriterNonce{textIn(writer, nonceField)};
     const auto earlier = writer.find(earlierField);
     if (earlier == writer.end() || !earlier->is_array()) {
-        return mark;
+        return stamp;
     }
     for (const auto &entry : *earlier) {
-        if (entry.is_object() && mark.earlier.size() < earlierWritersKept) {
-            mark.earlier.push_back({WriterNonce{textIn(entry, nonceField)}, versionIn(entry)});
+        if (entry.is_object() && stamp.earlier.size() < maxEarlierWriters) {
+            stamp.earlier.push_back({WriterNonce{textIn(entry, nonceField)}, versionIn(entry)});
         }
     }
-    return mark;
+    return stamp;
 }
 
 } // namespace
 
-WriterMark readWriterMark(std::string_view value)
+WriterStamp readWriterStamp(std::string_view value)
 {
-    return markOf(Json::parse(value, nullptr, false));
+    return stampOf(Json::parse(value, nullptr, false));
 }
 
-Result<std::string> withWriterMark(std::string_view value, const WriterNonce &nonce, const StoredObject *replaced)
+Result<std::string> withWriterStamp(std::string_view value, const WriterNonce &nonce, const StoredObject *replaced)
 {
     auto json = Json::parse(value, nullptr, false);
     if (!json.is_object()) {
@@ -61,10 +61,10 @@
     }
     auto earlier = Json::array();
     if (replaced != nullptr) {
-        const auto mark = readWriterMark(replaced->value);
-        earlier.push_back({{nonceField, mark.nonce.text()}, {versionField, replaced->version.value}});
-        for (const auto &entry : mark.earlier) {
-            if (earlier.size() < earlierWritersKept) {
+        const auto stamp = readWriterStamp(replaced->value);
+        earlier.push_back({{nonceField, stamp.nonce.text()}, {versionField, replaced->version.value}});
+        for (const auto &entry : stamp.earlier) {
+            if (earlier.size() < maxEarlierWriters) {
                 earlier.push_back({{nonceField, entry.nonce.text()}, {versionField, entry.version.value}});
             }
         }
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -17,7 +17,7 @@
 namespace cardamomstep {
 
 /// Most earlier writers that a value names.
-inline constexpr std::size_t earlierWritersKept = 8;
+inline constexpr std::size_t maxEarlierWriters = 8;
 
 /// A version that was replaced, and who wrote it.
 struct EarlierWriter {
@@ -29,20 +29,20 @@
 };
 
 /// The writer's mark of a value.
-struct WriterMark {
+struct WriterStamp {
     WriterNonce nonce;
     /// Replaced versions, newest first.
     std::vector<EarlierWriter> earlier;
 
-    [[nodiscard]] bool operator==(const WriterMark &) const = default;
+    [[nodiscard]] bool operator==(const WriterStamp &) const = default;
 };
 
 /// Reads the mark of \a value; an empty mark when there is none or the value is no JSON object.
-[[nodiscard]] WriterMark readWriterMark(std::string_view value);
+[[nodiscard]] WriterStamp readWriterStamp(std::string_view value);
 
 /// Returns \a value with the mark of \a nonce, naming \a replaced (null for a new object) and its own earlier writers.
 ///
 /// Other fields are kept. The error is ErrorKind::InvalidRecord when \a value is no JSON object.
-[[nodiscard]] Result<std::string> withWriterMark(std::string_view value, const WriterNonce &nonce, const StoredObject *replaced);
+[[nodiscard]] Result<std::string> withWriterStamp(std::string_view value, const WriterNonce &nonce, const StoredObject *replaced);
 
 } // namespace cardamomstep
--- a/tests/store/test_resolution.cpp
+++ b/tests/store/test_resolution.cpp
@@ -21,7 +21,7 @@
 StoreWrite writeOver(const ModelStore &store, const std::string &nonce)
 {
     const auto replaced = store.get(key);
-    const auto value = withWriterMark("{}", WriterNonce{nonce}, replaced ? &*replaced : nullptr);
+    const auto value = withWriterStamp("{}", WriterNonce{nonce}, replaced ? &*replaced : nullptr);
     return {key, *value, store.versionOf(key), WriterNonce{nonce}, false};
 }
 
@@ -137,7 +137,7 @@
     const auto secondOutcome = run(second, losingFirst(store, true), readerOf(store));
     cr_assert(bool(firstOutcome) != bool(secondOutcome));
     cr_assert(store.history().size() == 2);
-    cr_assert(readWriterMark(store.get(key)->value).nonce == WriterNonce{"first"});
+    cr_assert(readWriterStamp(store.get(key)->value).nonce == WriterNonce{"first"});
     cr_assert(secondOutcome.error().kind == ErrorKind::Conflict);
 }
 
@@ -244,7 +244,7 @@
             std::size_t effects = 0;
             Revision version;
             for (const auto &change : store.history()) {
-                if (!change.deleted && readWriterMark(change.value).nonce == write.nonce) {
+                if (!change.deleted && readWriterStamp(change.value).nonce == write.nonce) {
                     ++effects;
                     version = change.version;
                 }
--- a/tests/store/test_store.cpp
+++ b/tests/store/test_store.cpp
@@ -9,21 +9,21 @@
 {
     StoredObject object{ObjectKind{"group"}, ObjectName{"g"}, Revision{5}, R"({"a":1})", false};
     for (std::uint64_t round = 0; round < 20; ++round) {
-        const auto value = withWriterMark(R"({"a":1,"unknown":[1]})", WriterNonce{"n" + std::to_string(round)}, &object);
+        const auto value = withWriterStamp(R"({"a":1,"unknown":[1]})", WriterNonce{"n" + std::to_string(round)}, &object);
         cr_assert(bool(value));
         cr_assert(value->find("\"unknown\":[1]") != std::string::npos);
         object.value = *value;
         object.version = Revision{10 + round};
     }
-    const auto mark = readWriterMark(object.value);
+    const auto mark = readWriterStamp(object.value);
     cr_assert(mark.nonce == WriterNonce{"n19"});
-    cr_assert(mark.earlier.size() == earlierWritersKept);
+    cr_assert(mark.earlier.size() == maxEarlierWriters);
     cr_assert((mark.earlier[0] == EarlierWriter{WriterNonce{"n18"}, Revision{28}}));
 }
 
 Test(store, valuesThatAreNoObjectsTakeNoMark)
 {
-    cr_assert(!withWriterMark("[1]", WriterNonce{"n"}, nullptr));
-    cr_assert(!withWriterMark("{", WriterNonce{"n"}, nullptr));
-    cr_assert(readWriterMark("17") == WriterMark{});
+    cr_assert(!withWriterStamp("[1]", WriterNonce{"n"}, nullptr));
+    cr_assert(!withWriterStamp("{", WriterNonce{"n"}, nullptr));
+    cr_assert(readWriterStamp("17") == WriterStamp{});
 }
--- a/tests/store/test_storeclient.cpp
+++ b/tests/store/test_storeclient.cpp
@@ -101,7 +101,7 @@
 
 std::string valueBy(const std::string &nonce, const StoredObject *replaced = nullptr)
 {
-    return *withWriterMark(R"({"members":3})", WriterNonce{nonce}, replaced);
+    return *withWriterStamp(R"({"members":3})", WriterNonce{nonce}, replaced);
 }
 
 } // namespace
@@ -114,7 +114,7 @@
     const auto put = store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, patience);
     cr_assert((bool(put) && *put == StoreWritten{Revision{1}, false}));
     const auto read = store.get(key, patience);
-    cr_assert((bool(read) && read->version == Revision{1} && readWriterMark(read->value).nonce == WriterNonce{"n1"}));
+    cr_assert((bool(read) && read->version == Revision{1} && readWriterStamp(read->value).nonce == WriterNonce{"n1"}));
     const auto listing = store.list({}, patience);
     cr_assert((bool(listing) && listing->objects.size() == 1 && listing->revision == Revision{1}));
     cr_assert(store.put(key, valueBy("n2"), {}, WriterNonce{"n2"}, patience).error().kind == ErrorKind::Conflict);
