--- a/src/operators/api.h
+++ b/src/operators/api.h
@@ -138,7 +138,7 @@
         if (const auto conflict = checkExpected(route, answer.fromVersion)) {
             return std::vector<Error>{*conflict};
         }
-        const ChangeMark mark{route.who, environment_.now()};
+        const ChangeStamp mark{route.who, environment_.now()};
         const auto *replaced = current ? &*current : nullptr;
         auto proposed = proposeChange(candidate, replaced, *environment_.catalog(), environment_.proxies(), mark);
         if (!proposed) {
@@ -189,7 +189,7 @@
         }
         answer.written = true;
         answer.toVersion = *revision;
-        const ChangeMark mark{route.who, environment_.now()};
+        const ChangeStamp mark{route.who, environment_.now()};
         answer.audited = audit(auditRecord(route.key, mark, answer.fromVersion, answer.toVersion, answer.changes, true));
         return changeAnswer(answer);
     }
--- a/src/operators/change.cpp
+++ b/src/operators/change.cpp
@@ -70,7 +70,7 @@
                                       const StoredText *current,
                                       const Catalog &catalog,
                                       const std::vector<ProxyView> &proxies,
-                                      const ChangeMark &change)
+                                      const ChangeStamp &change)
 {
     std::optional<Record> before;
     if (current != nullptr) {
@@ -104,7 +104,7 @@
 }
 
 Record auditRecord(const RecordKey &key,
-                   const ChangeMark &change,
+                   const ChangeStamp &change,
                    std::uint64_t fromVersion,
                    std::uint64_t toVersion,
                    std::vector<FieldChange> changes,
--- a/src/operators/change.h
+++ b/src/operators/change.h
@@ -44,14 +44,14 @@
                                                     const StoredText *current,
                                                     const Catalog &catalog,
                                                     const std::vector<ProxyView> &proxies,
-                                                    const ChangeMark &change);
+                                                    const ChangeStamp &change);
 
 /// The conflict of \a route's expected version with \a current (0 when there is none); none when they agree.
 [[nodiscard]] std::optional<Error> checkExpected(const Route &route, std::uint64_t current);
 
 /// The audit trail's record of a change from \a before (null: created) to \a after (null: deleted).
 [[nodiscard]] Record auditRecord(const RecordKey &key,
-                                 const ChangeMark &change,
+                                 const ChangeStamp &change,
                                  std::uint64_t fromVersion,
                                  std::uint64_t toVersion,
                                  std::vector<FieldChange> changes,
--- a/src/records/catalog.cpp
+++ b/src/records/catalog.cpp
@@ -85,7 +85,7 @@
 {
     auto next = std::make_shared<Catalog>(*this);
     for (const auto &change : changes) {
-        next->take(change);
+        next->applyChange(change);
     }
     next->revision_ = std::max(revision_, revision);
     next->dropOldDeletions();
@@ -98,7 +98,7 @@
     std::set<RecordKey> listed;
     for (const auto &change : records) {
         listed.insert(change.key);
-        next->take(change);
+        next->applyChange(change);
     }
     for (const auto &[key, entry] : entries_) {
         if (entry.version <= revision && listed.count(key) == 0) {
@@ -111,7 +111,7 @@
     return next;
 }
 
-bool Catalog::isNews(const RecordKey &key, std::uint64_t version) const
+bool Catalog::isNewer(const RecordKey &key, std::uint64_t version) const
 {
     const auto entry = entries_.find(key);
     if (entry != entries_.end()) {
@@ -167,9 +167,9 @@
     return found == entries_.end() ? nullptr : &found->second;
 }
 
-void Catalog::take(const RecordChange &change)
+void Catalog::applyChange(const RecordChange &change)
 {
-    if (!isNews(change.key, change.version)) {
+    if (!isNewer(change.key, change.version)) {
         return;
     }
     remove(change.key);
@@ -184,14 +184,14 @@
 
 void Catalog::dropOldDeletions()
 {
-    if (deletions_.size() <= 2 * deletionsKept) {
+    if (deletions_.size() <= 2 * maxDeletions) {
         return;
     }
     std::vector<std::uint64_t> versions;
     for (const auto &[key, version] : deletions_) {
         versions.push_back(version);
     }
-    const auto last = versions.end() - static_cast<std::ptrdiff_t>(deletionsKept) - 1;
+    const auto last = versions.end() - static_cast<std::ptrdiff_t>(maxDeletions) - 1;
     std::nth_element(versions.begin(), last, versions.end());
     // Above revision_ a deletion is still needed to refuse a late change of its key.
     deletionFloor_ = std::max(deletionFloor_, std::min(*last, revision_));
--- a/src/records/catalog.h
+++ b/src/records/catalog.h
@@ -29,7 +29,7 @@
 };
 
 /// Fewest deletions that a Catalog remembers for its watchers.
-inline constexpr std::size_t deletionsKept = 4096;
+inline constexpr std::size_t maxDeletions = 4096;
 
 /// A record in a Catalog.
 struct CatalogEntry {
@@ -66,7 +66,7 @@
     [[nodiscard]] std::shared_ptr<const Catalog> withList(const std::vector<RecordChange> &records, std::uint64_t revision) const;
 
     /// True when \a version of \a key would be a change.
-    [[nodiscard]] bool isNews(const RecordKey &key, std::uint64_t version) const;
+    [[nodiscard]] bool isNewer(const RecordKey &key, std::uint64_t version) const;
 
     /// The group that holds \a key of \a service; the error is ErrorKind::UnknownService.
     [[nodiscard]] Result<GroupName> groupFor(const ServiceName &service, std::string_view key) const;
@@ -115,7 +115,7 @@
         std::shared_ptr<const std::vector<PrefixRule>> prefixes;
     };
 
-    void take(const RecordChange &change);
+    void applyChange(const RecordChange &change);
     void dropOldDeletions();
     void remove(const RecordKey &key);
     void indexRecord(const std::shared_ptr<const Record> &record);
--- a/src/records/record.cpp
+++ b/src/records/record.cpp
@@ -37,7 +37,7 @@
 }
 
 template<typename Form>
-void describeChange(Form &form, ChangeMark &change)
+void describeChange(Form &form, ChangeStamp &change)
 {
     form.optionalText("who", change.who, impl::whoLength);
     form.wallTime("atMs", change.at);
@@ -154,7 +154,7 @@
     form.text("kind", std::string(toText(record.kind())), {});
     form.name("name", record.name);
     form.text("schema", std::string(toText(schema)), {});
-    if (record.change != ChangeMark{}) {
+    if (record.change != ChangeStamp{}) {
         form.section("change", [change = record.change](auto &fields) mutable { describeChange(fields, change); });
     }
     auto spec = record.spec;
--- a/src/records/record.h
+++ b/src/records/record.h
@@ -18,12 +18,12 @@
 using RecordSpec = std::variant<DatabaseGroup, RoutingIntent, StopPlan, GroupStatus, InstanceStatus, PlanStatus, AuditEntry>;
 
 /// Who wrote a version of a record; stored in the same object as the content, so that neither is there without the other.
-struct ChangeMark {
+struct ChangeStamp {
     /// Name that the operator gave; empty when the system wrote it.
     std::string who;
     WallTime at{};
 
-    [[nodiscard]] bool operator==(const ChangeMark &) const = default;
+    [[nodiscard]] bool operator==(const ChangeStamp &) const = default;
 };
 
 /// One record.
@@ -34,7 +34,7 @@
     RecordSpec spec;
     /// Fields that this release does not know, as the text of a JSON object; they are kept when the record is written again.
     std::string unknownFields = "{}";
-    ChangeMark change;
+    ChangeStamp change;
 
     /// The kind, from the content.
     [[nodiscard]] RecordKind kind() const noexcept
--- a/tests/records/test_catalog.cpp
+++ b/tests/records/test_catalog.cpp
@@ -128,14 +128,14 @@
     auto catalog = Catalog::empty();
     for (std::uint64_t round = 0; round < 3; ++round) {
         std::vector<RecordChange> changes;
-        for (std::uint64_t index = 1; index <= deletionsKept; ++index) {
-            const auto version = round * deletionsKept + index;
+        for (std::uint64_t index = 1; index <= maxDeletions; ++index) {
+            const auto version = round * maxDeletions + index;
             changes.push_back(deletion(RecordKind::DatabaseGroup, ("g" + std::to_string(version)).c_str(), version + 1));
         }
-        catalog = catalog->with(changes, (round + 1) * deletionsKept);
+        catalog = catalog->with(changes, (round + 1) * maxDeletions);
     }
-    cr_assert(catalog->deletions().size() == deletionsKept);
-    cr_assert(catalog->deletionFloor() == 2 * deletionsKept + 1);
+    cr_assert(catalog->deletions().size() == maxDeletions);
+    cr_assert(catalog->deletionFloor() == 2 * maxDeletions + 1);
     cr_assert(catalog->with({change("g1", groupOf(3), 1)})->group(GroupName{"g1"}) == nullptr);
     cr_assert(catalog->deletions().begin()->second > catalog->deletionFloor());
 }
