--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -36,13 +36,13 @@
     return record;
 }
 
-void fill(wire::CatalogMarks &message, const CatalogMarks &marks)
+void fill(wire::CatalogMarks &message, const CatalogRevisions &marks)
 {
     message.set_configuration(marks.configuration.value);
     message.set_members(marks.members.value);
 }
 
-CatalogMarks marksOf(const wire::CatalogMarks &message)
+CatalogRevisions marksOf(const wire::CatalogMarks &message)
 {
     return {Revision{message.configuration()}, Revision{message.members()}};
 }
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -3,7 +3,7 @@
 
 #include "leadership/lease.h"
 #include "leadership/record.h"
-#include "store/catalogmarks.h"
+#include "store/catalogrevisions.h"
 
 #include <cstdint>
 #include <optional>
@@ -20,7 +20,7 @@
     /// Proxies that renew their views at the sender.
     std::vector<InstanceName> clients;
     /// How new a catalog the sender knows or was told of.
-    CatalogMarks marks;
+    CatalogRevisions marks;
 };
 
 /// A view of the primaries, and the lease as far as the sender knows it.
@@ -33,7 +33,7 @@
     /// Time since the store last answered the holder, where the holder itself replies.
     std::optional<Milliseconds> holderSinceStore;
     /// How new a catalog the sender knows or was told of.
-    CatalogMarks marks;
+    CatalogRevisions marks;
     /// Fencing token of a lease that the sender held and gives up by this word; 0 for none.
     std::uint64_t yieldedFence = 0;
 };
--- a/src/gateway/catalogfollower.h
+++ b/src/gateway/catalogfollower.h
@@ -8,7 +8,7 @@
 #include "relay/directory.h"
 #include "relay/routebook.h"
 #include "settings/sessionsettings.h"
-#include "store/catalogmarks.h"
+#include "store/catalogrevisions.h"
 
 #include <boost/asio.hpp>
 
@@ -70,18 +70,18 @@
     }
 
     /// How new a catalog is known here or was told of.
-    [[nodiscard]] CatalogMarks marks() const
+    [[nodiscard]] CatalogRevisions marks() const
     {
-        CatalogMarks marks{configuration_->newest(), members_->newest()};
-        marks.raise(told_);
+        CatalogRevisions marks{configuration_->newest(), members_->newest()};
+        marks.advanceTo(told_);
         return marks;
     }
 
     /// Takes in how new a catalog another process knows; a watch that missed that is made anew.
-    void heardOf(const CatalogMarks &marks)
+    void heardOf(const CatalogRevisions &marks)
     {
         const auto now = evloop::bootTimeNow();
-        told_.raise(marks);
+        told_.advanceTo(marks);
         heardAt_ = now;
         if (configuration_->heardOf(told_.configuration, now)) {
             watchMissed("configuration", told_.configuration);
@@ -261,7 +261,7 @@
     CatalogHandlers handlers_;
     bool membersKnown_ = false;
     /// How new a catalog others told of, and when they last told.
-    CatalogMarks told_;
+    CatalogRevisions told_;
     TimePoint heardAt_;
     /// Others would tell of news that this process' watches missed.
     bool guarded_ = false;
--- a/src/gateway/leadercontext.h
+++ b/src/gateway/leadercontext.h
@@ -62,9 +62,9 @@
     /// The registered proxies changed.
     std::function<void()> proxiesChanged;
     /// How new a catalog this process knows or was told of.
-    std::function<CatalogMarks()> marks;
+    std::function<CatalogRevisions()> marks;
     /// Another process told how new a catalog it knows.
-    std::function<void(const CatalogMarks &marks)> marksHeard;
+    std::function<void(const CatalogRevisions &marks)> marksHeard;
 };
 
 /// Shared by the parts of one process' leadership, which all run on one event loop; outlives them.
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -142,7 +142,7 @@
         const auto marks = [this] {
             return catalog_.marks();
         };
-        const auto marksHeard = [this](const CatalogMarks &heard) {
+        const auto marksHeard = [this](const CatalogRevisions &heard) {
             catalog_.heardOf(heard);
         };
         return LeaderHost{engine_, directory_, write, perform, proxiesChanged, marks, marksHeard};
--- a/src/store/catalogmarks.h
+++ b/src/store/catalogrevisions.h
@@ -8,18 +8,18 @@
 namespace cardamomstep {
 
 /// Revisions of the newest change of the operators' configuration and of the members' entries; 0 where none is known.
-struct CatalogMarks {
+struct CatalogRevisions {
     Revision configuration;
     Revision members;
 
     /// Raises each mark to that of \a other.
-    void raise(const CatalogMarks &other) noexcept
+    void advanceTo(const CatalogRevisions &other) noexcept
     {
         configuration = std::max(configuration, other.configuration);
         members = std::max(members, other.members);
     }
 
-    [[nodiscard]] bool operator==(const CatalogMarks &) const = default;
+    [[nodiscard]] bool operator==(const CatalogRevisions &) const = default;
 };
 
 } // namespace cardamomstep
--- a/tests/store/test_missednews.cpp
+++ b/tests/store/test_missednews.cpp
@@ -1,5 +1,5 @@
 // A watch that missed what others know of is found out.
-#include "store/catalogmarks.h"
+#include "store/catalogrevisions.h"
 #include "store/missednews.h"
 
 #include <criterion/criterion.h>
@@ -53,7 +53,7 @@
 
 Test(store, marksOnlyRise)
 {
-    CatalogMarks marks{Revision{5}, Revision{9}};
-    marks.raise({Revision{7}, Revision{3}});
-    cr_assert(marks == (CatalogMarks{Revision{7}, Revision{9}}));
+    CatalogRevisions marks{Revision{5}, Revision{9}};
+    marks.advanceTo({Revision{7}, Revision{3}});
+    cr_assert(marks == (CatalogRevisions{Revision{7}, Revision{9}}));
 }
