--- a/src/gateway/follower.h
+++ b/src/gateway/follower.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "store/missednews.h"
+#include "store/missedchangedetector.h"
 #include "store/watchresume.h"
 
 #include <utility>
@@ -88,7 +88,7 @@
     /// Takes in that another process knows a change at \a newest; true when the watch was made anew because it missed that.
     bool heardOf(Revision newest, TimePoint now)
     {
-        return missed_.told(newest, complete_, now) && watchAnew();
+        return missed_.onPeerRevision(newest, complete_, now) && watchAnew();
     }
 
     void stop()
@@ -185,7 +185,7 @@
     /// All changes up to here are known.
     Revision complete_;
     Revision newest_;
-    MissedNews missed_{newsGrace};
+    MissedChangeDetector missed_{newsGrace};
     Milliseconds wait_;
     /// A watch is under way.
     bool watching_ = false;
