--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -198,7 +198,7 @@
         const std::lock_guard lock(mutex_);
         step = spread_.nextStoreStep(steadyNow());
     }
-    if (const auto *pause = std::get_if<PauseUntil>(&step)) {
+    if (const auto *pause = std::get_if<DelayUntil>(&step)) {
         return std::clamp(wholeMilliseconds(pause->time - steadyNow()) + Milliseconds{1}, Milliseconds{1}, longestPause);
     }
     if (const auto *watching = std::get_if<WatchAfter>(&step)) {
--- a/src/app/operatorenvironment.cpp
+++ b/src/app/operatorenvironment.cpp
@@ -98,7 +98,7 @@
     if (configuration_.mayAccept()) {
         return std::nullopt;
     }
-    return Error{ErrorKind::NotReady, "this proxy cannot know that its configuration is current"}.comingBackAfter(comeBackSoon);
+    return Error{ErrorKind::NotReady, "this proxy cannot know that its configuration is current"}.withRetryAfter(comeBackSoon);
 }
 
 Result<std::uint64_t> RecordWriter::put(const RecordKey &key, const std::string &text, const operators::StoredText *replaced)
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -47,7 +47,7 @@
     }
 
     /// This error with a time to come back.
-    [[nodiscard]] Error comingBackAfter(Milliseconds wait) &&
+    [[nodiscard]] Error withRetryAfter(Milliseconds wait) &&
     {
         retryAfter = wait;
         return std::move(*this);
--- a/src/configuration/spread.cpp
+++ b/src/configuration/spread.cpp
@@ -156,14 +156,14 @@
     const auto age = currency_.confirmationAge(now);
     if (age && *age < options_.askStoreAfter) {
         askAt_.reset();
-        return PauseUntil{now + options_.period};
+        return DelayUntil{now + options_.period};
     }
     if (!askAt_) {
         // Peers come first, and many proxies may miss them at the same time.
         askAt_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(askWithin.count()))};
     }
     if (now < *askAt_) {
-        return PauseUntil{*askAt_};
+        return DelayUntil{*askAt_};
     }
     return ask_.next(state_.digest().complete, now);
 }
@@ -172,7 +172,7 @@
 {
     SpreadActions actions;
     const auto before = state_.digest();
-    if (following().onListing(listing, before.complete, now) != StoreAnswer::Current) {
+    if (following().onListing(listing, before.complete, now) != StoreReplyKind::Current) {
         return actions;
     }
     auto applied = state_.applyListing(listing);
@@ -190,7 +190,7 @@
 {
     SpreadActions actions;
     const auto before = state_.digest();
-    if (following().onChanges(changes, before.complete, now) != StoreAnswer::Current) {
+    if (following().onChanges(changes, before.complete, now) != StoreReplyKind::Current) {
         return actions;
     }
     auto applied = state_.applyChanges(changes);
--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -43,11 +43,11 @@
     const bool someWillComeBack = !entries_.empty();
     if (now >= deadline || (!someWillComeBack && openedAt >= deadline)) {
         const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.openTime);
-        return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.comingBackAfter(wait)};
+        return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.withRetryAfter(wait)};
     }
     if (allowed_ == 0) {
         const Error error{ErrorKind::EndpointUnreachable, "this proxy has no share of the member's connections"};
-        return NoConnection{Error{error}.comingBackAfter(limits_.pauseAfterRefusal)};
+        return NoConnection{Error{error}.withRetryAfter(limits_.pauseAfterRefusal)};
     }
     const TimePoint askAgain = now < pausedUntil_ ? pausedUntil_ : now + limits_.openTime;
     return AwaitConnection{std::min(askAgain, deadline)};
--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -106,10 +106,10 @@
     const InFlight mine(inFlight_);
     const bool opensNothing = !statement.transaction.empty();
     if (refusing_ && !opensNothing) {
-        return failedAnswer(Error{ErrorKind::Draining, "this proxy is stopping"}.comingBackAfter(Milliseconds{0}));
+        return failedAnswer(Error{ErrorKind::Draining, "this proxy is stopping"}.withRetryAfter(Milliseconds{0}));
     }
     if (mine.before() >= maxInFlight_) {
-        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements at this proxy"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements at this proxy"}.withRetryAfter(comeBackSoon));
     }
     return services_.run(statement, arrived + statement.window);
 }
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -19,9 +19,9 @@
 Answer lostAtPeer(const Statement &statement, const std::string &why)
 {
     if (statement.access == Access::Read && statement.verb == Verb::Execute) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.withRetryAfter(comeBackSoon));
     }
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(comeBackSoon));
 }
 
 /// True when the statement may be given to another owner after one took it and fell silent.
@@ -52,7 +52,7 @@
 {
     const auto view = sources_.view();
     if (!view.ready) {
-        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.withRetryAfter(comeBackSoon));
     }
     if (!statement.transaction.empty()) {
         return runInTransaction(statement, view, deadline);
@@ -104,7 +104,7 @@
     const auto found = std::find_if(instances.begin(), instances.end(), [&owner](const auto &instance) { return instance.name == *owner; });
     if (found == instances.end()) {
         const auto kind = statement.verb == Verb::Commit ? ErrorKind::OutcomeUnknown : ErrorKind::TransactionAborted;
-        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.withRetryAfter(comeBackSoon));
     }
     const auto result = peers_.execute(found->address, routed, deadline - steadyNow() - answerMargin, connectWithin);
     if (const auto *answer = std::get_if<Answer>(&result)) {
@@ -112,14 +112,14 @@
     }
     const auto &failure = std::get<peer::Failure>(result);
     if (failure.notSent || statement.verb != Verb::Commit) {
-        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.withRetryAfter(comeBackSoon));
     }
     return lostAtPeer(statement, failure.description);
 }
 
 Answer Dispatcher::runAtOwners(const Statement &statement, const FleetView &view, TimePoint deadline)
 {
-    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.comingBackAfter(comeBackSoon));
+    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.withRetryAfter(comeBackSoon));
     bool taken = false;
     for (const auto *owner : ownersNearFirst(view, statement.group)) {
         const auto remaining = deadline - steadyNow() - answerMargin;
@@ -144,7 +144,7 @@
         const auto &failure = std::get<peer::Failure>(result);
         taken = taken || !failure.notSent;
         last = taken ? lostAtPeer(statement, failure.description)
-                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.comingBackAfter(comeBackSoon));
+                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.withRetryAfter(comeBackSoon));
         if (taken && !mayGoToAnotherOwner(statement)) {
             break;
         }
@@ -167,7 +167,7 @@
         return failedAnswer(Error{ErrorKind::TransactionUnknown, "the transaction is not open here"});
     }
     if (!owner) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.withRetryAfter(comeBackSoon));
     }
     return owner->run(statement, deadline);
 }
--- a/src/gateway/follower.h
+++ b/src/gateway/follower.h
@@ -45,7 +45,7 @@
         , resume_(options, seed)
         , settle_(settle)
         , handlers_(std::move(handlers))
-        , wait_(options.wait)
+        , wait_(options.watchTimeout)
     {
     }
 
@@ -64,7 +64,7 @@
             watching_ = true;
             store_.watch(kind_, watch->after, watch->wait, [self](const Result<StoreChanges> &changes) { self->onChanges(changes); });
         } else {
-            stepAfter(std::get<PauseUntil>(next).time - now);
+            stepAfter(std::get<DelayUntil>(next).time - now);
         }
     }
 
@@ -79,7 +79,7 @@
     {
         const bool shorter = wait < wait_;
         wait_ = wait;
-        resume_.setWait(wait);
+        resume_.setWatchTimeout(wait);
         if (shorter) {
             watchAnew();
         }
@@ -130,7 +130,7 @@
             return;
         }
         // A listing starts over: nothing that was known before bounds its revision but what was taken over.
-        if (resume_.onListing(*listing, complete_, now) == StoreAnswer::Current) {
+        if (resume_.onListing(*listing, complete_, now) == StoreReplyKind::Current) {
             complete_ = listing->revision;
             note(listing->objects);
             handlers_.listed(*listing);
@@ -150,7 +150,7 @@
             fail(changes.error(), now);
             return;
         }
-        if (resume_.onChanges(*changes, complete_, now) == StoreAnswer::Current) {
+        if (resume_.onChanges(*changes, complete_, now) == StoreReplyKind::Current) {
             complete_ = changes->revision;
             note(changes->changes);
             handlers_.changed(*changes);
--- a/src/operators/api.h
+++ b/src/operators/api.h
@@ -59,7 +59,7 @@
         }
         if (!isInForce(route->minRevision)) {
             return failureAnswer(
-                {Error{ErrorKind::NotReady, "revision " + std::to_string(route->minRevision) + " is not in force here yet"}.comingBackAfter(
+                {Error{ErrorKind::NotReady, "revision " + std::to_string(route->minRevision) + " is not in force here yet"}.withRetryAfter(
                     options_.revisionWait)});
         }
         return dispatch(*route, request);
--- a/src/owner/impl/flow.cpp
+++ b/src/owner/impl/flow.cpp
@@ -25,19 +25,19 @@
 {
     switch (refusal) {
     case Refusal::LowerTerm:
-        return Error{ErrorKind::Superseded, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::Superseded, description}.withRetryAfter(comeBackSoon);
     case Refusal::NotPrimary:
-        return Error{ErrorKind::NoPrimary, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::NoPrimary, description}.withRetryAfter(comeBackSoon);
     case Refusal::RequestIdReused:
         return Error{ErrorKind::RequestIdReused, description};
     case Refusal::TransactionUnknown:
-        return Error{ErrorKind::TransactionAborted, description}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::TransactionAborted, description}.withRetryAfter(comeBackSoon);
     case Refusal::StatementFailed:
         return Error{ErrorKind::StatementFailed, description};
     case Refusal::Leaving:
         break;
     }
-    return Error{ErrorKind::NoPrimary, "the member is leaving"}.comingBackAfter(comeBackSoon);
+    return Error{ErrorKind::NoPrimary, "the member is leaving"}.withRetryAfter(comeBackSoon);
 }
 
 Milliseconds exchangeTimeout(const MemberLinks &links, TimePoint deadline)
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -16,7 +16,7 @@
 
 Answer unknown(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(comeBackSoon));
 }
 
 /// The statement that takes the place of a request id: it has no effect but to hold the id.
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -46,7 +46,7 @@
             return *answer;
         }
         if (steadyNow() >= deadline_) {
-            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.comingBackAfter(comeBackSoon));
+            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.withRetryAfter(comeBackSoon));
         }
     }
 }
@@ -168,7 +168,7 @@
 
 Answer ReadFlow::noPrimary() const
 {
-    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.withRetryAfter(comeBackSoon));
 }
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -11,7 +11,7 @@
 
 Answer aborted(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.comingBackAfter(comeBackSoon));
+    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.withRetryAfter(comeBackSoon));
 }
 
 } // namespace
@@ -47,7 +47,7 @@
             view = core_.monitor.primary();
         }
         if (!inTime) {
-            return failedAnswer(Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.comingBackAfter(comeBackSoon));
+            return failedAnswer(Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.withRetryAfter(comeBackSoon));
         }
     }
     return beginOn(*view);
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -30,7 +30,7 @@
         return failedAnswer(room.error());
     }
     if (!core_.waitReleased(lock_, deadline_)) {
-        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.comingBackAfter(comeBackSoon));
+        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.withRetryAfter(comeBackSoon));
     }
     return drive(false, [this](const Term &term) { return sendOnce(term); });
 }
@@ -59,7 +59,7 @@
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
             return toAnswer(*answer);
         }
-        if (const auto *sending = std::get_if<SendWrite>(&step)) {
+        if (const auto *sending = std::get_if<SendStoreWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
         } else if (const auto *ask = std::get_if<AskOutcome>(&step)) {
             step = performAsk(attempt, *ask);
@@ -126,7 +126,7 @@
         return answer;
     }
     // After an unsent try, look again at who is primary.
-    return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
+    return std::holds_alternative<SendStoreWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
 WriteStep WriteFlow::performAsk(WriteAttempt &attempt, const AskOutcome &ask)
--- a/src/records/forms.cpp
+++ b/src/records/forms.cpp
@@ -43,7 +43,7 @@
     }
     if (count == 0 && unheard) {
         const auto text = "it is not known yet which forms " + unheard->text() + " reads";
-        return Error{ErrorKind::NotReady, text}.comingBackAfter(comeBackSoon);
+        return Error{ErrorKind::NotReady, text}.withRetryAfter(comeBackSoon);
     }
     if (count == 0) {
         return std::nullopt;
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -18,7 +18,7 @@
 Result<Success> Engine::callerOpened(CallerKey key, const DatabaseName &database, TimePoint now)
 {
     if (!routes_.known()) {
-        return Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(limits_.maxRetryAfter);
+        return Error{ErrorKind::NotReady, "the configuration is not known yet"}.withRetryAfter(limits_.maxRetryAfter);
     }
     if (routes_.find(database) == nullptr) {
         actions_.emplace_back(LogDecision{LogLevel::Info,
@@ -57,7 +57,7 @@
     caller.avoid.clear();
     setTimer(key, caller, std::nullopt);
     if (refusedWhileStopping(caller, now)) {
-        fail(key, caller, Error{ErrorKind::Draining, "this proxy is stopping"}.comingBackAfter(limits_.minRetryAfter), now);
+        fail(key, caller, Error{ErrorKind::Draining, "this proxy is stopping"}.withRetryAfter(limits_.minRetryAfter), now);
         return;
     }
     noteOperation(caller);
@@ -132,7 +132,7 @@
         return;
     }
     if (group.waiting.size() >= limits_.maxWaiting) {
-        fail(key, caller, Error{ErrorKind::Overloaded, "too many statements wait for this group"}.comingBackAfter(comeBack(group)), now);
+        fail(key, caller, Error{ErrorKind::Overloaded, "too many statements wait for this group"}.withRetryAfter(comeBack(group)), now);
         return;
     }
     const std::pair<TimePoint, CallerKey> place{caller.arrived + caller.route.latencyObjective, key};
@@ -263,7 +263,7 @@
         }
         dequeue(key, caller);
         const auto kind = noPrimary ? ErrorKind::NoPrimary : ErrorKind::Overloaded;
-        fail(key, caller, Error{kind, "no connection became free in time"}.comingBackAfter(comeBack(group)), now);
+        fail(key, caller, Error{kind, "no connection became free in time"}.withRetryAfter(comeBack(group)), now);
         return;
     }
     const bool early =
--- a/src/relay/enginelinks.cpp
+++ b/src/relay/enginelinks.cpp
@@ -189,7 +189,7 @@
         return;
     }
     if (answerRule(outcome.error.kind).retryable && outcome.error.ran == Ran::No) {
-        outcome.error = std::move(outcome.error).comingBackAfter(comeBack(groupState(caller.group)));
+        outcome.error = std::move(outcome.error).withRetryAfter(comeBack(groupState(caller.group)));
     }
     fail(key, caller, std::move(outcome.error), now);
 }
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -300,7 +300,7 @@
     const auto queued = lane.serviceTime.mean() * static_cast<std::int64_t>(lane.waiting.size());
     const auto drained = wholeMilliseconds((backlog(lane, now) + queued) / static_cast<std::int64_t>(lane.slots));
     const auto retryAfter = std::clamp(drained, limits_.minRetryAfter, limits_.maxRetryAfter);
-    return Refused{ticket, Error{ErrorKind::Overloaded, "the request would not finish within its window"}.comingBackAfter(retryAfter)};
+    return Refused{ticket, Error{ErrorKind::Overloaded, "the request would not finish within its window"}.withRetryAfter(retryAfter)};
 }
 
 } // namespace cardamomstep
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -156,7 +156,7 @@
 
 bool WriteAttempt::inFlight() const noexcept
 {
-    return std::holds_alternative<SendWrite>(step_);
+    return std::holds_alternative<SendStoreWrite>(step_);
 }
 
 WriteStep WriteAttempt::keep(WriteStep step)
@@ -177,7 +177,7 @@
     }
     sentTerm_ = view_.term;
     ++sends_;
-    return keep(SendWrite{sentTerm_});
+    return keep(SendStoreWrite{sentTerm_});
 }
 
 WriteStep WriteAttempt::sendAgain(Error otherwise, TimePoint now)
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -27,10 +27,10 @@
 };
 
 /// Send the request to the primary of \a term.
-struct SendWrite {
+struct SendStoreWrite {
     Term term;
 
-    [[nodiscard]] bool operator==(const SendWrite &) const = default;
+    [[nodiscard]] bool operator==(const SendStoreWrite &) const = default;
 };
 
 /// Ask the primary of \a term for the outcome of the request id, no earlier than \a notBefore.
@@ -71,7 +71,7 @@
 };
 
 /// The next step of a write.
-using WriteStep = std::variant<SendWrite, AskOutcome, WaitCoverage, WaitPrimary, AnswerWrite>;
+using WriteStep = std::variant<SendStoreWrite, AskOutcome, WaitCoverage, WaitPrimary, AnswerWrite>;
 
 /// What the caller wants of an attempt.
 enum class WriteGoal : std::uint8_t {
--- a/src/requests/transactions.cpp
+++ b/src/requests/transactions.cpp
@@ -46,7 +46,7 @@
 Result<OpenTransaction> TransactionRegistry::open(OpenTransaction transaction, TimePoint now)
 {
     if (!hasRoom()) {
-        return Error{ErrorKind::Overloaded, "too many open transactions"}.comingBackAfter(retryAfterFull);
+        return Error{ErrorKind::Overloaded, "too many open transactions"}.withRetryAfter(retryAfterFull);
     }
     if (byConnection_.count(transaction.connection) != 0) {
         return Error{ErrorKind::Internal, "the connection belongs to another transaction"};
@@ -74,7 +74,7 @@
     }
     auto &entry = found->second;
     if (entry.running) {
-        return Error{ErrorKind::Overloaded, "another statement of the transaction is running"}.comingBackAfter(retryAfterFull);
+        return Error{ErrorKind::Overloaded, "another statement of the transaction is running"}.withRetryAfter(retryAfterFull);
     }
     if (now >= expiryOf(entry)) {
         return Error{ErrorKind::TransactionAborted, "the transaction reached its time limit"};
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -289,13 +289,13 @@
 {
     if (now + limits_.stalePenalty >= plan.need_.deadline) {
         return GiveUpRead{
-            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.comingBackAfter(retryAfterNotFresh)};
+            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.withRetryAfter(retryAfterNotFresh)};
     }
     if (primary_ >= members_.size()) {
         return GiveUpRead{
-            Error{ErrorKind::NoPrimary, "no replica is fresh enough and there is no primary"}.comingBackAfter(retryAfterNotFresh)};
+            Error{ErrorKind::NoPrimary, "no replica is fresh enough and there is no primary"}.withRetryAfter(retryAfterNotFresh)};
     }
-    return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.comingBackAfter(retryAfterNotFresh)};
+    return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.withRetryAfter(retryAfterNotFresh)};
 }
 
 TimePoint ReadRouter::expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept
--- a/src/status/statusqueue.cpp
+++ b/src/status/statusqueue.cpp
@@ -10,7 +10,7 @@
 {
     auto key = record.key();
     const bool isNew = pending_.find(key) == pending_.end();
-    if (isNew && pending_.size() >= limits_.most) {
+    if (isNew && pending_.size() >= limits_.maxPending) {
         return false;
     }
     pending_.insert_or_assign(std::move(key), std::move(record));
@@ -25,7 +25,7 @@
     auto first = pending_.begin();
     auto record = std::move(first->second);
     pending_.erase(first);
-    notBefore_ = now + limits_.interval;
+    notBefore_ = now + limits_.minWriteInterval;
     return record;
 }
 
@@ -38,7 +38,7 @@
 {
     constexpr unsigned mostDoublings = 10;
     const auto doublings = std::min(failures_, mostDoublings);
-    const auto pause = std::min(limits_.longestPause, limits_.firstPause * (1U << doublings));
+    const auto pause = std::min(limits_.maxBackoff, limits_.initialBackoff * (1U << doublings));
     ++failures_;
     notBefore_ = now + pause;
     pending_.try_emplace(record.key(), record);
--- a/src/status/statusqueue.h
+++ b/src/status/statusqueue.h
@@ -14,12 +14,12 @@
 /// Limits of a StatusQueue.
 struct StatusLimits {
     /// Shortest time between two writes.
-    Milliseconds interval{200};
+    Milliseconds minWriteInterval{200};
     /// Pause after a failed write; doubles up to the longest.
-    Milliseconds firstPause{500};
-    Milliseconds longestPause{30'000};
+    Milliseconds initialBackoff{500};
+    Milliseconds maxBackoff{30'000};
     /// Records that may wait; further new names are dropped.
-    std::size_t most = 4096;
+    std::size_t maxPending = 4096;
 };
 
 /// Orders the writes of one process.
--- a/src/store/backoff.cpp
+++ b/src/store/backoff.cpp
@@ -14,11 +14,11 @@
 
 Milliseconds Backoff::next(Random &random)
 {
-    auto ceiling = options_.first;
-    for (unsigned doubled = 0; doubled < failures_ && ceiling < options_.longest; ++doubled) {
+    auto ceiling = options_.initialDelay;
+    for (unsigned doubled = 0; doubled < failures_ && ceiling < options_.maxDelay; ++doubled) {
         ceiling *= 2;
     }
-    ceiling = std::min(ceiling, options_.longest);
+    ceiling = std::min(ceiling, options_.maxDelay);
     ++failures_;
     const auto floor = ceiling / floorPart;
     const auto span = static_cast<std::uint64_t>((ceiling - floor).count());
--- a/src/store/backoff.h
+++ b/src/store/backoff.h
@@ -10,9 +10,9 @@
 /// Limits of a Backoff.
 struct BackoffOptions {
     /// Longest first wait.
-    Milliseconds first{100};
+    Milliseconds initialDelay{100};
     /// Longest wait of all.
-    Milliseconds longest{30'000};
+    Milliseconds maxDelay{30'000};
 };
 
 /// Waits between attempts that fail.
--- a/src/store/callbudget.cpp
+++ b/src/store/callbudget.cpp
@@ -52,7 +52,7 @@
     return true;
 }
 
-Milliseconds CallBudget::wait(CallKind kind, TimePoint now) noexcept
+Milliseconds CallBudget::timeUntilAvailable(CallKind kind, TimePoint now) noexcept
 {
     const auto &bucket = refilled(kind, now);
     if (bucket.tokens >= 1) {
--- a/src/store/callbudget.h
+++ b/src/store/callbudget.h
@@ -41,7 +41,7 @@
     [[nodiscard]] bool take(CallKind kind, TimePoint now) noexcept;
 
     /// How long until a call of \a kind can be taken; zero when it can be taken now.
-    [[nodiscard]] Milliseconds wait(CallKind kind, TimePoint now) noexcept;
+    [[nodiscard]] Milliseconds timeUntilAvailable(CallKind kind, TimePoint now) noexcept;
 
     /// Changes the rates, for example when the fleet has grown; tokens above the new burst are dropped.
     void setOptions(CallBudgetOptions options, TimePoint now) noexcept;
--- a/src/store/resolution.cpp
+++ b/src/store/resolution.cpp
@@ -34,7 +34,7 @@
 
 WriteAction WriteResolution::start()
 {
-    return SendWrite{};
+    return SendStoreWrite{};
 }
 
 WriteAction WriteResolution::onWriteReply(const WriteReply &reply, TimePoint now)
@@ -44,21 +44,21 @@
         return finishedAt(reply.version);
     case WriteReplyKind::Mismatch:
         // An earlier copy of this write may be what moved the version on.
-        if (lost_) {
+        if (replyLost_) {
             return ReadBack{};
         }
         return conflictAt(reply.version);
     case WriteReplyKind::TooLarge:
-        return lost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store refuses a value of this size"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store refuses a value of this size"}};
     case WriteReplyKind::Rejected:
-        return lost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store refuses this write"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store refuses this write"}};
     case WriteReplyKind::NotSent:
     case WriteReplyKind::TooManyCalls:
         return waitOrGiveUp(now);
     case WriteReplyKind::Lost:
         break;
     }
-    lost_ = true;
+    replyLost_ = true;
     if (now >= deadline_) {
         return giveUp();
     }
@@ -68,17 +68,17 @@
 WriteAction WriteResolution::onReadBack(const ReadBackReply &reply, TimePoint now)
 {
     if (!reply.answered) {
-        readNext_ = true;
+        readBackNext_ = true;
         return waitOrGiveUp(now);
     }
     if (!reply.object || reply.object->deleted) {
-        return judgeAbsence(now);
+        return evaluateAbsence(now);
     }
     if (reply.object->version != write_.expected) {
-        return judge(*reply.object);
+        return evaluate(*reply.object);
     }
     // Not applied so far; a copy may still be on its way, so only another conditional write settles it.
-    readNext_ = false;
+    readBackNext_ = false;
     return waitOrGiveUp(now);
 }
 
@@ -87,14 +87,14 @@
     if (now >= deadline_) {
         return giveUp();
     }
-    if (readNext_) {
-        readNext_ = false;
+    if (readBackNext_) {
+        readBackNext_ = false;
         return ReadBack{};
     }
-    return SendWrite{};
+    return SendStoreWrite{};
 }
 
-WriteAction WriteResolution::judge(const StoredObject &found)
+WriteAction WriteResolution::evaluate(const StoredObject &found)
 {
     if (write_.removal) {
         // Either another writer changed it first, or it was removed and made anew.
@@ -114,7 +114,7 @@
     return chainReachesExpected ? conflictAt(found.version) : unknownAt(found.version);
 }
 
-WriteAction WriteResolution::judgeAbsence(TimePoint now)
+WriteAction WriteResolution::evaluateAbsence(TimePoint now)
 {
     if (write_.removal) {
         return finishedAt({});
@@ -123,7 +123,7 @@
         return unknownAt({});
     }
     // Never applied, on its way, or applied and removed by another: sent again it could bring a removed object back.
-    readNext_ = true;
+    readBackNext_ = true;
     return waitOrGiveUp(now);
 }
 
@@ -138,15 +138,15 @@
 
 WriteAction WriteResolution::giveUp() const
 {
-    if (lost_) {
+    if (replyLost_) {
         return unknownAt({});
     }
-    return WriteFinished{Error{ErrorKind::StoreUnavailable, "the store did not take the change"}.comingBackAfter(comeBack)};
+    return WriteFinished{Error{ErrorKind::StoreUnavailable, "the store did not take the change"}.withRetryAfter(comeBack)};
 }
 
 WriteAction WriteResolution::finishedAt(Revision version) const
 {
-    return WriteFinished{StoreWritten{version, lost_}};
+    return WriteFinished{StoreWritten{version, replyLost_}};
 }
 
 WriteAction WriteResolution::conflictAt(Revision current) const
@@ -158,7 +158,7 @@
 
 WriteAction WriteResolution::unknownAt(Revision current) const
 {
-    auto error = Error{ErrorKind::StoreOutcomeUnknown, "the store's answer was lost; read the object back"}.comingBackAfter(comeBack);
+    auto error = Error{ErrorKind::StoreOutcomeUnknown, "the store's answer was lost; read the object back"}.withRetryAfter(comeBack);
     if (current.value != 0) {
         error.currentVersion = current.value;
     }
--- a/src/store/resolution.h
+++ b/src/store/resolution.h
@@ -63,8 +63,8 @@
 };
 
 /// Send the write now.
-struct SendWrite {
-    [[nodiscard]] bool operator==(const SendWrite &) const = default;
+struct SendStoreWrite {
+    [[nodiscard]] bool operator==(const SendStoreWrite &) const = default;
 };
 /// Read the object now.
 struct ReadBack {
@@ -82,7 +82,7 @@
 struct WriteFinished {
     Result<StoreWritten> outcome;
 };
-using WriteAction = std::variant<SendWrite, ReadBack, WaitUntil, WriteFinished>;
+using WriteAction = std::variant<SendStoreWrite, ReadBack, WaitUntil, WriteFinished>;
 
 /// The state machine of one write.
 ///
@@ -105,8 +105,8 @@
     [[nodiscard]] WriteAction onWaited(TimePoint now);
 
 private:
-    [[nodiscard]] WriteAction judge(const StoredObject &found);
-    [[nodiscard]] WriteAction judgeAbsence(TimePoint now);
+    [[nodiscard]] WriteAction evaluate(const StoredObject &found);
+    [[nodiscard]] WriteAction evaluateAbsence(TimePoint now);
     [[nodiscard]] WriteAction waitOrGiveUp(TimePoint now);
     [[nodiscard]] WriteAction giveUp() const;
     [[nodiscard]] WriteAction finishedAt(Revision version) const;
@@ -118,9 +118,9 @@
     Random random_;
     Backoff backoff_;
     /// True once a copy was sent whose answer was lost; never becomes false again.
-    bool lost_ = false;
+    bool replyLost_ = false;
     /// True when the next step after a wait is to read back.
-    bool readNext_ = false;
+    bool readBackNext_ = false;
 };
 
 } // namespace cardamomstep
--- a/src/store/storeclient.cpp
+++ b/src/store/storeclient.cpp
@@ -93,7 +93,7 @@
             ++(kind == CallKind::Read ? counts.reads : counts.writes);
             return Milliseconds{0};
         }
-        return std::max(Milliseconds{1}, budget.wait(kind, now));
+        return std::max(Milliseconds{1}, budget.timeUntilAvailable(kind, now));
     }
 
     /// As takeCall(), but waits for the call where that ends before \a deadline; known to be too late, it does not wait.
@@ -129,7 +129,7 @@
     {
         const auto wait = awaitCall(CallKind::Read, steadyNow() + timeout);
         if (wait.count() > 0) {
-            return Error{ErrorKind::StoreUnavailable, "this proxy has used up its calls to the store"}.comingBackAfter(wait);
+            return Error{ErrorKind::StoreUnavailable, "this proxy has used up its calls to the store"}.withRetryAfter(wait);
         }
         auto result = exchange(request, timeout);
         const bool mayHaveBeenClosedBefore = !result.response && !result.failure.timedOut && !result.failure.refused;
@@ -137,11 +137,11 @@
             result = exchange(std::move(request), timeout);
         }
         if (!result.response) {
-            return Error{ErrorKind::StoreUnavailable, result.failure.description}.comingBackAfter(options.attemptTimeout);
+            return Error{ErrorKind::StoreUnavailable, result.failure.description}.withRetryAfter(options.attemptTimeout);
         }
         if (result.response->status != statusOk && result.response->status != alsoGood) {
             return Error{ErrorKind::StoreUnavailable, "the store answers with status " + std::to_string(result.response->status)}
-                .comingBackAfter(options.attemptTimeout);
+                .withRetryAfter(options.attemptTimeout);
         }
         return *result.response;
     }
@@ -234,7 +234,7 @@
     WriteResolution resolution{write, deadline, impl_->nextSeed()};
     auto action = WriteResolution::start();
     while (!std::holds_alternative<WriteFinished>(action)) {
-        if (std::holds_alternative<SendWrite>(action)) {
+        if (std::holds_alternative<SendStoreWrite>(action)) {
             const auto reply = impl_->sendWrite(write, deadline);
             action = resolution.onWriteReply(reply, steadyNow());
         } else if (std::holds_alternative<ReadBack>(action)) {
--- a/src/store/watchresume.cpp
+++ b/src/store/watchresume.cpp
@@ -5,48 +5,48 @@
 
 StoreStep WatchResume::next(Revision complete, TimePoint now) const
 {
-    if (now < pausedUntil_) {
-        return PauseUntil{pausedUntil_};
+    if (now < nextCallAt_) {
+        return DelayUntil{nextCallAt_};
     }
     const bool nothingKnown = !listed_ && complete.value == 0;
-    if (resumeLost_ || nothingKnown) {
+    if (relistRequired_ || nothingKnown) {
         return ListAll{};
     }
-    return WatchAfter{complete, options_.wait};
+    return WatchAfter{complete, options_.watchTimeout};
 }
 
-StoreAnswer WatchResume::onListing(const StoreListing &listing, Revision complete, TimePoint now)
+StoreReplyKind WatchResume::onListing(const StoreListing &listing, Revision complete, TimePoint now)
 {
-    const auto answer = judged(listing.revision, complete, now);
-    if (answer == StoreAnswer::Current) {
+    const auto answer = classify(listing.revision, complete, now);
+    if (answer == StoreReplyKind::Current) {
         listed_ = true;
-        resumeLost_ = false;
+        relistRequired_ = false;
     }
     return answer;
 }
 
-StoreAnswer WatchResume::onChanges(const StoreChanges &changes, Revision complete, TimePoint now)
+StoreReplyKind WatchResume::onChanges(const StoreChanges &changes, Revision complete, TimePoint now)
 {
     if (changes.tooOld) {
-        resumeLost_ = true;
-        return StoreAnswer::TooOld;
+        relistRequired_ = true;
+        return StoreReplyKind::TooOld;
     }
-    return judged(changes.revision, complete, now);
+    return classify(changes.revision, complete, now);
 }
 
 void WatchResume::onFailure(TimePoint now)
 {
-    pausedUntil_ = now + backoff_.next(random_);
+    nextCallAt_ = now + backoff_.next(random_);
 }
 
-StoreAnswer WatchResume::judged(Revision revision, Revision complete, TimePoint now)
+StoreReplyKind WatchResume::classify(Revision revision, Revision complete, TimePoint now)
 {
     if (revision < complete) {
         onFailure(now);
-        return StoreAnswer::Stale;
+        return StoreReplyKind::Stale;
     }
     backoff_.reset();
-    return StoreAnswer::Current;
+    return StoreReplyKind::Current;
 }
 
 } // namespace cardamomstep
--- a/src/store/watchresume.h
+++ b/src/store/watchresume.h
@@ -22,14 +22,14 @@
     [[nodiscard]] bool operator==(const WatchAfter &) const = default;
 };
 /// Make no call before this time.
-struct PauseUntil {
+struct DelayUntil {
     TimePoint time;
-    [[nodiscard]] bool operator==(const PauseUntil &) const = default;
+    [[nodiscard]] bool operator==(const DelayUntil &) const = default;
 };
-using StoreStep = std::variant<ListAll, WatchAfter, PauseUntil>;
+using StoreStep = std::variant<ListAll, WatchAfter, DelayUntil>;
 
 /// What one answer of the store is worth.
-enum class StoreAnswer : std::uint8_t {
+enum class StoreReplyKind : std::uint8_t {
     Current, ///< At least as new as all that is known here.
     Stale, ///< From before what is known here; its missing objects say nothing.
     TooOld, ///< The store cannot resume from the revision asked for.
@@ -39,7 +39,7 @@
 /// Limits of a WatchResume.
 struct WatchResumeOptions {
     /// Longest wait of one watch; each answer, also an empty one, confirms that the configuration is current.
-    Milliseconds wait{1000};
+    Milliseconds watchTimeout{1000};
     /// Longest first wait, and longest wait of all, after failures.
     BackoffOptions backoff{Milliseconds{100}, Milliseconds{5000}};
 };
@@ -61,18 +61,18 @@
     [[nodiscard]] StoreStep next(Revision complete, TimePoint now) const;
 
     /// Judges a listing; \a complete is what was known before it.
-    StoreAnswer onListing(const StoreListing &listing, Revision complete, TimePoint now);
+    StoreReplyKind onListing(const StoreListing &listing, Revision complete, TimePoint now);
 
     /// Judges the answer to a watch.
-    StoreAnswer onChanges(const StoreChanges &changes, Revision complete, TimePoint now);
+    StoreReplyKind onChanges(const StoreChanges &changes, Revision complete, TimePoint now);
 
     /// Counts a call without a usable answer.
     void onFailure(TimePoint now);
 
     /// Sets the longest wait of the watches from now on.
-    void setWait(Milliseconds wait) noexcept
+    void setWatchTimeout(Milliseconds wait) noexcept
     {
-        options_.wait = wait;
+        options_.watchTimeout = wait;
     }
 
     /// Failures and stale answers in a row.
@@ -82,16 +82,16 @@
     }
 
 private:
-    StoreAnswer judged(Revision revision, Revision complete, TimePoint now);
+    StoreReplyKind classify(Revision revision, Revision complete, TimePoint now);
 
     WatchResumeOptions options_;
     Random random_;
     Backoff backoff_{options_.backoff};
-    TimePoint pausedUntil_;
+    TimePoint nextCallAt_;
     /// True until the first listing, unless peers know the configuration; an empty store has revision 0.
     bool listed_ = false;
     /// True after a 410.
-    bool resumeLost_ = false;
+    bool relistRequired_ = false;
 };
 
 } // namespace cardamomstep
--- a/tests/cli/test_cli.cpp
+++ b/tests/cli/test_cli.cpp
@@ -280,7 +280,7 @@
     cr_assert(run({"apply", "-f", file, "--address", "127.0.0.1:18307"}).code == 4);
     cr_assert(run({"status", "--address", "127.0.0.1:18307"}).code == 4);
     Proxy proxy("127.0.0.1:18308");
-    proxy.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.comingBackAfter(Milliseconds{1500});
+    proxy.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.withRetryAfter(Milliseconds{1500});
     const auto down = run({"apply", "-f", file});
     cr_assert(down.code == 4 && contains(down.err, "(come back after 1500 ms)"), "%s", down.err.c_str());
 }
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -232,7 +232,7 @@
             return;
         }
         const auto step = nodes_[index]->nextStoreStep(now_);
-        if (const auto *pause = std::get_if<PauseUntil>(&step)) {
+        if (const auto *pause = std::get_if<DelayUntil>(&step)) {
             at(std::max(pause->time, now_ + Milliseconds{1}), [this, index, epoch] { storeLoop(index, epoch); });
             return;
         }
--- a/tests/operators/test_operators.cpp
+++ b/tests/operators/test_operators.cpp
@@ -240,7 +240,7 @@
 {
     Fixture fixture;
     fixture.ask("PUT", groupPath, groupText("g", 1));
-    fixture.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.comingBackAfter(Milliseconds{1500});
+    fixture.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.withRetryAfter(Milliseconds{1500});
     const auto refused = fixture.ask("PUT", groupPath, groupText("g", 2));
     cr_assert(refused.status == 503 && body(refused)["ran"] == "no" && refused.headers.at("retry-after") == "2");
     const auto cached = fixture.json(groupPath);
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -75,7 +75,7 @@
     LineProtocol::appendReply(out, reply);
     cr_assert(out.starts_with("ERROR INDOUBT"));
     out.clear();
-    reply.error = Error{ErrorKind::Overloaded, "full\r\nERROR"}.comingBackAfter(Milliseconds{40});
+    reply.error = Error{ErrorKind::Overloaded, "full\r\nERROR"}.withRetryAfter(Milliseconds{40});
     LineProtocol::appendReply(out, reply);
     cr_assert(out == "ERROR BUSY full  ERROR; retry after 40 ms\r\nREADY I -\r\n");
     // An error that may have run must never go out under a code that promises otherwise.
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -95,7 +95,7 @@
 {
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
-    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendWrite{termOf(3)}});
+    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendStoreWrite{termOf(3)}});
     const LogPosition entry{termOf(3), 12};
     cr_assert(attempt.replied(doneAt(entry), at(5)) == covering(entry));
     cr_assert(is<WaitCoverage>(attempt.covered(LogPosition{termOf(3), 11})));
@@ -150,7 +150,7 @@
     cr_assert(is<AskOutcome>(attempt.primaryChanged({termOf(4), false}, at(10))));
     cr_assert(is<AskOutcome>(attempt.outcome(outcomeAt(termOf(4), std::nullopt), at(20))), "the start entry may still be lost");
     cr_assert(is<AskOutcome>(attempt.primaryChanged({termOf(4), true}, at(30))));
-    cr_assert(attempt.outcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendWrite{termOf(4)}});
+    cr_assert(attempt.outcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendStoreWrite{termOf(4)}});
     cr_assert(attempt.sends() == 2);
 }
 
@@ -173,8 +173,8 @@
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
-    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(1))));
-    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(2))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(1))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(2))));
     const auto answer = answerOf(attempt.sendFailed(unsent, at(3)));
     cr_assert(answer.ran == Ran::No && answer.error->kind == ErrorKind::EndpointUnreachable && answer.error->retryAfter);
 }
@@ -185,12 +185,12 @@
     const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
-    const WriteStep atNew = SendWrite{termOf(4)};
+    cr_assert(is<SendStoreWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
+    const WriteStep atNew = SendStoreWrite{termOf(4)};
     cr_assert(attempt.sendFailed(unsent, at(2)) == atNew);
     (void)attempt.primaryChanged({}, at(3));
     cr_assert(is<WaitPrimary>(attempt.sendFailed(unsent, at(4))));
-    const WriteStep atNext = SendWrite{termOf(5)};
+    const WriteStep atNext = SendStoreWrite{termOf(5)};
     cr_assert(attempt.primaryChanged({termOf(5), false}, at(9)) == atNext);
     const auto answer = answerOf(attempt.sendFailed(unsent, at(10)));
     cr_assert(answer.ran == Ran::No);
@@ -203,7 +203,7 @@
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(attempt.replied(refusal(Refusal::LowerTerm), at(5)) == WriteStep{WaitPrimary{termOf(3)}});
     cr_assert(is<WaitPrimary>(attempt.primaryChanged({termOf(3), true}, at(6))));
-    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendWrite{termOf(4)}});
+    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendStoreWrite{termOf(4)}});
 }
 
 Test(requests, withoutAPrimaryTheAnswerIsNotRunAndInTime)
@@ -268,8 +268,8 @@
     RetryBudget budget{{0.1, 2}};
     WriteAttempt attempt{needUntil(1000, true), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(10))));
-    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(20))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(10))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(20))));
     cr_assert(is<AskOutcome>(attempt.sendFailed(lost(), at(30))), "the budget is spent");
     cr_assert(attempt.sends() == 3);
 }
@@ -449,7 +449,7 @@
             (void)group.arrive(term);
         } else if (event == 5) {
             step = attempt.primaryChanged(group.view(), now);
-        } else if (const auto *send = std::get_if<SendWrite>(&step)) {
+        } else if (const auto *send = std::get_if<SendStoreWrite>(&step)) {
             const auto fate = *rc::gen::inRange(0, 4);
             if (fate == 0) {
                 group.flying.push_back(send->term);
--- a/tests/store/test_follow.cpp
+++ b/tests/store/test_follow.cpp
@@ -25,7 +25,7 @@
 {
     WatchResume resume{{}, 1};
     cr_assert(std::holds_alternative<ListAll>(resume.next({}, start)));
-    cr_assert(resume.onListing({Revision{7}, {}}, {}, start) == StoreAnswer::Current);
+    cr_assert(resume.onListing({Revision{7}, {}}, {}, start) == StoreReplyKind::Current);
     const auto step = resume.next(Revision{7}, start);
     cr_assert(std::holds_alternative<WatchAfter>(step));
     cr_assert(std::get<WatchAfter>(step).after == Revision{7});
@@ -34,16 +34,16 @@
 Test(watchresume, emptyStoreIsListedOnce)
 {
     WatchResume resume{{}, 1};
-    cr_assert(resume.onListing({}, {}, start) == StoreAnswer::Current);
+    cr_assert(resume.onListing({}, {}, start) == StoreReplyKind::Current);
     cr_assert(std::holds_alternative<WatchAfter>(resume.next({}, start)));
 }
 
 Test(watchresume, goneLeadsToAListing)
 {
     WatchResume resume{{}, 1};
-    cr_assert(resume.onChanges({Revision{7}, {}, {}, true}, Revision{7}, start) == StoreAnswer::TooOld);
+    cr_assert(resume.onChanges({Revision{7}, {}, {}, true}, Revision{7}, start) == StoreReplyKind::TooOld);
     cr_assert(std::holds_alternative<ListAll>(resume.next(Revision{7}, start)));
-    cr_assert(resume.onListing({Revision{9}, {}}, Revision{7}, start) == StoreAnswer::Current);
+    cr_assert(resume.onListing({Revision{9}, {}}, Revision{7}, start) == StoreReplyKind::Current);
     cr_assert(std::holds_alternative<WatchAfter>(resume.next(Revision{9}, start)));
 }
 
@@ -51,20 +51,20 @@
 {
     WatchResume resume{{}, 1};
     (void)resume.onChanges({Revision{7}, {}, {}, true}, Revision{7}, start);
-    cr_assert(resume.onListing({Revision{5}, {}}, Revision{7}, start) == StoreAnswer::Stale);
+    cr_assert(resume.onListing({Revision{5}, {}}, Revision{7}, start) == StoreReplyKind::Stale);
     const auto step = resume.next(Revision{7}, start);
-    cr_assert(std::holds_alternative<PauseUntil>(step));
-    cr_assert(std::holds_alternative<ListAll>(resume.next(Revision{7}, std::get<PauseUntil>(step).time)));
+    cr_assert(std::holds_alternative<DelayUntil>(step));
+    cr_assert(std::holds_alternative<ListAll>(resume.next(Revision{7}, std::get<DelayUntil>(step).time)));
 }
 
 Test(watchresume, staleChangesPauseAndGoOnFromTheSameRevision)
 {
     WatchResume resume{{}, 1};
-    cr_assert(resume.onChanges({Revision{7}, Revision{4}, {}, false}, Revision{7}, start) == StoreAnswer::Stale);
+    cr_assert(resume.onChanges({Revision{7}, Revision{4}, {}, false}, Revision{7}, start) == StoreReplyKind::Stale);
     const auto pause = resume.next(Revision{7}, start);
-    cr_assert(std::holds_alternative<PauseUntil>(pause));
-    const auto step = resume.next(Revision{7}, std::get<PauseUntil>(pause).time);
-    cr_assert((step == StoreStep{WatchAfter{Revision{7}, WatchResumeOptions{}.wait}}));
+    cr_assert(std::holds_alternative<DelayUntil>(pause));
+    const auto step = resume.next(Revision{7}, std::get<DelayUntil>(pause).time);
+    cr_assert((step == StoreStep{WatchAfter{Revision{7}, WatchResumeOptions{}.watchTimeout}}));
 }
 
 Test(callbudget, neverAboveRateAndBurst)
@@ -80,7 +80,7 @@
             if (budget.take(CallKind::Read, now)) {
                 ++taken;
             } else {
-                const auto later = now + budget.wait(CallKind::Read, now);
+                const auto later = now + budget.timeUntilAvailable(CallKind::Read, now);
                 RC_ASSERT(later > now);
             }
         }
@@ -126,7 +126,7 @@
             break;
         }
         if (!budgets[node].take(CallKind::Read, now)) {
-            attempts.push({now + budgets[node].wait(CallKind::Read, now), node});
+            attempts.push({now + budgets[node].timeUntilAvailable(CallKind::Read, now), node});
             continue;
         }
         ++perSecond[second];
--- a/tests/store/test_resolution.cpp
+++ b/tests/store/test_resolution.cpp
@@ -41,7 +41,7 @@
     auto action = WriteResolution::start();
     while (!std::holds_alternative<WriteFinished>(action)) {
         now += Milliseconds{2};
-        if (std::holds_alternative<SendWrite>(action)) {
+        if (std::holds_alternative<SendStoreWrite>(action)) {
             action = resolution.onWriteReply(send(write), now);
         } else if (std::holds_alternative<ReadBack>(action)) {
             action = resolution.onReadBack(read(), now);
