--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -22,7 +22,7 @@
     SpreadOptions options;
     options.self = self.name;
     options.domain = self.domain;
-    options.currency = {};
+    options.freshness = {};
     options.seed = seed;
     return options;
 }
@@ -104,10 +104,10 @@
     return catalog_;
 }
 
-CurrencyState ConfigurationService::currency() const
+ConfigurationFreshnessState ConfigurationService::currency() const
 {
     const std::lock_guard lock(mutex_);
-    return spread_.currency(steadyNow());
+    return spread_.configurationFreshness(steadyNow());
 }
 
 bool ConfigurationService::mayAccept() const
--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -46,7 +46,7 @@
     [[nodiscard]] std::shared_ptr<const Catalog> catalog() const;
 
     /// What this proxy can know about its configuration.
-    [[nodiscard]] CurrencyState currency() const;
+    [[nodiscard]] ConfigurationFreshnessState currency() const;
 
     /// True when this proxy may write changes to the store.
     [[nodiscard]] bool mayAccept() const;
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -333,7 +333,7 @@
 entry::FleetView Proxy::Impl::view() const
 {
     const auto currency = configuration.currency();
-    const bool mayServe = currency == CurrencyState::Current || currency == CurrencyState::StoreSilent;
+    const bool mayServe = currency == ConfigurationFreshnessState::Current || currency == ConfigurationFreshnessState::StoreSilent;
     return {configuration.catalog(), membership.owners(), mayServe};
 }
 
--- a/src/configuration/currency.h
+++ b/src/configuration/configurationfreshness.h
@@ -15,7 +15,7 @@
 namespace cardamomstep {
 
 /// What a proxy can know about its configuration.
-enum class CurrencyState : std::uint8_t {
+enum class ConfigurationFreshnessState : std::uint8_t {
     Starting, ///< No whole configuration yet: not ready, no work.
     Current, ///< The store confirmed it a short time ago, to this proxy or along a chain of peers.
     StoreSilent, ///< The store confirms nothing, but a majority of the failure domains is heard: work goes on.
@@ -23,14 +23,14 @@
 };
 
 /// "starting", "current", "store-silent" or "isolated".
-[[nodiscard]] std::string_view toText(CurrencyState state) noexcept;
+[[nodiscard]] std::string_view toText(ConfigurationFreshnessState state) noexcept;
 
 /// Limits of a Currency.
-struct CurrencyOptions {
+struct ConfigurationFreshnessOptions {
     /// Longest time that a confirmation or a sign of life holds.
-    Milliseconds bound{10'000};
+    Milliseconds maxAge{10'000};
     /// Most failure domains that are tracked.
-    std::size_t domains = 64;
+    std::size_t maxDomains = 64;
 };
 
 /// How long ago a failure domain was heard.
@@ -45,11 +45,11 @@
 ///
 /// All times are those of a request's start, never of an answer's arrival, so that a process that was paused, or an answer that lay
 /// in a buffer, is never taken for fresh.
-class Currency
+class ConfigurationFreshness
 {
 public:
-    Currency(FailureDomain home, CurrencyOptions options)
-        : home_(std::move(home))
+    ConfigurationFreshness(FailureDomain home, ConfigurationFreshnessOptions options)
+        : ownDomain_(std::move(home))
         , options_(options)
     {
     }
@@ -58,21 +58,21 @@
     void setListed(std::size_t domains, bool hasPeers) noexcept;
 
     /// A whole configuration is known.
-    void started() noexcept
+    void onConfigurationLoaded() noexcept
     {
-        started_ = true;
+        loaded_ = true;
     }
 
     /// At \a time the store held nothing newer than what is known here.
-    void confirmed(TimePoint time);
+    void onStoreConfirmation(TimePoint time);
 
     /// At \a time a proxy of \a domain was alive and what it knew is known here.
-    void heard(const FailureDomain &domain, TimePoint time);
+    void onContact(const FailureDomain &domain, TimePoint time);
 
-    [[nodiscard]] CurrencyState state(TimePoint now) const;
+    [[nodiscard]] ConfigurationFreshnessState state(TimePoint now) const;
 
     /// True when more than half of the listed failure domains were heard within the bound.
-    [[nodiscard]] bool hearsMajority(TimePoint now) const;
+    [[nodiscard]] bool hasMajorityContact(TimePoint now) const;
 
     /// Age of the newest confirmation; nothing when there is none within the bound.
     [[nodiscard]] std::optional<Milliseconds> confirmationAge(TimePoint now) const;
@@ -83,14 +83,14 @@
 private:
     [[nodiscard]] bool isFresh(TimePoint time, TimePoint now) const noexcept;
 
-    FailureDomain home_;
-    CurrencyOptions options_;
+    FailureDomain ownDomain_;
+    ConfigurationFreshnessOptions options_;
     std::size_t listedDomains_ = 1;
     bool hasPeers_ = false;
-    bool started_ = false;
+    bool loaded_ = false;
     std::optional<TimePoint> confirmedAt_;
     /// Invariant: at most `options_.domains` entries.
-    std::map<FailureDomain, TimePoint> heardAt_;
+    std::map<FailureDomain, TimePoint> lastContactAt_;
 };
 
 } // namespace cardamomstep
--- a/src/configuration/fwd.h
+++ b/src/configuration/fwd.h
@@ -7,6 +7,6 @@
 struct ConfigurationDelta;
 class ConfigurationState;
 class ConfigurationSpread;
-class Currency;
+class ConfigurationFreshness;
 
 } // namespace cardamomstep
--- a/src/configuration/spread.cpp
+++ b/src/configuration/spread.cpp
@@ -46,7 +46,7 @@
     : options_(std::move(options))
     , random_(options_.seed)
     , state_(options_.limits)
-    , currency_(options_.domain, options_.currency)
+    , freshness_(options_.domain, options_.freshness)
     , watch_(options_.watch, random_())
     , ask_(askOptions, random_())
 {
@@ -85,7 +85,7 @@
     for (auto entry = held_.begin(); entry != held_.end();) {
         entry = isKnown(entry->first) ? std::next(entry) : held_.erase(entry);
     }
-    currency_.setListed(std::max(listedDomains, domains_.size()), !home_.empty() || !abroad_.empty());
+    freshness_.setListed(std::max(listedDomains, domains_.size()), !home_.empty() || !abroad_.empty());
 }
 
 SpreadActions ConfigurationSpread::tick(TimePoint now)
@@ -153,7 +153,7 @@
     if (isWatcher_) {
         return watch_.next(state_.digest().complete, now);
     }
-    const auto age = currency_.confirmationAge(now);
+    const auto age = freshness_.confirmationAge(now);
     if (age && *age < options_.askStoreAfter) {
         askAt_.reset();
         return DelayUntil{now + options_.period};
@@ -176,8 +176,8 @@
         return actions;
     }
     auto applied = state_.applyListing(listing);
-    currency_.started();
-    currency_.confirmed(calledAt);
+    freshness_.onConfigurationLoaded();
+    freshness_.onStoreConfirmation(calledAt);
     const bool isNews = !applied.empty();
     publish(std::move(applied), before, now, actions);
     if (isNews) {
@@ -195,7 +195,7 @@
     }
     auto applied = state_.applyChanges(changes);
     if (changes.revision <= state_.digest().complete) {
-        currency_.confirmed(calledAt);
+        freshness_.onStoreConfirmation(calledAt);
     }
     const bool isNews = !applied.empty();
     publish(std::move(applied), before, now, actions);
@@ -237,16 +237,16 @@
 SpreadMessage ConfigurationSpread::replyTo(const ConfigurationDigest &peer, TimePoint now) const
 {
     auto reply = message();
-    if (currency_.state(now) == CurrencyState::Starting) {
+    if (freshness_.state(now) == ConfigurationFreshnessState::Starting) {
         return reply;
     }
     if (lacks(peer)) {
         reply.delta = state_.deltaFor(peer);
     }
-    if (const auto age = currency_.confirmationAge(now)) {
+    if (const auto age = freshness_.confirmationAge(now)) {
         reply.confirmation = StoreConfirmation{reply.digest.complete, *age};
     }
-    reply.heard = currency_.ages(now);
+    reply.heard = freshness_.ages(now);
     return reply;
 }
 
@@ -347,12 +347,12 @@
     if (mine.complete < reply.digest.complete || reply.heard.empty()) {
         return;
     }
-    currency_.started();
+    freshness_.onConfigurationLoaded();
     if (reply.confirmation && reply.confirmation->revision <= mine.complete) {
-        currency_.confirmed(sentAt - reply.confirmation->age);
+        freshness_.onStoreConfirmation(sentAt - reply.confirmation->age);
     }
     for (const auto &entry : reply.heard) {
-        currency_.heard(entry.domain, sentAt - entry.age);
+        freshness_.onContact(entry.domain, sentAt - entry.age);
     }
 }
 
--- a/src/configuration/spread.h
+++ b/src/configuration/spread.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "base/random.h"
-#include "configuration/currency.h"
+#include "configuration/configurationfreshness.h"
 #include "configuration/state.h"
 #include "membership/rendezvous.h"
 #include "store/watchresume.h"
@@ -84,7 +84,7 @@
     std::size_t exchanges = 64;
     /// Age of the newest confirmation from which a proxy that does not watch asks the store itself.
     Milliseconds askStoreAfter{5000};
-    CurrencyOptions currency;
+    ConfigurationFreshnessOptions freshness;
     WatchResumeOptions watch;
     ConfigurationLimits limits;
     std::uint64_t seed = 1;
@@ -126,15 +126,15 @@
     [[nodiscard]] SpreadActions onAccepted(const StoredObject &change, TimePoint now);
 
     /// What this proxy can know about its configuration; decides /ready and whether work is taken.
-    [[nodiscard]] CurrencyState currency(TimePoint now) const
+    [[nodiscard]] ConfigurationFreshnessState configurationFreshness(TimePoint now) const
     {
-        return currency_.state(now);
+        return freshness_.state(now);
     }
 
     /// True when this proxy may write changes to the store: it is current and hears a majority of the failure domains.
     [[nodiscard]] bool mayAccept(TimePoint now) const
     {
-        return currency_.state(now) == CurrencyState::Current && currency_.hearsMajority(now);
+        return freshness_.state(now) == ConfigurationFreshnessState::Current && freshness_.hasMajorityContact(now);
     }
 
     /// Failure domains, this one included, in which some proxy is known to hold all up to \a revision or the change of \a revision.
@@ -190,7 +190,7 @@
     SpreadOptions options_;
     Random random_;
     ConfigurationState state_;
-    Currency currency_;
+    ConfigurationFreshness freshness_;
     /// For watchers.
     WatchResume watch_;
     /// For others that ask the store themselves: no waiting, long pauses.
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -119,10 +119,10 @@
         }));
     }
 
-    std::size_t countIn(CurrencyState state)
+    std::size_t countIn(ConfigurationFreshnessState state)
     {
         return static_cast<std::size_t>(
-            std::count_if(nodes_.begin(), nodes_.end(), [&](const auto &node) { return node->currency(now_) == state; }));
+            std::count_if(nodes_.begin(), nodes_.end(), [&](const auto &node) { return node->configurationFreshness(now_) == state; }));
     }
 
     bool reachesStore(std::size_t index) const
--- a/tests/configuration/test_spread.cpp
+++ b/tests/configuration/test_spread.cpp
@@ -29,7 +29,7 @@
         fleet.acceptElsewhere("first-" + std::to_string(index));
     }
     fleet.run(Seconds{15});
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
 }
 
 std::size_t mostStoreCalls(const FleetModel &fleet)
@@ -72,10 +72,10 @@
     fleet.storeDown = true;
     fleet.run(Seconds{20});
     fleet.restart(4);
-    cr_assert(fleet.node(4).currency(fleet.now()) == CurrencyState::Starting);
+    cr_assert(fleet.node(4).configurationFreshness(fleet.now()) == ConfigurationFreshnessState::Starting);
     fleet.run(Seconds{12});
     cr_assert(fleet.node(4).state().size() == 20);
-    cr_assert(fleet.node(4).currency(fleet.now()) == CurrencyState::StoreSilent);
+    cr_assert(fleet.node(4).configurationFreshness(fleet.now()) == ConfigurationFreshnessState::StoreSilent);
     cr_assert(!fleet.node(4).mayAccept(fleet.now()));
 }
 
@@ -86,14 +86,14 @@
     fleet.cutAlone(3, true);
     const auto cutAt = fleet.now();
     const auto revision = fleet.accept(0, "ledger");
-    while (fleet.node(3).currency(fleet.now()) != CurrencyState::Isolated) {
+    while (fleet.node(3).configurationFreshness(fleet.now()) != ConfigurationFreshnessState::Isolated) {
         fleet.run(Milliseconds{100});
-        cr_assert(fleet.now() - cutAt <= CurrencyOptions{}.bound + Milliseconds{200});
+        cr_assert(fleet.now() - cutAt <= ConfigurationFreshnessOptions{}.maxAge + Milliseconds{200});
     }
     cr_assert(fleet.holders(revision, "ledger") == fleet.size() - 1);
     fleet.cutAlone(3, false);
     fleet.run(inForceWithin);
-    cr_assert(fleet.node(3).currency(fleet.now()) == CurrencyState::Current);
+    cr_assert(fleet.node(3).configurationFreshness(fleet.now()) == ConfigurationFreshnessState::Current);
     cr_assert(fleet.holders(revision, "ledger") == fleet.size());
 }
 
@@ -106,10 +106,10 @@
     fleet.run(inForceWithin);
     cr_assert(fleet.holders(revision, "ledger") == fleet.size());
     fleet.run(Seconds{60});
-    cr_assert(fleet.countIn(CurrencyState::StoreSilent) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::StoreSilent) == fleet.size());
     fleet.storeDown = false;
     fleet.run(Seconds{12});
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
     cr_assert(fleet.reverted == 0);
 }
 
@@ -176,9 +176,9 @@
     }
 }
 
-bool serves(CurrencyState state)
+bool serves(ConfigurationFreshnessState state)
 {
-    return state == CurrencyState::Current || state == CurrencyState::StoreSilent;
+    return state == ConfigurationFreshnessState::Current || state == ConfigurationFreshnessState::StoreSilent;
 }
 
 /// Asserts that whoever serves has all changes that a majority of failure domains held a bound and a little ago.
@@ -189,14 +189,14 @@
         if (!change.heldByMajorityAt && fleet.node(change.by).domainsHolding(change.revision) >= 2) {
             change.heldByMajorityAt = fleet.now();
         }
-        if (!change.heldByMajorityAt || fleet.now() - *change.heldByMajorityAt < CurrencyOptions{}.bound + withinDomain) {
+        if (!change.heldByMajorityAt || fleet.now() - *change.heldByMajorityAt < ConfigurationFreshnessOptions{}.maxAge + withinDomain) {
             continue;
         }
         const ObjectKey key{ObjectKind{"group"}, ObjectName{change.name}};
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             const auto *held = fleet.node(node).state().find(key);
             const bool has = held != nullptr && held->version >= change.revision;
-            RC_ASSERT(has || !serves(fleet.node(node).currency(fleet.now())));
+            RC_ASSERT(has || !serves(fleet.node(node).configurationFreshness(fleet.now())));
         }
     }
 }
@@ -235,7 +235,7 @@
             fleet.cutRegion(node % 3, false);
         }
         fleet.run(Seconds{15});
-        RC_ASSERT(fleet.countIn(CurrencyState::Current) == fleet.size());
+        RC_ASSERT(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
         for (std::size_t node = 0; node < fleet.size(); ++node) {
             RC_ASSERT(fleet.node(node).state().digest().sameContent(fleet.node(0).state().digest()));
             RC_ASSERT(fleet.node(node).divergences() == 0U);
@@ -260,7 +260,7 @@
     old.heard = {{fleet.domainOf(0), Milliseconds{0}}, {fleet.domainOf(1), Milliseconds{0}}};
     (void)paused.onRequest(old, wokenAt);
     (void)paused.onChanges({old.digest.complete, old.digest.complete, {}, false}, fleet.now(), wokenAt);
-    cr_assert(paused.currency(wokenAt) == CurrencyState::Isolated);
+    cr_assert(paused.configurationFreshness(wokenAt) == ConfigurationFreshnessState::Isolated);
 }
 
 Test(spread, largeFleetWithCutWatchesWithinItsBudget)
@@ -307,7 +307,7 @@
     cr_assert(slowest <= secondsOf(inForceWithin));
     cr_assert(static_cast<double>(most) / span < 11'000);
     cr_assert(reads < 500);
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
     cr_assert(fleet.reverted == 0);
 }
 
@@ -323,17 +323,17 @@
     const auto revision = fleet.accept(fleet.size() - 1, "changed");
     fleet.run(inForceWithin);
     cr_assert(fleet.holders(revision, "changed") == fleet.size() - inRegion);
-    fleet.run(CurrencyOptions{}.bound - inForceWithin + Seconds{1});
-    cr_assert(fleet.countIn(CurrencyState::Isolated) == inRegion);
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size() - inRegion);
+    fleet.run(ConfigurationFreshnessOptions{}.maxAge - inForceWithin + Seconds{1});
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Isolated) == inRegion);
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size() - inRegion);
     fleet.run(Seconds{170});
-    cr_assert(fleet.countIn(CurrencyState::Isolated) == inRegion);
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Isolated) == inRegion);
     fleet.resetCounts();
     fleet.cutRegion(0, false);
     const auto healedAt = fleet.now();
     fleet.run(Seconds{10});
     cr_assert(fleet.holders(revision, "changed") == fleet.size());
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
     cr_log_warn("caught up %.2f s after the cut was healed; store calls a second: at most %zu",
                 secondsOf(fleet.lastInForceAt[revision] - healedAt),
                 mostStoreCalls(fleet));
@@ -350,12 +350,12 @@
     fleet.run(inForceWithin);
     cr_assert(fleet.holders(revision, "changed") == fleet.size());
     fleet.run(Seconds{56});
-    cr_assert(fleet.countIn(CurrencyState::StoreSilent) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::StoreSilent) == fleet.size());
     const auto during = mostStoreCalls(fleet);
     fleet.resetCounts();
     fleet.storeDown = false;
     fleet.run(Seconds{15});
-    cr_assert(fleet.countIn(CurrencyState::Current) == fleet.size());
+    cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
     cr_log_warn("store calls a second: at most %zu in the outage, at most %zu after it", during, mostStoreCalls(fleet));
     cr_assert(during < 1000);
     cr_assert(mostStoreCalls(fleet) < 1000);
