--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -17,9 +17,9 @@
 constexpr Milliseconds listTimeout{3'000};
 constexpr Milliseconds longestPause{200};
 
-SpreadOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
+GossipOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
 {
-    SpreadOptions options;
+    GossipOptions options;
     options.self = self.name;
     options.domain = self.domain;
     options.freshness = {};
@@ -81,7 +81,7 @@
     spread_.setInstances(std::move(live), listedDomains);
 }
 
-SpreadMessage ConfigurationService::onRequest(const SpreadMessage &request)
+GossipMessage ConfigurationService::onRequest(const GossipMessage &request)
 {
     std::unique_lock lock(mutex_);
     auto handled = spread_.onRequest(request, steadyNow());
@@ -138,7 +138,7 @@
     return tickPeriod;
 }
 
-void ConfigurationService::finishInput(std::unique_lock<std::mutex> &lock, const SpreadActions &actions)
+void ConfigurationService::finishInput(std::unique_lock<std::mutex> &lock, const GossipActions &actions)
 {
     const auto before = catalog_;
     perform(actions);
@@ -150,7 +150,7 @@
     }
 }
 
-void ConfigurationService::perform(const SpreadActions &actions)
+void ConfigurationService::perform(const GossipActions &actions)
 {
     for (const auto &action : actions) {
         if (const auto *exchange = std::get_if<SendExchange>(&action)) {
@@ -166,7 +166,7 @@
     const bool added = tasks_ && tasks_->add([this, exchange] {
         const auto result = peers_.spread(exchange.to.address, exchange.message, exchangeTimeout);
         std::unique_lock taskLock(mutex_);
-        if (const auto *reply = std::get_if<SpreadMessage>(&result)) {
+        if (const auto *reply = std::get_if<GossipMessage>(&result)) {
             const auto actions = spread_.onReply(exchange.id, *reply, steadyNow());
             finishInput(taskLock, actions);
         } else {
--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -4,7 +4,7 @@
 #include "app/fwd.h"
 #include "app/periodic.h"
 #include "app/taskpool.h"
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 #include "peer/client.h"
 #include "records/catalog.h"
 #include "store/storeclient.h"
@@ -37,7 +37,7 @@
     void setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains);
 
     /// Answers a peer.
-    [[nodiscard]] SpreadMessage onRequest(const SpreadMessage &request);
+    [[nodiscard]] GossipMessage onRequest(const GossipMessage &request);
 
     /// Takes in a change that the store confirmed to this proxy as its own, and pushes it on.
     void onAccepted(const StoredObject &change);
@@ -62,10 +62,10 @@
     [[nodiscard]] Milliseconds followStore();
     void list();
     void watch(const WatchAfter &step);
-    void perform(const SpreadActions &actions);
+    void perform(const GossipActions &actions);
     void send(const SendExchange &exchange);
     void take(const std::vector<StoredObject> &objects);
-    void finishInput(std::unique_lock<std::mutex> &lock, const SpreadActions &actions);
+    void finishInput(std::unique_lock<std::mutex> &lock, const GossipActions &actions);
 
     StoreClient &store_;
     peer::Client &peers_;
@@ -73,7 +73,7 @@
     mutable std::mutex mutex_;
     std::condition_variable advanced_;
     /// All guarded by mutex_.
-    ConfigurationSpread spread_;
+    ConfigurationGossip spread_;
     std::shared_ptr<const Catalog> catalog_ = Catalog::empty();
     // Stopped first.
     std::unique_ptr<TaskPool> tasks_;
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -252,7 +252,7 @@
     handlers.snapshot = [this] {
         return membership.snapshot();
     };
-    handlers.spread = [this](const SpreadMessage &message) {
+    handlers.spread = [this](const GossipMessage &message) {
         return configuration.onRequest(message);
     };
     handlers.sight = [this](const peer::Sighting &seen) {
--- a/src/configuration/fwd.h
+++ b/src/configuration/fwd.h
@@ -6,7 +6,7 @@
 struct ConfigurationDigest;
 struct ConfigurationDelta;
 class ConfigurationState;
-class ConfigurationSpread;
+class ConfigurationGossip;
 class ConfigurationFreshness;
 
 } // namespace cardamomstep
--- a/src/configuration/spread.cpp
+++ b/src/configuration/gossip.cpp
@@ -1,5 +1,5 @@
 // Roles, exchanges and pushes of ConfigurationSpread.
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 
 #include <algorithm>
 #include <cmath>
@@ -42,34 +42,35 @@
 
 } // namespace
 
-ConfigurationSpread::ConfigurationSpread(SpreadOptions options)
+ConfigurationGossip::ConfigurationGossip(GossipOptions options)
     : options_(std::move(options))
     , random_(options_.seed)
     , state_(options_.limits)
     , freshness_(options_.domain, options_.freshness)
     , watch_(options_.watch, random_())
-    , ask_(askOptions, random_())
+    , query_(askOptions, random_())
 {
 }
 
-void ConfigurationSpread::setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains)
+void ConfigurationGossip::setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains)
 {
     live_ = std::move(live);
-    home_.clear();
+    localPeers_.clear();
     relays_.clear();
-    abroad_.clear();
-    watchers_ = live_->best(watchPurpose, options_.domain, options_.watchers);
+    remoteWatchers_.clear();
+    watchers_ = live_->best(watchPurpose, options_.domain, options_.watchersPerDomain);
     const auto isSelf = [this](const LiveInstance *peer) {
         return peer->name == options_.self;
     };
     for (const auto &instance : live_->instances()) {
         if (instance.domain == options_.domain && instance.name != options_.self) {
-            home_.push_back(&instance);
+            localPeers_.push_back(&instance);
         }
     }
     // As many comparisons for each watcher as for each relay.
-    const auto relays = static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(options_.watchers * (home_.size() + 1)))));
-    relays_ = live_->best(watchPurpose, options_.domain, std::max(relays, options_.watchers));
+    const auto relays =
+        static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(options_.watchersPerDomain * (localPeers_.size() + 1)))));
+    relays_ = live_->best(watchPurpose, options_.domain, std::max(relays, options_.watchersPerDomain));
     isWatcher_ = std::any_of(watchers_.begin(), watchers_.end(), isSelf);
     isRelay_ = std::any_of(relays_.begin(), relays_.end(), isSelf);
     // Watchers stand first among the relays; they are busy enough with the other relays.
@@ -79,18 +80,18 @@
     domains_ = live_->domains();
     for (const auto &domain : domains_) {
         if (domain != options_.domain) {
-            abroad_.push_back(live_->best(watchPurpose, domain, options_.watchers));
+            remoteWatchers_.push_back(live_->best(watchPurpose, domain, options_.watchersPerDomain));
         }
     }
-    for (auto entry = held_.begin(); entry != held_.end();) {
-        entry = isKnown(entry->first) ? std::next(entry) : held_.erase(entry);
+    for (auto entry = domainRevisions_.begin(); entry != domainRevisions_.end();) {
+        entry = isKnown(entry->first) ? std::next(entry) : domainRevisions_.erase(entry);
     }
-    freshness_.setListed(std::max(listedDomains, domains_.size()), !home_.empty() || !abroad_.empty());
+    freshness_.setListed(std::max(listedDomains, domains_.size()), !localPeers_.empty() || !remoteWatchers_.empty());
 }
 
-SpreadActions ConfigurationSpread::tick(TimePoint now)
+GossipActions ConfigurationGossip::tick(TimePoint now)
 {
-    SpreadActions actions;
+    GossipActions actions;
     if (!nextCompare_) {
         // The first comparison comes at once: a proxy that starts needs the configuration.
         nextCompare_ = now;
@@ -98,22 +99,22 @@
     if (now < *nextCompare_) {
         return actions;
     }
-    const auto jitter = random_.below(static_cast<std::uint64_t>(options_.period.count()) / 4 + 1);
-    nextCompare_ = now + options_.period - options_.period / 8 + Milliseconds{jitter};
+    const auto jitter = random_.below(static_cast<std::uint64_t>(options_.comparisonInterval.count()) / 4 + 1);
+    nextCompare_ = now + options_.comparisonInterval - options_.comparisonInterval / 8 + Milliseconds{jitter};
     if (const auto *peer = comparePeer()) {
         send(*peer, std::nullopt, now, actions);
     }
     return actions;
 }
 
-SpreadHandled ConfigurationSpread::onRequest(const SpreadMessage &request, TimePoint now)
+GossipResponse ConfigurationGossip::onRequest(const GossipMessage &request, TimePoint now)
 {
-    SpreadHandled handled;
+    GossipResponse handled;
     const auto before = state_.digest();
     if (request.delta) {
         publish(state_.applyDelta(*request.delta), before, now, handled.actions);
     }
-    noteHolding(request.domain, request.digest.complete);
+    recordDomainRevision(request.domain, request.digest.complete);
     const auto mine = state_.digest();
     const bool sameRevisions = mine.complete == request.digest.complete && mine.highest == request.digest.highest;
     const bool settled = mine.highest == mine.complete;
@@ -122,9 +123,9 @@
     return handled;
 }
 
-SpreadActions ConfigurationSpread::onReply(ExchangeId id, const SpreadMessage &reply, TimePoint now)
+GossipActions ConfigurationGossip::onReply(ExchangeId id, const GossipMessage &reply, TimePoint now)
 {
-    SpreadActions actions;
+    GossipActions actions;
     const auto found = exchanges_.find(id);
     if (found == exchanges_.end()) {
         return actions;
@@ -135,44 +136,44 @@
     if (reply.delta) {
         publish(state_.applyDelta(*reply.delta), before, now, actions);
     }
-    noteHolding(exchange.domain, std::max(exchange.pushed, reply.digest.complete));
-    takeFromReply(reply, exchange.sentAt);
-    if (lacks(reply.digest)) {
+    recordDomainRevision(exchange.domain, std::max(exchange.pushed, reply.digest.complete));
+    applyReply(reply, exchange.sentAt);
+    if (isBehind(reply.digest)) {
         send({exchange.to, exchange.domain, exchange.address}, state_.deltaFor(reply.digest), now, actions);
     }
     return actions;
 }
 
-void ConfigurationSpread::onExchangeFailed(ExchangeId id)
+void ConfigurationGossip::onExchangeFailed(ExchangeId id)
 {
     exchanges_.erase(id);
 }
 
-StoreStep ConfigurationSpread::nextStoreStep(TimePoint now)
+StoreStep ConfigurationGossip::nextStoreStep(TimePoint now)
 {
     if (isWatcher_) {
         return watch_.next(state_.digest().complete, now);
     }
     const auto age = freshness_.confirmationAge(now);
-    if (age && *age < options_.askStoreAfter) {
-        askAt_.reset();
-        return DelayUntil{now + options_.period};
+    if (age && *age < options_.queryStoreAfter) {
+        queryAt_.reset();
+        return DelayUntil{now + options_.comparisonInterval};
     }
-    if (!askAt_) {
+    if (!queryAt_) {
         // Peers come first, and many proxies may miss them at the same time.
-        askAt_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(askWithin.count()))};
+        queryAt_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(askWithin.count()))};
     }
-    if (now < *askAt_) {
-        return DelayUntil{*askAt_};
+    if (now < *queryAt_) {
+        return DelayUntil{*queryAt_};
     }
-    return ask_.next(state_.digest().complete, now);
+    return query_.next(state_.digest().complete, now);
 }
 
-SpreadActions ConfigurationSpread::onListing(const StoreListing &listing, TimePoint calledAt, TimePoint now)
+GossipActions ConfigurationGossip::onListing(const StoreListing &listing, TimePoint calledAt, TimePoint now)
 {
-    SpreadActions actions;
+    GossipActions actions;
     const auto before = state_.digest();
-    if (following().onListing(listing, before.complete, now) != StoreReplyKind::Current) {
+    if (activeWatch().onListing(listing, before.complete, now) != StoreReplyKind::Current) {
         return actions;
     }
     auto applied = state_.applyListing(listing);
@@ -181,16 +182,16 @@
     const bool isNews = !applied.empty();
     publish(std::move(applied), before, now, actions);
     if (isNews) {
-        pushAbroad(before, pushedAbroad, now, actions);
+        pushToOtherDomains(before, pushedAbroad, now, actions);
     }
     return actions;
 }
 
-SpreadActions ConfigurationSpread::onChanges(const StoreChanges &changes, TimePoint calledAt, TimePoint now)
+GossipActions ConfigurationGossip::onChanges(const StoreChanges &changes, TimePoint calledAt, TimePoint now)
 {
-    SpreadActions actions;
+    GossipActions actions;
     const auto before = state_.digest();
-    if (following().onChanges(changes, before.complete, now) != StoreReplyKind::Current) {
+    if (activeWatch().onChanges(changes, before.complete, now) != StoreReplyKind::Current) {
         return actions;
     }
     auto applied = state_.applyChanges(changes);
@@ -200,88 +201,89 @@
     const bool isNews = !applied.empty();
     publish(std::move(applied), before, now, actions);
     if (isNews) {
-        pushAbroad(before, pushedAbroad, now, actions);
+        pushToOtherDomains(before, pushedAbroad, now, actions);
     }
     return actions;
 }
 
-void ConfigurationSpread::onStoreFailure(TimePoint now)
+void ConfigurationGossip::onStoreFailure(TimePoint now)
 {
-    following().onFailure(now);
+    activeWatch().onFailure(now);
 }
 
-SpreadActions ConfigurationSpread::onAccepted(const StoredObject &change, TimePoint now)
+GossipActions ConfigurationGossip::onAccepted(const StoredObject &change, TimePoint now)
 {
-    SpreadActions actions;
+    GossipActions actions;
     const auto before = state_.digest();
     if (!state_.applyChange(change)) {
         return actions;
     }
     publish({change}, before, now, actions);
-    pushAbroad(before, abroad_.size(), now, actions);
+    pushToOtherDomains(before, remoteWatchers_.size(), now, actions);
     return actions;
 }
 
-std::size_t ConfigurationSpread::domainsHolding(Revision revision) const
+std::size_t ConfigurationGossip::domainsWithRevision(Revision revision) const
 {
-    const auto others = std::count_if(
-        held_.begin(), held_.end(), [&](const auto &entry) { return entry.first != options_.domain && entry.second >= revision; });
+    const auto others = std::count_if(domainRevisions_.begin(), domainRevisions_.end(), [&](const auto &entry) {
+        return entry.first != options_.domain && entry.second >= revision;
+    });
     return static_cast<std::size_t>(others) + 1;
 }
 
-SpreadMessage ConfigurationSpread::message() const
+GossipMessage ConfigurationGossip::message() const
 {
     return {options_.self, options_.domain, state_.digest(), std::nullopt, std::nullopt, {}};
 }
 
-SpreadMessage ConfigurationSpread::replyTo(const ConfigurationDigest &peer, TimePoint now) const
+GossipMessage ConfigurationGossip::replyTo(const ConfigurationDigest &peer, TimePoint now) const
 {
     auto reply = message();
     if (freshness_.state(now) == ConfigurationFreshnessState::Starting) {
         return reply;
     }
-    if (lacks(peer)) {
+    if (isBehind(peer)) {
         reply.delta = state_.deltaFor(peer);
     }
     if (const auto age = freshness_.confirmationAge(now)) {
         reply.confirmation = StoreConfirmation{reply.digest.complete, *age};
     }
-    reply.heard = freshness_.ages(now);
+    reply.domainAges = freshness_.ages(now);
     return reply;
 }
 
-bool ConfigurationSpread::lacks(const ConfigurationDigest &peer) const noexcept
+bool ConfigurationGossip::isBehind(const ConfigurationDigest &peer) const noexcept
 {
     const auto mine = state_.digest();
     return peer.complete < mine.complete || peer.highest < mine.highest;
 }
 
-bool ConfigurationSpread::isKnown(const FailureDomain &domain) const
+bool ConfigurationGossip::isKnown(const FailureDomain &domain) const
 {
     return std::binary_search(domains_.begin(), domains_.end(), domain);
 }
 
-const LiveInstance *ConfigurationSpread::comparePeer()
+const LiveInstance *ConfigurationGossip::comparePeer()
 {
     const bool stray = random_.below(strayEvery) == 0;
-    if (isWatcher_ && !abroad_.empty()) {
-        return stray && !home_.empty() ? randomOf(home_) : randomOf(abroad_[random_.below(abroad_.size())]);
+    if (isWatcher_ && !remoteWatchers_.empty()) {
+        return stray && !localPeers_.empty() ? randomOf(localPeers_) : randomOf(remoteWatchers_[random_.below(remoteWatchers_.size())]);
     }
-    if (stray && isRelay_ && !abroad_.empty()) {
-        return randomOf(abroad_[random_.below(abroad_.size())]);
+    if (stray && isRelay_ && !remoteWatchers_.empty()) {
+        return randomOf(remoteWatchers_[random_.below(remoteWatchers_.size())]);
     }
     const auto &usual = isRelay_ || relays_.empty() ? watchers_ : relays_;
-    return stray || usual.empty() ? randomOf(home_) : randomOf(usual);
+    return stray || usual.empty() ? randomOf(localPeers_) : randomOf(usual);
 }
 
-const LiveInstance *ConfigurationSpread::randomOf(const Peers &peers)
+const LiveInstance *ConfigurationGossip::randomOf(const Peers &peers)
 {
     return peers.empty() ? nullptr : peers[random_.below(peers.size())];
 }
 
-void ConfigurationSpread::send(const LiveInstance &peer, std::optional<ConfigurationDelta> delta, TimePoint now, SpreadActions &actions)
+void ConfigurationGossip::send(const LiveInstance &peer, std::optional<ConfigurationDelta> delta, TimePoint now, GossipActions &actions)
 {
-    if (exchanges_.size() >= options_.exchanges) {
+    if (exchanges_.size() >= options_.maxExchanges) {
         return;
     }
     const ExchangeId id{++lastExchange_};
@@ -291,10 +293,10 @@
     actions.push_back(SendExchange{id, peer, std::move(request)});
 }
 
-void ConfigurationSpread::publish(std::vector<StoredObject> applied,
+void ConfigurationGossip::publish(std::vector<StoredObject> applied,
                                   const ConfigurationDigest &before,
                                   TimePoint now,
-                                  SpreadActions &actions)
+                                  GossipActions &actions)
 {
     const auto complete = state_.digest().complete;
     const bool isNews = !applied.empty();
@@ -306,21 +308,21 @@
     }
 }
 
-void ConfigurationSpread::push(const ConfigurationDigest &before, TimePoint now, SpreadActions &actions)
+void ConfigurationGossip::push(const ConfigurationDigest &before, TimePoint now, GossipActions &actions)
 {
     const auto delta = pushable(before);
-    auto peers = home_;
-    const auto count = std::min(options_.fanOut, peers.size());
+    auto peers = localPeers_;
+    const auto count = std::min(options_.pushFanOut, peers.size());
     for (std::size_t chosen = 0; chosen < count; ++chosen) {
         std::swap(peers[chosen], peers[chosen + random_.below(peers.size() - chosen)]);
         send(*peers[chosen], delta, now, actions);
     }
 }
 
-void ConfigurationSpread::pushAbroad(const ConfigurationDigest &before, std::size_t domains, TimePoint now, SpreadActions &actions)
+void ConfigurationGossip::pushToOtherDomains(const ConfigurationDigest &before, std::size_t domains, TimePoint now, GossipActions &actions)
 {
     const auto delta = pushable(before);
-    auto targets = abroad_;
+    auto targets = remoteWatchers_;
     const auto count = std::min(domains, targets.size());
     for (std::size_t chosen = 0; chosen < count; ++chosen) {
         std::swap(targets[chosen], targets[chosen + random_.below(targets.size() - chosen)]);
@@ -330,38 +332,38 @@
     }
 }
 
-std::optional<ConfigurationDelta> ConfigurationSpread::pushable(const ConfigurationDigest &before) const
+std::optional<ConfigurationDelta> ConfigurationGossip::pushable(const ConfigurationDigest &before) const
 {
     auto delta = state_.deltaFor(before);
-    if (delta.whole || sizeOf(delta) > options_.pushBytes) {
+    if (delta.isFullState || sizeOf(delta) > options_.maxPushBytes) {
         // The peer's reply shows what it lacks.
         return std::nullopt;
     }
     return delta;
 }
 
-void ConfigurationSpread::takeFromReply(const SpreadMessage &reply, TimePoint sentAt)
+void ConfigurationGossip::applyReply(const GossipMessage &reply, TimePoint sentAt)
 {
     const auto mine = state_.digest();
     // Signs of life count only along with all that the peer knew.
-    if (mine.complete < reply.digest.complete || reply.heard.empty()) {
+    if (mine.complete < reply.digest.complete || reply.domainAges.empty()) {
         return;
     }
     freshness_.onConfigurationLoaded();
     if (reply.confirmation && reply.confirmation->revision <= mine.complete) {
         freshness_.onStoreConfirmation(sentAt - reply.confirmation->age);
     }
-    for (const auto &entry : reply.heard) {
+    for (const auto &entry : reply.domainAges) {
         freshness_.onContact(entry.domain, sentAt - entry.age);
     }
 }
 
-void ConfigurationSpread::noteHolding(const FailureDomain &domain, Revision revision)
+void ConfigurationGossip::recordDomainRevision(const FailureDomain &domain, Revision revision)
 {
     if (!isKnown(domain)) {
         return;
     }
-    auto &held = held_[domain];
+    auto &held = domainRevisions_[domain];
     held = std::max(held, revision);
 }
 
--- a/src/configuration/spread.h
+++ b/src/configuration/gossip.h
@@ -28,7 +28,7 @@
 };
 
 /// One message between two proxies, as request and as reply.
-struct SpreadMessage {
+struct GossipMessage {
     InstanceName from;
     FailureDomain domain;
     ConfigurationDigest digest;
@@ -36,9 +36,9 @@
     std::optional<ConfigurationDelta> delta;
     /// Set, like `heard`, only in replies to comparisons: a request may have waited in a buffer for any time.
     std::optional<StoreConfirmation> confirmation;
-    std::vector<DomainAge> heard;
+    std::vector<DomainAge> domainAges;
 
-    [[nodiscard]] bool operator==(const SpreadMessage &) const = default;
+    [[nodiscard]] bool operator==(const GossipMessage &) const = default;
 };
 
 /// Numbers an exchange that this proxy began.
@@ -48,7 +48,7 @@
 struct SendExchange {
     ExchangeId id;
     LiveInstance to;
-    SpreadMessage message;
+    GossipMessage message;
 };
 
 /// These changes are in force here from now on.
@@ -59,31 +59,31 @@
     Revision complete;
 };
 
-using SpreadAction = std::variant<SendExchange, ObjectsChanged>;
-using SpreadActions = std::vector<SpreadAction>;
+using GossipAction = std::variant<SendExchange, ObjectsChanged>;
+using GossipActions = std::vector<GossipAction>;
 
 /// The reply to a peer's request, and what else is to be done.
-struct SpreadHandled {
-    SpreadMessage reply;
-    SpreadActions actions;
+struct GossipResponse {
+    GossipMessage reply;
+    GossipActions actions;
 };
 
 /// Limits of a ConfigurationSpread.
-struct SpreadOptions {
+struct GossipOptions {
     InstanceName self;
     FailureDomain domain;
     /// Time between two comparisons with a peer.
-    Milliseconds period{1000};
+    Milliseconds comparisonInterval{1000};
     /// Proxies of each failure domain that watch the store.
-    std::size_t watchers = 6;
+    std::size_t watchersPerDomain = 6;
     /// Peers of the own failure domain that a new change is pushed to.
-    std::size_t fanOut = 3;
+    std::size_t pushFanOut = 3;
     /// Largest delta that is pushed unasked.
-    std::size_t pushBytes = std::size_t{64} << 10U;
+    std::size_t maxPushBytes = std::size_t{64} << 10U;
     /// Exchanges under way at most; further ones are left out.
-    std::size_t exchanges = 64;
+    std::size_t maxExchanges = 64;
     /// Age of the newest confirmation from which a proxy that does not watch asks the store itself.
-    Milliseconds askStoreAfter{5000};
+    Milliseconds queryStoreAfter{5000};
     ConfigurationFreshnessOptions freshness;
     WatchResumeOptions watch;
     ConfigurationLimits limits;
@@ -95,35 +95,35 @@
 /// In each failure domain a few proxies (by rendezvous hashing) watch the store, some more relay: they compare with a watcher,
 /// and the others compare with a relay. New changes are pushed on at once to random peers of the own failure domain, and to one
 /// watcher of other domains by the proxy that had them from the store.
-class ConfigurationSpread
+class ConfigurationGossip
 {
 public:
-    explicit ConfigurationSpread(SpreadOptions options);
+    explicit ConfigurationGossip(GossipOptions options);
 
     /// Sets the live proxies (this one included) and the number of failure domains that the platform lists, dead ones included.
     void setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains);
 
     /// Begins what is due; call it at least every quarter of a period.
-    [[nodiscard]] SpreadActions tick(TimePoint now);
+    [[nodiscard]] GossipActions tick(TimePoint now);
 
     /// Answers a peer.
-    [[nodiscard]] SpreadHandled onRequest(const SpreadMessage &request, TimePoint now);
+    [[nodiscard]] GossipResponse onRequest(const GossipMessage &request, TimePoint now);
     /// Takes a peer's answer.
-    [[nodiscard]] SpreadActions onReply(ExchangeId id, const SpreadMessage &reply, TimePoint now);
+    [[nodiscard]] GossipActions onReply(ExchangeId id, const GossipMessage &reply, TimePoint now);
     /// Takes the failure of an exchange.
     void onExchangeFailed(ExchangeId id);
 
     /// The next call to the store; to be asked again when it is done or its pause is over.
     [[nodiscard]] StoreStep nextStoreStep(TimePoint now);
     /// Takes a listing of all kinds that was asked for at \a calledAt.
-    [[nodiscard]] SpreadActions onListing(const StoreListing &listing, TimePoint calledAt, TimePoint now);
+    [[nodiscard]] GossipActions onListing(const StoreListing &listing, TimePoint calledAt, TimePoint now);
     /// Takes the answer to a watch that was begun at \a calledAt.
-    [[nodiscard]] SpreadActions onChanges(const StoreChanges &changes, TimePoint calledAt, TimePoint now);
+    [[nodiscard]] GossipActions onChanges(const StoreChanges &changes, TimePoint calledAt, TimePoint now);
     /// Takes the failure of a call to the store.
     void onStoreFailure(TimePoint now);
 
     /// Takes a change that the store confirmed to this proxy as its own write, and pushes it to all failure domains.
-    [[nodiscard]] SpreadActions onAccepted(const StoredObject &change, TimePoint now);
+    [[nodiscard]] GossipActions onAccepted(const StoredObject &change, TimePoint now);
 
     /// What this proxy can know about its configuration; decides /ready and whether work is taken.
     [[nodiscard]] ConfigurationFreshnessState configurationFreshness(TimePoint now) const
@@ -138,7 +138,7 @@
     }
 
     /// Failure domains, this one included, in which some proxy is known to hold all up to \a revision or the change of \a revision.
-    [[nodiscard]] std::size_t domainsHolding(Revision revision) const;
+    [[nodiscard]] std::size_t domainsWithRevision(Revision revision) const;
 
     /// True when this proxy is one of those that watch the store for its failure domain.
     [[nodiscard]] bool isWatcher() const noexcept
@@ -169,39 +169,39 @@
     };
     using Peers = std::vector<const LiveInstance *>;
 
-    [[nodiscard]] SpreadMessage message() const;
-    [[nodiscard]] SpreadMessage replyTo(const ConfigurationDigest &peer, TimePoint now) const;
-    [[nodiscard]] bool lacks(const ConfigurationDigest &peer) const noexcept;
+    [[nodiscard]] GossipMessage message() const;
+    [[nodiscard]] GossipMessage replyTo(const ConfigurationDigest &peer, TimePoint now) const;
+    [[nodiscard]] bool isBehind(const ConfigurationDigest &peer) const noexcept;
     [[nodiscard]] bool isKnown(const FailureDomain &domain) const;
     [[nodiscard]] const LiveInstance *comparePeer();
     [[nodiscard]] const LiveInstance *randomOf(const Peers &peers);
-    void send(const LiveInstance &peer, std::optional<ConfigurationDelta> delta, TimePoint now, SpreadActions &actions);
-    void publish(std::vector<StoredObject> applied, const ConfigurationDigest &before, TimePoint now, SpreadActions &actions);
-    void push(const ConfigurationDigest &before, TimePoint now, SpreadActions &actions);
-    void pushAbroad(const ConfigurationDigest &before, std::size_t domains, TimePoint now, SpreadActions &actions);
-    void takeFromReply(const SpreadMessage &reply, TimePoint sentAt);
-    void noteHolding(const FailureDomain &domain, Revision revision);
+    void send(const LiveInstance &peer, std::optional<ConfigurationDelta> delta, TimePoint now, GossipActions &actions);
+    void publish(std::vector<StoredObject> applied, const ConfigurationDigest &before, TimePoint now, GossipActions &actions);
+    void push(const ConfigurationDigest &before, TimePoint now, GossipActions &actions);
+    void pushToOtherDomains(const ConfigurationDigest &before, std::size_t domains, TimePoint now, GossipActions &actions);
+    void applyReply(const GossipMessage &reply, TimePoint sentAt);
+    void recordDomainRevision(const FailureDomain &domain, Revision revision);
     [[nodiscard]] std::optional<ConfigurationDelta> pushable(const ConfigurationDigest &before) const;
-    [[nodiscard]] WatchResume &following() noexcept
+    [[nodiscard]] WatchResume &activeWatch() noexcept
     {
-        return isWatcher_ ? watch_ : ask_;
+        return isWatcher_ ? watch_ : query_;
     }
 
-    SpreadOptions options_;
+    GossipOptions options_;
     Random random_;
     ConfigurationState state_;
     ConfigurationFreshness freshness_;
     /// For watchers.
     WatchResume watch_;
     /// For others that ask the store themselves: no waiting, long pauses.
-    WatchResume ask_;
+    WatchResume query_;
     std::shared_ptr<const InstanceSet> live_ = std::make_shared<InstanceSet>();
     /// Other proxies of the own failure domain, and those among them that watch and relay. They point into live_.
-    Peers home_;
+    Peers localPeers_;
     Peers watchers_;
     Peers relays_;
     /// The watchers of each other failure domain.
-    std::vector<Peers> abroad_;
+    std::vector<Peers> remoteWatchers_;
     /// Sorted.
     std::vector<FailureDomain> domains_;
     bool isWatcher_ = false;
@@ -210,9 +210,9 @@
     std::map<ExchangeId, Exchange> exchanges_;
     std::uint64_t lastExchange_ = 0;
     std::optional<TimePoint> nextCompare_;
-    std::optional<TimePoint> askAt_;
+    std::optional<TimePoint> queryAt_;
     /// Newest revision known to be held in each other failure domain. Invariant: keys are in domains_.
-    std::map<FailureDomain, Revision> held_;
+    std::map<FailureDomain, Revision> domainRevisions_;
     std::uint64_t divergences_ = 0;
 };
 
--- a/src/configuration/state.cpp
+++ b/src/configuration/state.cpp
@@ -30,7 +30,7 @@
 
 std::vector<StoredObject> ConfigurationState::applyListing(const StoreListing &listing)
 {
-    return applyWhole(listing.revision, listing.objects);
+    return applyFullState(listing.revision, listing.objects);
 }
 
 std::vector<StoredObject> ConfigurationState::applyChanges(const StoreChanges &changes)
@@ -47,8 +47,8 @@
 
 std::vector<StoredObject> ConfigurationState::applyDelta(const ConfigurationDelta &delta)
 {
-    if (delta.whole) {
-        return applyWhole(delta.upTo, delta.changes);
+    if (delta.isFullState) {
+        return applyFullState(delta.upTo, delta.changes);
     }
     auto applied = applyEach(delta.changes);
     if (delta.after > complete_) {
@@ -63,8 +63,8 @@
 
 ConfigurationDelta ConfigurationState::deltaFor(const ConfigurationDigest &peer) const
 {
-    if (needsWhole(peer)) {
-        return wholeState();
+    if (needsFullState(peer)) {
+        return fullState();
     }
     ConfigurationDelta delta{peer.complete, std::max(peer.complete, complete_), {}, false, {}};
     for (auto entry = byVersion_.upper_bound({peer.complete, {}}); entry != byVersion_.end(); ++entry) {
@@ -83,7 +83,7 @@
     return delta;
 }
 
-ConfigurationDelta ConfigurationState::wholeState() const
+ConfigurationDelta ConfigurationState::fullState() const
 {
     ConfigurationDelta delta{{}, complete_, {}, true, {}};
     delta.changes.reserve(objects_.size());
@@ -165,12 +165,12 @@
 
 void ConfigurationState::dropOldTombstones()
 {
-    if (tombstones_.size() <= limits_.tombstones) {
+    if (tombstones_.size() <= limits_.maxTombstones) {
         return;
     }
     // One above `complete_` still guards against the older version and must stay.
     auto entry = byVersion_.begin();
-    while (entry != byVersion_.end() && entry->first <= complete_ && tombstones_.size() > limits_.tombstones) {
+    while (entry != byVersion_.end() && entry->first <= complete_ && tombstones_.size() > limits_.maxTombstones) {
         const auto tombstone = tombstones_.find(entry->second);
         if (tombstone == tombstones_.end()) {
             ++entry;
@@ -193,7 +193,7 @@
     return applied;
 }
 
-std::vector<StoredObject> ConfigurationState::applyWhole(Revision revision, const std::vector<StoredObject> &objects)
+std::vector<StoredObject> ConfigurationState::applyFullState(Revision revision, const std::vector<StoredObject> &objects)
 {
     if (revision < complete_) {
         return {};
@@ -228,13 +228,13 @@
         return;
     }
     gaps_.push_back({std::min(gap.after, complete_), gap.upTo});
-    if (gaps_.size() > limits_.gaps) {
+    if (gaps_.size() > limits_.maxGaps) {
         floor_ = std::max(floor_, gaps_.front().upTo);
         gaps_.erase(gaps_.begin());
     }
 }
 
-bool ConfigurationState::needsWhole(const ConfigurationDigest &peer) const
+bool ConfigurationState::needsFullState(const ConfigurationDigest &peer) const
 {
     if (peer.complete < floor_) {
         return true;
--- a/src/configuration/state.h
+++ b/src/configuration/state.h
@@ -53,7 +53,7 @@
     std::vector<StoredObject> changes;
     /// True when `changes` are all objects that exist at `upTo` (and the deletions after it), so that whatever is missing was
     /// deleted; `after` is then 0.
-    bool whole = false;
+    bool isFullState = false;
     /// Gaps between `after` and `upTo`, which the receiver keeps for its own peers.
     std::vector<RevisionGap> gaps;
 
@@ -63,9 +63,9 @@
 /// Limits of a ConfigurationState.
 struct ConfigurationLimits {
     /// Deletions kept to tell peers of.
-    std::size_t tombstones = 4096;
+    std::size_t maxTombstones = 4096;
     /// Gaps kept; an older one raises the floor.
-    std::size_t gaps = 8;
+    std::size_t maxGaps = 8;
 };
 
 /// The configuration known to one proxy.
@@ -102,7 +102,7 @@
     [[nodiscard]] ConfigurationDelta deltaFor(const ConfigurationDigest &peer) const;
 
     /// All objects known, with `upTo` the revision up to which they are whole.
-    [[nodiscard]] ConfigurationDelta wholeState() const;
+    [[nodiscard]] ConfigurationDelta fullState() const;
 
     /// The object under \a key; null when there is none. Valid until the next change.
     [[nodiscard]] const StoredObject *find(const ObjectKey &key) const;
@@ -136,8 +136,8 @@
     void dropOldTombstones();
     std::vector<StoredObject> applyEach(const std::vector<StoredObject> &changes);
     void addGap(const RevisionGap &gap);
-    [[nodiscard]] bool needsWhole(const ConfigurationDigest &peer) const;
-    std::vector<StoredObject> applyWhole(Revision revision, const std::vector<StoredObject> &objects);
+    [[nodiscard]] bool needsFullState(const ConfigurationDigest &peer) const;
+    std::vector<StoredObject> applyFullState(Revision revision, const std::vector<StoredObject> &objects);
 
     ConfigurationLimits limits_;
     std::map<ObjectKey, StoredObject> objects_;
--- a/src/peer/client.cpp
+++ b/src/peer/client.cpp
@@ -96,10 +96,10 @@
         });
 }
 
-PeerResult<SpreadMessage> Client::spread(const Address &peer, const SpreadMessage &message, Milliseconds timeout)
+PeerResult<GossipMessage> Client::spread(const Address &peer, const GossipMessage &message, Milliseconds timeout)
 {
     const auto request = impl::encode(message);
-    return impl_->run<SpreadMessage>(peer, timeout, timeout, [&request](auto &stub, auto &context) -> PeerResult<SpreadMessage> {
+    return impl_->run<GossipMessage>(peer, timeout, timeout, [&request](auto &stub, auto &context) -> PeerResult<GossipMessage> {
         impl::wire::SpreadMessage reply;
         const auto status = stub.Spread(&context, request, &reply);
         if (!status.ok()) {
--- a/src/peer/client.h
+++ b/src/peer/client.h
@@ -54,7 +54,7 @@
     [[nodiscard]] PeerResult<std::vector<SharedUpdate>> snapshot(const Address &peer, Milliseconds timeout);
 
     /// Compares the configuration.
-    [[nodiscard]] PeerResult<SpreadMessage> spread(const Address &peer, const SpreadMessage &message, Milliseconds timeout);
+    [[nodiscard]] PeerResult<GossipMessage> spread(const Address &peer, const GossipMessage &message, Milliseconds timeout);
 
     /// Tells and asks about a group's primary.
     [[nodiscard]] PeerResult<Sighting> sight(const Address &peer, const Sighting &sighting, Milliseconds timeout);
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -49,7 +49,7 @@
     wire::DeltaMessage message;
     message.set_after(delta.after.value);
     message.set_up_to(delta.upTo.value);
-    message.set_whole(delta.whole);
+    message.set_whole(delta.isFullState);
     for (const auto &object : delta.changes) {
         auto *entry = message.add_changes();
         entry->set_kind(object.kind.text());
@@ -71,7 +71,7 @@
     ConfigurationDelta delta;
     delta.after = Revision{message.after()};
     delta.upTo = Revision{message.up_to()};
-    delta.whole = message.whole();
+    delta.isFullState = message.whole();
     for (const auto &entry : message.changes()) {
         delta.changes.push_back(
             {ObjectKind{entry.kind()}, ObjectName{entry.name()}, Revision{entry.version()}, entry.value(), entry.deleted()});
@@ -223,7 +223,7 @@
     return decodeUpdates(message.updates());
 }
 
-wire::SpreadMessage encode(const SpreadMessage &spread)
+wire::SpreadMessage encode(const GossipMessage &spread)
 {
     wire::SpreadMessage message;
     message.set_from(spread.from.text());
@@ -238,7 +238,7 @@
         message.mutable_confirmation()->set_revision(spread.confirmation->revision.value);
         message.mutable_confirmation()->set_age_ms(spread.confirmation->age.count());
     }
-    for (const auto &heard : spread.heard) {
+    for (const auto &heard : spread.domainAges) {
         auto *entry = message.add_heard();
         entry->set_domain(heard.domain.text());
         entry->set_age_ms(heard.age.count());
@@ -246,9 +246,9 @@
     return message;
 }
 
-SpreadMessage decode(const wire::SpreadMessage &message)
+GossipMessage decode(const wire::SpreadMessage &message)
 {
-    SpreadMessage spread;
+    GossipMessage spread;
     spread.from = InstanceName{message.from()};
     spread.domain = FailureDomain{message.domain()};
     const auto &digest = message.digest();
@@ -260,7 +260,7 @@
         spread.confirmation = StoreConfirmation{Revision{message.confirmation().revision()}, Milliseconds{message.confirmation().age_ms()}};
     }
     for (const auto &heard : message.heard()) {
-        spread.heard.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
+        spread.domainAges.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
     }
     return spread;
 }
--- a/src/peer/impl/peercodec.h
+++ b/src/peer/impl/peercodec.h
@@ -17,8 +17,8 @@
 [[nodiscard]] Ping decode(const wire::PingMessage &message);
 [[nodiscard]] wire::SnapshotReply encode(const std::vector<SharedUpdate> &updates);
 [[nodiscard]] std::vector<SharedUpdate> decode(const wire::SnapshotReply &message);
-[[nodiscard]] wire::SpreadMessage encode(const SpreadMessage &spread);
-[[nodiscard]] SpreadMessage decode(const wire::SpreadMessage &message);
+[[nodiscard]] wire::SpreadMessage encode(const GossipMessage &spread);
+[[nodiscard]] GossipMessage decode(const wire::SpreadMessage &message);
 [[nodiscard]] wire::SightingMessage encode(const Sighting &sighting);
 [[nodiscard]] Sighting decode(const wire::SightingMessage &message);
 
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -3,7 +3,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 #include "groups/sighting.h"
 #include "membership/view.h"
 #include "peer/fwd.h"
--- a/src/peer/server.h
+++ b/src/peer/server.h
@@ -18,7 +18,7 @@
     std::function<Answer(const Statement &, Microseconds remaining)> execute;
     std::function<Ping(const Ping &)> ping;
     std::function<std::vector<SharedUpdate>()> snapshot;
-    std::function<SpreadMessage(const SpreadMessage &)> spread;
+    std::function<GossipMessage(const GossipMessage &)> spread;
     std::function<Sighting(const Sighting &)> sight;
 };
 
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -1,7 +1,7 @@
 // A fleet of proxies in virtual time: their spread machines, a model of the store and of the network between them.
 #pragma once
 
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 #include "store/modelstore.h"
 
 #include <algorithm>
@@ -55,7 +55,7 @@
         return (node % shape_.domains) * shape_.regions / shape_.domains;
     }
 
-    ConfigurationSpread &node(std::size_t index)
+    ConfigurationGossip &node(std::size_t index)
     {
         return *nodes_[index];
     }
@@ -188,13 +188,13 @@
         return "{\"name\":\"" + name + "\",\"fill\":\"" + std::string(shape_.valueBytes, 'x') + "\"}";
     }
 
-    std::unique_ptr<ConfigurationSpread> makeNode(std::size_t index)
+    std::unique_ptr<ConfigurationGossip> makeNode(std::size_t index)
     {
-        SpreadOptions options;
+        GossipOptions options;
         options.self = nameOf(index);
         options.domain = domainOf(index);
         options.seed = random_();
-        auto node = std::make_unique<ConfigurationSpread>(options);
+        auto node = std::make_unique<ConfigurationGossip>(options);
         node->setInstances(live, shape_.domains);
         versions_[index].clear();
         return node;
@@ -327,13 +327,13 @@
         return bytes;
     }
 
-    static std::size_t wireBytes(const SpreadMessage &message)
+    static std::size_t wireBytes(const GossipMessage &message)
     {
         constexpr std::size_t framing = 150;
         constexpr std::size_t digest = 32;
         auto bytes = framing + digest + message.from.text().size() + message.domain.text().size();
         bytes += message.confirmation ? 2 * perField : 0;
-        for (const auto &entry : message.heard) {
+        for (const auto &entry : message.domainAges) {
             bytes += entry.domain.text().size() + perField;
         }
         if (message.delta) {
@@ -342,7 +342,7 @@
         return bytes;
     }
 
-    void count(std::size_t from, std::size_t to, const SpreadMessage &message)
+    void count(std::size_t from, std::size_t to, const GossipMessage &message)
     {
         const auto size = wireBytes(message);
         bytes_[from] += size;
@@ -355,7 +355,7 @@
         return std::stoul(name.text().substr(6));
     }
 
-    void perform(std::size_t index, const SpreadActions &actions)
+    void perform(std::size_t index, const GossipActions &actions)
     {
         for (const auto &action : actions) {
             if (const auto *exchange = std::get_if<SendExchange>(&action)) {
@@ -418,7 +418,7 @@
     TimePoint now_{};
     std::uint64_t order_ = 0;
     std::priority_queue<Event> events_;
-    std::vector<std::unique_ptr<ConfigurationSpread>> nodes_;
+    std::vector<std::unique_ptr<ConfigurationGossip>> nodes_;
     std::map<std::size_t, std::uint64_t> epochs_;
     std::map<std::size_t, std::map<ObjectKey, Revision>> versions_;
     std::vector<bool> up_;
--- a/tests/configuration/test_spread.cpp
+++ b/tests/configuration/test_gossip.cpp
@@ -50,7 +50,7 @@
     const auto revision = fleet.accept(2, "ledger");
     fleet.run(Milliseconds{200});
     cr_assert(fleet.holders(revision, "ledger") == fleet.size());
-    cr_assert(fleet.node(2).domainsHolding(revision) == 3);
+    cr_assert(fleet.node(2).domainsWithRevision(revision) == 3);
 }
 
 Test(spread, changeByAnotherWriterComesByWatch)
@@ -131,10 +131,10 @@
 
 Test(spread, revisionThatRisesWithoutNewObjectsIsTold)
 {
-    SpreadOptions options;
+    GossipOptions options;
     options.self = FleetModel::nameOf(0);
     options.domain = FailureDomain{"a"};
-    ConfigurationSpread spread{options};
+    ConfigurationGossip spread{options};
     const auto live = std::make_shared<InstanceSet>(std::vector<LiveInstance>{{options.self, options.domain, Address{"10.0.0.1:1"}}});
     spread.setInstances(live, 1);
     const TimePoint now{Seconds{1}};
@@ -186,7 +186,7 @@
 {
     constexpr Seconds withinDomain{2};
     for (auto &change : changes) {
-        if (!change.heldByMajorityAt && fleet.node(change.by).domainsHolding(change.revision) >= 2) {
+        if (!change.heldByMajorityAt && fleet.node(change.by).domainsWithRevision(change.revision) >= 2) {
             change.heldByMajorityAt = fleet.now();
         }
         if (!change.heldByMajorityAt || fleet.now() - *change.heldByMajorityAt < ConfigurationFreshnessOptions{}.maxAge + withinDomain) {
@@ -252,12 +252,12 @@
     warmUp(fleet, 3);
     auto &paused = fleet.node(3);
     const auto wokenAt = fleet.now() + Seconds{60};
-    SpreadMessage old;
+    GossipMessage old;
     old.from = FleetModel::nameOf(0);
     old.domain = fleet.domainOf(0);
     old.digest = paused.state().digest();
     old.confirmation = StoreConfirmation{old.digest.complete, Milliseconds{0}};
-    old.heard = {{fleet.domainOf(0), Milliseconds{0}}, {fleet.domainOf(1), Milliseconds{0}}};
+    old.domainAges = {{fleet.domainOf(0), Milliseconds{0}}, {fleet.domainOf(1), Milliseconds{0}}};
     (void)paused.onRequest(old, wokenAt);
     (void)paused.onChanges({old.digest.complete, old.digest.complete, {}, false}, fleet.now(), wokenAt);
     cr_assert(paused.configurationFreshness(wokenAt) == ConfigurationFreshnessState::Isolated);
--- a/tests/configuration/test_state.cpp
+++ b/tests/configuration/test_state.cpp
@@ -52,7 +52,7 @@
 
 Test(configuration, deletionThenLatePeerWithTheOlderRecord)
 {
-    ConfigurationState state{{.tombstones = 2}};
+    ConfigurationState state{{.maxTombstones = 2}};
     state.applyListing({Revision{5}, {objectAt("x", 3)}});
     cr_assert(state.applyChange(deletionAt("x", 8)));
     cr_assert(!state.applyChange(objectAt("x", 3)));
@@ -70,14 +70,14 @@
 
 Test(configuration, peerFromBeforeTheOldestTombstoneGetsAllObjects)
 {
-    ConfigurationState state{{.tombstones = 1}};
+    ConfigurationState state{{.maxTombstones = 1}};
     ConfigurationState late;
     const StoreListing first{Revision{3}, {objectAt("x", 1), objectAt("y", 2), objectAt("z", 3)}};
     state.applyListing(first);
     late.applyListing(first);
     state.applyChanges({Revision{3}, Revision{6}, {deletionAt("x", 4), deletionAt("y", 5), objectAt("z", 6)}, false});
     const auto delta = state.deltaFor(late.digest());
-    cr_assert(delta.whole);
+    cr_assert(delta.isFullState);
     cr_assert(late.applyDelta(delta).size() == 3);
     cr_assert(late.digest().sameContent(state.digest()));
 }
@@ -91,7 +91,7 @@
     late.applyListing(first);
     state.applyListing({Revision{9}, {objectAt("y", 2), objectAt("w", 8)}});
     const auto delta = state.deltaFor(late.digest());
-    cr_assert(!delta.whole);
+    cr_assert(!delta.isFullState);
     cr_assert(late.applyDelta(delta).size() == 3);
     cr_assert(late.digest().sameContent(state.digest()));
 }
@@ -185,7 +185,7 @@
         const auto length = *rc::gen::inRange<std::size_t>(1, 40);
         const auto history = randomHistory(length);
         constexpr std::size_t nodes = 4;
-        std::vector<ConfigurationState> states(nodes, ConfigurationState{{.tombstones = 3}});
+        std::vector<ConfigurationState> states(nodes, ConfigurationState{{.maxTombstones = 3}});
         std::vector<Seen> seen(nodes);
         const auto steps = *rc::gen::inRange(0, 80);
         const auto revision = [&] {
@@ -216,7 +216,7 @@
                 applied = states[node].applyDelta(states[peer].deltaFor(states[node].digest()));
                 break;
             default:
-                applied = states[node].applyDelta(states[peer].wholeState());
+                applied = states[node].applyDelta(states[peer].fullState());
                 break;
             }
             assertNeverBack(states[node], applied, seen[node], before);
