--- a/src/app/planwatch.cpp
+++ b/src/app/planwatch.cpp
@@ -48,10 +48,10 @@
         return;
     }
     const auto primary = owner->snapshot().primary;
-    PlanSight sight;
+    PlanObservation sight;
     sight.due = plan.due;
-    sight.leads = primary && primary->member == plan.member;
-    sight.quiet = plan.due && !sight.leads && isQuiet(plan, *owner);
+    sight.isPrimary = primary && primary->member == plan.member;
+    sight.drained = plan.due && !sight.isPrimary && isQuiet(plan, *owner);
     const auto progress = planProgress(sight);
     const auto known = told_.find(plan.plan);
     if (known != told_.end() && known->second == std::pair{plan.version, progress}) {
--- a/src/status/fwd.h
+++ b/src/status/fwd.h
@@ -4,7 +4,7 @@
 namespace cardamomstep {
 
 struct DuePlan;
-struct PlanSight;
+struct PlanObservation;
 struct PendingStatus;
 class StatusQueue;
 
--- a/src/status/plans.cpp
+++ b/src/status/plans.cpp
@@ -50,23 +50,23 @@
     });
 }
 
-PlanProgress planProgress(const PlanSight &sight) noexcept
+PlanProgress planProgress(const PlanObservation &observation) noexcept
 {
-    if (!sight.due) {
+    if (!observation.due) {
         return PlanProgress::Waiting;
     }
-    return sight.leads || !sight.quiet ? PlanProgress::Draining : PlanProgress::Done;
+    return observation.isPrimary || !observation.drained ? PlanProgress::Draining : PlanProgress::Done;
 }
 
-std::string_view planDetail(const PlanSight &sight) noexcept
+std::string_view planDetail(const PlanObservation &observation) noexcept
 {
-    if (!sight.due) {
+    if (!observation.due) {
         return "its time has not come, or another plan of the group goes first";
     }
-    if (sight.leads) {
+    if (observation.isPrimary) {
         return "another member is being made primary";
     }
-    return sight.quiet ? "the member may be stopped" : "statements in flight finish";
+    return observation.drained ? "the member may be stopped" : "statements in flight finish";
 }
 
 } // namespace cardamomstep
--- a/src/status/plans.h
+++ b/src/status/plans.h
@@ -31,18 +31,18 @@
 [[nodiscard]] bool instancePlanDue(const Catalog &catalog, const InstanceName &instance, WallTime now);
 
 /// What the first owner of a group sees of a plan's member.
-struct PlanSight {
+struct PlanObservation {
     bool due = false;
     /// The member leads its group.
-    bool leads = false;
+    bool isPrimary = false;
     /// All owners of the group answered, have the plan in force, and none has a statement or a transaction at the member.
-    bool quiet = false;
+    bool drained = false;
 };
 
 /// How far a plan has come, as \a sight shows it.
-[[nodiscard]] PlanProgress planProgress(const PlanSight &sight) noexcept;
+[[nodiscard]] PlanProgress planProgress(const PlanObservation &observation) noexcept;
 
 /// One sentence that explains \a progress.
-[[nodiscard]] std::string_view planDetail(const PlanSight &sight) noexcept;
+[[nodiscard]] std::string_view planDetail(const PlanObservation &observation) noexcept;
 
 } // namespace cardamomstep
