--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -62,10 +62,10 @@
     }
 }
 
-void ConnectionPool::openFailed(ConnectionKey key, LinkFault fault, TimePoint now)
+void ConnectionPool::openFailed(ConnectionKey key, ConnectionFault fault, TimePoint now)
 {
     closed(key);
-    const auto doublings = fault == LinkFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
+    const auto doublings = fault == ConnectionFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
     const auto pause = std::min(limits_.longestPause, limits_.pauseAfterRefusal * (1U << doublings));
     pausedUntil_ = std::max<TimePoint>(pausedUntil_, now + pause);
     ++failures_;
--- a/src/connections/pool.h
+++ b/src/connections/pool.h
@@ -84,7 +84,7 @@
     void opened(ConnectionKey key, TimePoint now);
 
     /// The connection could not be opened.
-    void openFailed(ConnectionKey key, LinkFault fault, TimePoint now);
+    void openFailed(ConnectionKey key, ConnectionFault fault, TimePoint now);
 
     /// A request ended cleanly; true when the connection was kept, false when it must be closed now.
     [[nodiscard]] bool giveBack(ConnectionKey key, TimePoint now);
--- a/src/groups/impl/memberwatch.cpp
+++ b/src/groups/impl/memberwatch.cpp
@@ -117,15 +117,15 @@
     failedSinceHeard_ = false;
 }
 
-TimePoint MemberWatch::onFailure(const LinkFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept
+TimePoint MemberWatch::onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept
 {
     failedSinceHeard_ = true;
     // The process may have ended; a new one follows nobody.
     toldTerm_.reset();
-    if (failure.fault == LinkFault::TimedOut) {
+    if (failure.fault == ConnectionFault::TimedOut) {
         return now;
     }
-    if (failure.fault != LinkFault::Refused) {
+    if (failure.fault != ConnectionFault::Refused) {
         return now + policy.refusalRetry;
     }
     if (gone()) {
--- a/src/groups/impl/memberwatch.h
+++ b/src/groups/impl/memberwatch.h
@@ -42,7 +42,7 @@
     /// The member gave a sign of life.
     void onAlive(TimePoint now) noexcept;
     /// An exchange failed; returns when a report may be asked for again.
-    TimePoint onFailure(const LinkFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
+    TimePoint onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
     /// The observer itself stood still for \a span: silence does not count for that time.
     void forgive(Microseconds span, TimePoint now) noexcept;
 
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -61,7 +61,7 @@
     return settle(now);
 }
 
-GroupActions GroupMonitor::onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
+GroupActions GroupMonitor::onLinkFailure(const MemberName &member, const ConnectionFailure &failure, TimePoint now)
 {
     begin(now);
     if (auto *watch = find(member)) {
@@ -87,7 +87,7 @@
 }
 
 GroupActions
-GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now)
+GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const ConnectionFailure &failure, TimePoint now)
 {
     begin(now);
     if (auto *watch = find(member)) {
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -47,7 +47,7 @@
     [[nodiscard]] GroupActions onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now);
 
     /// A SendReport to \a member failed.
-    [[nodiscard]] GroupActions onLinkFailure(const MemberName &member, const LinkFailure &failure, TimePoint now);
+    [[nodiscard]] GroupActions onLinkFailure(const MemberName &member, const ConnectionFailure &failure, TimePoint now);
 
     /// \a member replied to the order \a kind of \a term that was sent at \a sentAt.
     [[nodiscard]] GroupActions
@@ -55,7 +55,7 @@
 
     /// The order \a kind of \a term to \a member failed; it may still have taken effect.
     [[nodiscard]] GroupActions
-    onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now);
+    onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const ConnectionFailure &failure, TimePoint now);
 
     /// Another owner told what it knows.
     [[nodiscard]] GroupActions onPeerSighting(const InstanceName &peer, const PeerSighting &sighting, TimePoint now);
--- a/src/members/fwd.h
+++ b/src/members/fwd.h
@@ -6,10 +6,10 @@
 namespace cardamomstep {
 
 enum class MemberRole : std::uint8_t;
-enum class LinkFault : std::uint8_t;
+enum class ConnectionFault : std::uint8_t;
 struct MemberReport;
 struct MemberCall;
 struct MemberReply;
-struct LinkFailure;
+struct ConnectionFailure;
 
 } // namespace cardamomstep
--- a/src/members/httplink.cpp
+++ b/src/members/httpconnection.cpp
@@ -1,5 +1,5 @@
 // Links to a member over HTTP/JSON.
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 
 #include "http/connection.h"
 #include "members/impl/membercodec.h"
@@ -18,7 +18,7 @@
 class Requester
 {
 public:
-    Requester(const Address &remote, const LinkIdentity &identity)
+    Requester(const Address &remote, const ConnectionIdentity &identity)
         : connection_(remote)
         , from_(identity.instance.text() + "/" + identity.domain.text())
     {
@@ -57,27 +57,27 @@
     std::string from_;
 };
 
-LinkFailure toLinkFailure(const http::ExchangeFailure &failure)
+ConnectionFailure toLinkFailure(const http::ExchangeFailure &failure)
 {
-    LinkFailure result;
+    ConnectionFailure result;
     result.notSent = failure.stage == http::ExchangeStage::NotSent;
     result.description = failure.description;
     if (failure.refused) {
-        result.fault = LinkFault::Refused;
+        result.fault = ConnectionFault::Refused;
     } else {
-        result.fault = failure.timedOut ? LinkFault::TimedOut : LinkFault::Closed;
+        result.fault = failure.timedOut ? ConnectionFault::TimedOut : ConnectionFault::Closed;
     }
     return result;
 }
 
-LinkFailure corrupt(const std::string &what)
+ConnectionFailure corrupt(const std::string &what)
 {
-    return {LinkFault::Corrupt, false, what + " is truncated, malformed or belongs to another exchange"};
+    return {ConnectionFault::Corrupt, false, what + " is truncated, malformed or belongs to another exchange"};
 }
 
 /// Decodes the response of \a result by \a decode; a response that cannot be read closes the connection.
 template<typename Reply, typename Decode>
-LinkResult<Reply> decoded(Requester &requester, const http::ExchangeResult &result, Decode decode)
+ConnectionResult<Reply> decoded(Requester &requester, const http::ExchangeResult &result, Decode decode)
 {
     if (!result.response) {
         return toLinkFailure(result.failure);
@@ -96,8 +96,8 @@
 
 // Control link
 
-struct HttpControlLink::Impl {
-    Impl(const Address &remote, const LinkIdentity &identity)
+struct HttpControlConnection::Impl {
+    Impl(const Address &remote, const ConnectionIdentity &identity)
         : requester(remote, identity)
     {
     }
@@ -105,22 +105,22 @@
     Requester requester;
 };
 
-HttpControlLink::HttpControlLink(const Address &remote, const LinkIdentity &identity)
+HttpControlConnection::HttpControlConnection(const Address &remote, const ConnectionIdentity &identity)
     : impl_(std::make_unique<Impl>(remote, identity))
 {
 }
 
-HttpControlLink::HttpControlLink(HttpControlLink &&) noexcept = default;
-HttpControlLink &HttpControlLink::operator=(HttpControlLink &&) noexcept = default;
-HttpControlLink::~HttpControlLink() = default;
+HttpControlConnection::HttpControlConnection(HttpControlConnection &&) noexcept = default;
+HttpControlConnection &HttpControlConnection::operator=(HttpControlConnection &&) noexcept = default;
+HttpControlConnection::~HttpControlConnection() = default;
 
-LinkResult<MemberReport> HttpControlLink::report(Milliseconds timeout)
+ConnectionResult<MemberReport> HttpControlConnection::report(Milliseconds timeout)
 {
     const auto result = impl_->requester.get("/v1/report", {}, timeout);
     return decoded<MemberReport>(impl_->requester, result, impl::decodeReport);
 }
 
-LinkResult<MemberReport> HttpControlLink::reportAfter(const MemberReport &seen, Milliseconds wait, Milliseconds timeout)
+ConnectionResult<MemberReport> HttpControlConnection::reportAfter(const MemberReport &seen, Milliseconds wait, Milliseconds timeout)
 {
     std::map<std::string, std::string> query{
         {"afterTerm", toText(seen.adopted)},
@@ -133,25 +133,26 @@
     return decoded<MemberReport>(impl_->requester, result, impl::decodeReport);
 }
 
-LinkResult<TermReply> HttpControlLink::adopt(Term term, Milliseconds timeout)
+ConnectionResult<TermReply> HttpControlConnection::adopt(Term term, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/adopt", impl::encodeTerm(term), timeout);
     return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
-LinkResult<TermReply> HttpControlLink::lead(Term term, Milliseconds timeout)
+ConnectionResult<TermReply> HttpControlConnection::lead(Term term, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/lead", impl::encodeTerm(term), timeout);
     return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
-LinkResult<TermReply> HttpControlLink::follow(Term term, const MemberName &primary, const Address &address, Milliseconds timeout)
+ConnectionResult<TermReply>
+HttpControlConnection::follow(Term term, const MemberName &primary, const Address &address, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/follow", impl::encodeFollow(term, primary, address), timeout);
     return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
-LinkResult<OutcomeReply> HttpControlLink::outcome(const RequestId &id, Milliseconds timeout)
+ConnectionResult<OutcomeReply> HttpControlConnection::outcome(const RequestId &id, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/outcome", impl::encodeOutcome(id), timeout);
     return decoded<OutcomeReply>(impl_->requester, result, impl::decodeOutcome);
@@ -159,8 +160,8 @@
 
 // Statement link
 
-struct HttpStatementLink::Impl {
-    Impl(const Address &remote, const LinkIdentity &identity)
+struct HttpStatementConnection::Impl {
+    Impl(const Address &remote, const ConnectionIdentity &identity)
         : requester(remote, identity)
         , client(identity.instance.text())
     {
@@ -170,11 +171,11 @@
     std::string client;
     bool open = false;
 
-    [[nodiscard]] LinkResult<MemberReply> send(const std::string &path, const MemberCall &call, Milliseconds timeout)
+    [[nodiscard]] ConnectionResult<MemberReply> send(const std::string &path, const MemberCall &call, Milliseconds timeout)
     {
         if (!open || !requester.connection().checkOpen()) {
             open = false;
-            return LinkFailure{LinkFault::Closed, true, "the connection is closed"};
+            return ConnectionFailure{ConnectionFault::Closed, true, "the connection is closed"};
         }
         const auto result = requester.post(path, impl::encodeCall(call), timeout);
         auto reply =
@@ -184,16 +185,16 @@
     }
 };
 
-HttpStatementLink::HttpStatementLink(const Address &remote, const LinkIdentity &identity)
+HttpStatementConnection::HttpStatementConnection(const Address &remote, const ConnectionIdentity &identity)
     : impl_(std::make_unique<Impl>(remote, identity))
 {
 }
 
-HttpStatementLink::HttpStatementLink(HttpStatementLink &&) noexcept = default;
-HttpStatementLink &HttpStatementLink::operator=(HttpStatementLink &&) noexcept = default;
-HttpStatementLink::~HttpStatementLink() = default;
+HttpStatementConnection::HttpStatementConnection(HttpStatementConnection &&) noexcept = default;
+HttpStatementConnection &HttpStatementConnection::operator=(HttpStatementConnection &&) noexcept = default;
+HttpStatementConnection::~HttpStatementConnection() = default;
 
-LinkResult<Success> HttpStatementLink::open(Milliseconds timeout)
+ConnectionResult<Success> HttpStatementConnection::open(Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/open", R"({"client":")" + impl_->client + "\"}", timeout);
     if (!result.response) {
@@ -203,40 +204,40 @@
     }
     if (result.response->status != statusOk) {
         impl_->requester.connection().close();
-        const auto fault = result.response->status == statusTooMany ? LinkFault::NoConnection : LinkFault::Corrupt;
-        return LinkFailure{fault, true, "open was answered with status " + std::to_string(result.response->status)};
+        const auto fault = result.response->status == statusTooMany ? ConnectionFault::NoConnection : ConnectionFault::Corrupt;
+        return ConnectionFailure{fault, true, "open was answered with status " + std::to_string(result.response->status)};
     }
     impl_->open = true;
     return Success{};
 }
 
-bool HttpStatementLink::isOpen() const noexcept
+bool HttpStatementConnection::isOpen() const noexcept
 {
     return impl_->open;
 }
 
-bool HttpStatementLink::checkOpen() noexcept
+bool HttpStatementConnection::checkOpen() noexcept
 {
     impl_->open = impl_->open && impl_->requester.connection().checkOpen();
     return impl_->open;
 }
 
-LinkResult<MemberReply> HttpStatementLink::execute(const MemberCall &call, Milliseconds timeout)
+ConnectionResult<MemberReply> HttpStatementConnection::execute(const MemberCall &call, Milliseconds timeout)
 {
     return impl_->send("/v1/execute", call, timeout);
 }
 
-LinkResult<MemberReply> HttpStatementLink::begin(const MemberCall &call, Milliseconds timeout)
+ConnectionResult<MemberReply> HttpStatementConnection::begin(const MemberCall &call, Milliseconds timeout)
 {
     return impl_->send("/v1/begin", call, timeout);
 }
 
-LinkResult<MemberReply> HttpStatementLink::commit(const MemberCall &call, Milliseconds timeout)
+ConnectionResult<MemberReply> HttpStatementConnection::commit(const MemberCall &call, Milliseconds timeout)
 {
     return impl_->send("/v1/commit", call, timeout);
 }
 
-LinkResult<MemberReply> HttpStatementLink::rollback(const MemberCall &call, Milliseconds timeout)
+ConnectionResult<MemberReply> HttpStatementConnection::rollback(const MemberCall &call, Milliseconds timeout)
 {
     return impl_->send("/v1/rollback", call, timeout);
 }
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -36,7 +36,7 @@
 };
 
 /// Why a member gave no usable reply.
-enum class LinkFault : std::uint8_t {
+enum class ConnectionFault : std::uint8_t {
     Refused, ///< Nothing listens at the address: the process is gone.
     Closed, ///< The connection broke, perhaps after the request was sent.
     TimedOut, ///< No reply within the time given.
@@ -45,8 +45,8 @@
 };
 
 /// A failed exchange with a member.
-struct LinkFailure {
-    LinkFault fault = LinkFault::TimedOut;
+struct ConnectionFailure {
+    ConnectionFault fault = ConnectionFault::TimedOut;
     /// True when no byte of the request left this process, so it did not run.
     bool notSent = false;
     std::string description;
@@ -120,51 +120,56 @@
 
 /// A reply or the failure of the link.
 template<typename Reply>
-using LinkResult = std::variant<Reply, LinkFailure>;
+using ConnectionResult = std::variant<Reply, ConnectionFailure>;
 
 /// A connection to one member that carries statements.
 ///
 /// One call at a time. After a LinkFailure it is closed and must not be used again.
 template<typename T>
-concept StatementLink = requires(T link, const MemberCall &call, Milliseconds timeout)
+concept StatementConnection = requires(T connection, const MemberCall &call, Milliseconds timeout)
 {
     {
-        link.execute(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.execute(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.begin(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.begin(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.commit(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.commit(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.rollback(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.rollback(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
 };
 
 /// A connection to one member that carries reports and orders; it takes no slot and no database connection.
 template<typename T>
-concept ControlLink = requires(
-    T link, const MemberReport &seen, Term term, const MemberName &name, const Address &address, const RequestId &id, Milliseconds timeout)
+concept ControlConnection = requires(T connection,
+                                     const MemberReport &seen,
+                                     Term term,
+                                     const MemberName &name,
+                                     const Address &address,
+                                     const RequestId &id,
+                                     Milliseconds timeout)
 {
     {
-        link.report(timeout)
-        } -> std::same_as<LinkResult<MemberReport>>;
+        connection.report(timeout)
+        } -> std::same_as<ConnectionResult<MemberReport>>;
     {
-        link.reportAfter(seen, timeout, timeout)
-        } -> std::same_as<LinkResult<MemberReport>>;
+        connection.reportAfter(seen, timeout, timeout)
+        } -> std::same_as<ConnectionResult<MemberReport>>;
     {
-        link.adopt(term, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.adopt(term, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.lead(term, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.lead(term, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.follow(term, name, address, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.follow(term, name, address, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.outcome(id, timeout)
-        } -> std::same_as<LinkResult<OutcomeReply>>;
+        connection.outcome(id, timeout)
+        } -> std::same_as<ConnectionResult<OutcomeReply>>;
 };
 
 } // namespace cardamomstep
--- a/src/owner/controlworker.cpp
+++ b/src/owner/controlworker.cpp
@@ -5,7 +5,7 @@
 
 namespace cardamomstep {
 
-ControlWorker::ControlWorker(const Address &remote, const LinkIdentity &identity)
+ControlWorker::ControlWorker(const Address &remote, const ConnectionIdentity &identity)
     : link_(remote, identity)
     , thread_([this] { run(); })
 {
--- a/src/owner/controlworker.h
+++ b/src/owner/controlworker.h
@@ -1,7 +1,7 @@
 // A thread that carries out reports and orders on one control link, one after the other.
 #pragma once
 
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 
 #include <condition_variable>
@@ -16,9 +16,9 @@
 class ControlWorker
 {
 public:
-    using Job = std::function<void(HttpControlLink &)>;
+    using Job = std::function<void(HttpControlConnection &)>;
 
-    ControlWorker(const Address &remote, const LinkIdentity &identity);
+    ControlWorker(const Address &remote, const ConnectionIdentity &identity);
     ControlWorker(const ControlWorker &) = delete;
     ControlWorker &operator=(const ControlWorker &) = delete;
 
@@ -33,7 +33,7 @@
 
     void run();
 
-    HttpControlLink link_;
+    HttpControlConnection link_;
     std::mutex mutex_;
     std::condition_variable condition_;
     /// Guarded by mutex_.
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -28,16 +28,16 @@
 ///
 /// Feeds what the reply says to the machines; the lease is not given back.
 template<typename Send>
-[[nodiscard]] LinkResult<MemberReply> exchange(GroupCore &core,
-                                               std::unique_lock<std::mutex> &lock,
-                                               const MemberName &name,
-                                               const MemberLinks::Lease &lease,
-                                               TimePoint deadline,
-                                               Send send)
+[[nodiscard]] ConnectionResult<MemberReply> exchange(GroupCore &core,
+                                                     std::unique_lock<std::mutex> &lock,
+                                                     const MemberName &name,
+                                                     const MemberLinks::Lease &lease,
+                                                     TimePoint deadline,
+                                                     Send send)
 {
     auto *member = core.find(name);
     if (member == nullptr) {
-        return LinkFailure{LinkFault::Closed, true, "the member was removed"};
+        return ConnectionFailure{ConnectionFault::Closed, true, "the member was removed"};
     }
     const auto sentAt = steadyNow();
     const auto timeout = exchangeTimeout(member->links, deadline);
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -151,7 +151,7 @@
         return;
     }
     const auto seen = monitor.lastReport(action.member);
-    (void)member->watcher.add([self = weak_from_this(), action, seen](HttpControlLink &link) {
+    (void)member->watcher.add([self = weak_from_this(), action, seen](HttpControlConnection &link) {
         const auto sentAt = steadyNow();
         const bool waits = seen && action.wait.count() > 0;
         const auto result = waits ? link.reportAfter(*seen, action.wait, action.timeout) : link.report(action.timeout);
@@ -164,7 +164,7 @@
             core->takeReport(*report, sentAt);
         } else {
             core->router.setSuspect(action.member, true);
-            core->feed(trace::ReportFailure{action.member, std::get<LinkFailure>(result)});
+            core->feed(trace::ReportFailure{action.member, std::get<ConnectionFailure>(result)});
         }
     });
 }
@@ -231,7 +231,7 @@
         return;
     }
     const auto target = follow != nullptr ? *follow : SendFollow{};
-    (void)member->orders.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlLink &link) {
+    (void)member->orders.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlConnection &link) {
         const auto sentAt = steadyNow();
         const auto result = kind == OrderKind::Adopt ? link.adopt(term, timeout)
             : kind == OrderKind::Lead                ? link.lead(term, timeout)
@@ -246,7 +246,7 @@
             core->tellRouter(reply->report);
             core->feed(trace::OrderReply{name, kind, term, *reply, sentAt});
         } else {
-            core->feed(trace::OrderFailure{name, kind, term, std::get<LinkFailure>(result)});
+            core->feed(trace::OrderFailure{name, kind, term, std::get<ConnectionFailure>(result)});
         }
     });
 }
@@ -295,7 +295,7 @@
 void GroupCore::sendChecks(RoundNumber /*round*/)
 {
     for (auto &[name, member] : members) {
-        (void)member->orders.add([self = weak_from_this(), name = name](HttpControlLink &link) {
+        (void)member->orders.add([self = weak_from_this(), name = name](HttpControlConnection &link) {
             const auto sentAt = steadyNow();
             const auto result = link.report(checkTimeout);
             const auto core = self.lock();
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -37,7 +37,7 @@
 public:
     /// One member of the group.
     struct Member {
-        Member(const GroupMember &member, const LinkIdentity &identity)
+        Member(const GroupMember &member, const ConnectionIdentity &identity)
             : address(member.address)
             , links(member.address, identity)
             , watcher(member.address, identity)
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -80,7 +80,7 @@
         }
         address = member->address;
     }
-    HttpControlLink link(address, core_.options.identity);
+    HttpControlConnection link(address, core_.options.identity);
     const auto sentAt = steadyNow();
     const auto result = link.outcome(statement_.requestId, askTimeout);
     const auto *reply = std::get_if<OutcomeReply>(&result);
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -116,7 +116,7 @@
     return finishExecute(*use, result);
 }
 
-Answer TransactionFlow::finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result)
+Answer TransactionFlow::finishExecute(const Transactions::Use &use, const ConnectionResult<MemberReply> &result)
 {
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
--- a/src/owner/impl/transactionflow.h
+++ b/src/owner/impl/transactionflow.h
@@ -29,7 +29,7 @@
 
 private:
     [[nodiscard]] Answer beginOn(const PrimaryView &view);
-    [[nodiscard]] Answer finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result);
+    [[nodiscard]] Answer finishExecute(const Transactions::Use &use, const ConnectionResult<MemberReply> &result);
     void closeConnection(const Transactions::Use &use);
     void giveBack(const Transactions::Use &use);
 
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -38,9 +38,9 @@
 Answer WriteFlow::commit(const Transactions::Use &use)
 {
     servedBy_ = use.transaction.member;
-    return drive(true, [this, &use](const Term &term) -> LinkResult<MemberReply> {
+    return drive(true, [this, &use](const Term &term) -> ConnectionResult<MemberReply> {
         if (term != use.transaction.term) {
-            return LinkFailure{LinkFault::Closed, true, "the transaction's primary was superseded"};
+            return ConnectionFailure{ConnectionFault::Closed, true, "the transaction's primary was superseded"};
         }
         auto call = callFor(core_, statement_, term);
         call.write = true;
@@ -81,23 +81,23 @@
     return need;
 }
 
-LinkResult<MemberReply> WriteFlow::sendOnce(const Term &term)
+ConnectionResult<MemberReply> WriteFlow::sendOnce(const Term &term)
 {
     const auto view = core_.monitor.primary();
     if (!view || view->term != term) {
-        return LinkFailure{LinkFault::Closed, true, "the primary changed before the statement was sent"};
+        return ConnectionFailure{ConnectionFault::Closed, true, "the primary changed before the statement was sent"};
     }
     const auto ticket = core_.admit(lock_, Lane::Primary, statement_.service, deadline_);
     if (!ticket) {
         refusal_ = ticket.error();
-        return LinkFailure{LinkFault::NoConnection, true, ticket.error().description};
+        return ConnectionFailure{ConnectionFault::NoConnection, true, ticket.error().description};
     }
     servedBy_ = view->member;
     auto *member = core_.find(servedBy_);
     const auto lease = member->links.take(lock_, deadline_);
     if (!lease) {
         core_.finished(*ticket);
-        return LinkFailure{LinkFault::NoConnection, true, lease.error().description};
+        return ConnectionFailure{ConnectionFault::NoConnection, true, lease.error().description};
     }
     const auto call = callFor(core_, statement_, term);
     auto result = exchange(
@@ -114,7 +114,7 @@
     if (const auto *reply = std::get_if<MemberReply>(&result)) {
         return attempt.replied(*reply, now);
     }
-    const auto &failure = std::get<LinkFailure>(result);
+    const auto &failure = std::get<ConnectionFailure>(result);
     (void)attempt.primaryChanged(core_.leader(), now);
     auto step = attempt.sendFailed(failure, now);
     // A refusal by admission is final: it names when to come back.
@@ -147,7 +147,7 @@
         return attempt.outcomeFailed(steadyNow());
     }
     const auto *member = core_.find(view->member);
-    HttpControlLink link(member->address, core_.options.identity);
+    HttpControlConnection link(member->address, core_.options.identity);
     const auto sentAt = steadyNow();
     lock_.unlock();
     const auto result =
--- a/src/owner/impl/writeflow.h
+++ b/src/owner/impl/writeflow.h
@@ -22,11 +22,11 @@
 
 private:
     /// Sends the request once to the primary of a term.
-    using Sender = std::function<LinkResult<MemberReply>(const Term &)>;
+    using Sender = std::function<ConnectionResult<MemberReply>(const Term &)>;
 
     [[nodiscard]] Answer drive(bool isCommit, const Sender &send);
     [[nodiscard]] WriteNeed need(bool isCommit) const;
-    [[nodiscard]] LinkResult<MemberReply> sendOnce(const Term &term);
+    [[nodiscard]] ConnectionResult<MemberReply> sendOnce(const Term &term);
     [[nodiscard]] WriteStep performSend(WriteAttempt &attempt, const Term &term, const Sender &send);
     [[nodiscard]] WriteStep performAsk(WriteAttempt &attempt, const AskOutcome &ask);
     [[nodiscard]] WriteStep performCoverage(WriteAttempt &attempt, const LogPosition &mark);
--- a/src/owner/memberlinks.cpp
+++ b/src/owner/memberlinks.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-MemberLinks::MemberLinks(const Address &remote, const LinkIdentity &identity)
+MemberLinks::MemberLinks(const Address &remote, const ConnectionIdentity &identity)
     : remote_(remote)
     , identity_(identity)
 {
@@ -52,12 +52,12 @@
 
 Result<MemberLinks::Lease> MemberLinks::openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline)
 {
-    auto link = std::make_shared<HttpStatementLink>(remote_, identity_);
+    auto link = std::make_shared<HttpStatementConnection>(remote_, identity_);
     const auto timeout = std::min(openTimeout, wholeMilliseconds(deadline - steadyNow()));
     lock.unlock();
     const auto result = link->open(timeout);
     lock.lock();
-    if (const auto *failure = std::get_if<LinkFailure>(&result)) {
+    if (const auto *failure = std::get_if<ConnectionFailure>(&result)) {
         pool_.openFailed(key, failure->fault, steadyNow());
         waiting_.signalAll();
         return Error{ErrorKind::EndpointUnreachable, failure->description};
--- a/src/owner/memberlinks.h
+++ b/src/owner/memberlinks.h
@@ -4,7 +4,7 @@
 #include "base/result.h"
 #include "connections/pool.h"
 #include "connections/silence.h"
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 #include "owner/waiter.h"
 
@@ -23,10 +23,10 @@
     /// A connection in use by one request.
     struct Lease {
         ConnectionKey key = 0;
-        std::shared_ptr<HttpStatementLink> link;
+        std::shared_ptr<HttpStatementConnection> link;
     };
 
-    MemberLinks(const Address &remote, const LinkIdentity &identity);
+    MemberLinks(const Address &remote, const ConnectionIdentity &identity);
 
     /// Sets how many connections may be open.
     void setAllowed(std::uint32_t allowed, TimePoint now);
@@ -75,11 +75,11 @@
     [[nodiscard]] Result<Lease> openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline);
 
     Address remote_;
-    LinkIdentity identity_;
+    ConnectionIdentity identity_;
     ConnectionPool pool_;
     SilenceDetector silence_;
     /// Links of all open connections; opening ones have none yet.
-    std::map<ConnectionKey, std::shared_ptr<HttpStatementLink>> links_;
+    std::map<ConnectionKey, std::shared_ptr<HttpStatementConnection>> links_;
     WaitList waiting_;
 };
 
--- a/src/owner/options.h
+++ b/src/owner/options.h
@@ -6,7 +6,7 @@
 #include "groups/action.h"
 #include "groups/member.h"
 #include "groups/policy.h"
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 #include "requests/admission.h"
 
@@ -27,7 +27,7 @@
     std::uint32_t connections = 1;
     /// Guaranteed parts of the services that use this group.
     std::vector<ServiceShare> shares;
-    LinkIdentity identity;
+    ConnectionIdentity identity;
     GroupPolicy policy;
     /// Place of this proxy among the group's owners; 0 acts first.
     unsigned rank = 0;
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -24,13 +24,13 @@
     return sendOrWait(now);
 }
 
-WriteStep WriteAttempt::sendFailed(const LinkFailure &failure, TimePoint now)
+WriteStep WriteAttempt::sendFailed(const ConnectionFailure &failure, TimePoint now)
 {
     if (!inFlight()) {
         return step_;
     }
     if (failure.notSent) {
-        if (failure.fault == LinkFault::Refused && !need_.commit) {
+        if (failure.fault == ConnectionFault::Refused && !need_.commit) {
             return waitForNext(sentTerm_, ErrorKind::EndpointUnreachable, now);
         }
         return sendAgain(Error{ErrorKind::EndpointUnreachable, failure.description}, now);
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -126,7 +126,7 @@
     /// The exchange that SendWrite asked for failed.
     ///
     /// Call primaryChanged() first when the primary may have changed meanwhile, so that the same one is not tried again.
-    [[nodiscard]] WriteStep sendFailed(const LinkFailure &failure, TimePoint now);
+    [[nodiscard]] WriteStep sendFailed(const ConnectionFailure &failure, TimePoint now);
 
     /// The member replied to what SendWrite sent; the shell has checked the exchange id and that the reply is whole.
     [[nodiscard]] WriteStep replied(const MemberReply &reply, TimePoint now);
--- a/src/trace/groupinput.h
+++ b/src/trace/groupinput.h
@@ -21,7 +21,7 @@
 /// GroupMonitor::onLinkFailure().
 struct ReportFailure {
     MemberName member;
-    LinkFailure failure;
+    ConnectionFailure failure;
 };
 /// GroupMonitor::onOrderReply().
 struct OrderReply {
@@ -36,7 +36,7 @@
     MemberName member;
     OrderKind kind = OrderKind::Adopt;
     Term term;
-    LinkFailure failure;
+    ConnectionFailure failure;
 };
 /// GroupMonitor::onPeerSighting().
 struct Sighting {
--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -42,12 +42,12 @@
 
 constexpr const char *replicaFactor = "replicaHeartbeatFactor";
 
-constexpr std::array<std::pair<LinkFault, const char *>, 5> faultNames{{
-    {LinkFault::Refused, "refused"},
-    {LinkFault::Closed, "closed"},
-    {LinkFault::TimedOut, "timed-out"},
-    {LinkFault::Corrupt, "corrupt"},
-    {LinkFault::NoConnection, "no-connection"},
+constexpr std::array<std::pair<ConnectionFault, const char *>, 5> faultNames{{
+    {ConnectionFault::Refused, "refused"},
+    {ConnectionFault::Closed, "closed"},
+    {ConnectionFault::TimedOut, "timed-out"},
+    {ConnectionFault::Corrupt, "corrupt"},
+    {ConnectionFault::NoConnection, "no-connection"},
 }};
 
 constexpr std::array<std::pair<OrderKind, const char *>, 3> orderNames{{
@@ -103,7 +103,7 @@
             {"leaving", report.leaving}};
 }
 
-Json write(const LinkFailure &failure)
+Json write(const ConnectionFailure &failure)
 {
     return {{"fault", nameOf(faultNames, failure.fault)}, {"notSent", failure.notSent}};
 }
@@ -173,7 +173,7 @@
             json.at("leaving").get<bool>()};
 }
 
-LinkFailure readFailure(const Json &json)
+ConnectionFailure readFailure(const Json &json)
 {
     return {valueOf(faultNames, json.at("fault")), json.at("notSent").get<bool>(), {}};
 }
--- a/src/trace/impl/values.h
+++ b/src/trace/impl/values.h
@@ -22,7 +22,7 @@
 
 [[nodiscard]] Json write(TimePoint time);
 [[nodiscard]] Json write(const MemberReport &report);
-[[nodiscard]] Json write(const LinkFailure &failure);
+[[nodiscard]] Json write(const ConnectionFailure &failure);
 [[nodiscard]] Json write(const TermReply &reply);
 [[nodiscard]] Json write(const PeerSighting &sighting);
 [[nodiscard]] Json write(const std::vector<GroupMember> &members);
@@ -32,7 +32,7 @@
 [[nodiscard]] TimePoint readTime(const Json &json);
 [[nodiscard]] Term readTerm(const Json &json);
 [[nodiscard]] MemberReport readReport(const Json &json);
-[[nodiscard]] LinkFailure readFailure(const Json &json);
+[[nodiscard]] ConnectionFailure readFailure(const Json &json);
 [[nodiscard]] TermReply readReply(const Json &json);
 [[nodiscard]] PeerSighting readSighting(const Json &json);
 [[nodiscard]] std::vector<GroupMember> readMembers(const Json &json);
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -209,7 +209,7 @@
     ConnectionPool pool;
     (void)pool.setAllowed(8, at(0));
     const auto key = openedKey(pool.take(at(500), at(0)));
-    pool.openFailed(key, LinkFault::NoConnection, at(5));
+    pool.openFailed(key, ConnectionFault::NoConnection, at(5));
     cr_assert(pool.open() == 0);
     cr_assert(pool.take(at(500), at(6)) == (ConnectionStep{AwaitConnection{at(105)}}));
     const auto tooLate = pool.take(at(100), at(6));
@@ -271,7 +271,7 @@
                 (void)pool.setAllowed(allowed, at(now));
                 mostOpen = std::max(allowed, pool.open());
             } else if (event == 1 && !opening.empty()) {
-                pool.openFailed(takeOne(opening), *rc::gen::element(LinkFault::NoConnection, LinkFault::Refused), at(now));
+                pool.openFailed(takeOne(opening), *rc::gen::element(ConnectionFault::NoConnection, ConnectionFault::Refused), at(now));
             } else if (event == 2 && !opening.empty()) {
                 busy.push_back(takeOne(opening));
                 pool.opened(busy.back(), at(now));
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -133,22 +133,22 @@
                    int member,
                    Milliseconds timeout,
                    std::function<void(std::function<void(Reply)>)> serve,
-                   std::function<void(LinkResult<Reply>)> done)
+                   std::function<void(ConnectionResult<Reply>)> done)
 {
     const auto open = std::make_shared<bool>(true);
-    const auto finish = [this, open, proxy, member, done](LinkResult<Reply> result) {
+    const auto finish = [this, open, proxy, member, done](ConnectionResult<Reply> result) {
         if (!std::exchange(*open, false) || !proxies[proxy].alive) {
             return;
         }
-        if (std::holds_alternative<LinkFailure>(result)) {
+        if (std::holds_alternative<ConnectionFailure>(result)) {
             proxies[proxy].freshConnections.insert(member);
         }
         done(std::move(result));
     };
-    const auto fail = [finish](LinkFault fault) {
-        finish(LinkFailure{fault, fault == LinkFault::Refused, {}});
+    const auto fail = [finish](ConnectionFault fault) {
+        finish(ConnectionFailure{fault, fault == ConnectionFault::Refused, {}});
     };
-    at(now + timeout, [fail] { fail(LinkFault::TimedOut); });
+    at(now + timeout, [fail] { fail(ConnectionFault::TimedOut); });
     const auto back = [this, proxy, member](std::function<void()> action) {
         send(node(member), proxy, std::move(action));
     };
@@ -157,7 +157,7 @@
         if (!target.up) {
             return;
         }
-        target.breakers.push_back([fail, back] { back([fail] { fail(LinkFault::Closed); }); });
+        target.breakers.push_back([fail, back] { back([fail] { fail(ConnectionFault::Closed); }); });
         const auto generation = target.generation;
         awake(member, [this, member, serve, finish, back, generation] {
             serve([this, member, finish, back, generation](Reply reply) {
@@ -176,7 +176,7 @@
             return;
         }
         if (!target.up) {
-            back([fail] { fail(LinkFault::Refused); });
+            back([fail] { fail(ConnectionFault::Refused); });
             return;
         }
         if (fresh) {
@@ -245,9 +245,9 @@
             member,
             wait + report->timeout,
             [this, member, seen, wait](std::function<void(MemberReport)> reply) { serveReport(member, seen, wait, std::move(reply)); },
-            [this, proxy, member, sentAt](const LinkResult<MemberReport> &result) {
+            [this, proxy, member, sentAt](const ConnectionResult<MemberReport> &result) {
                 const auto &name = members[member].name;
-                if (const auto *failure = std::get_if<LinkFailure>(&result)) {
+                if (const auto *failure = std::get_if<ConnectionFailure>(&result)) {
                     perform(proxy, proxies[proxy].monitor->onLinkFailure(name, *failure, now));
                     return;
                 }
@@ -297,10 +297,10 @@
         [this, member, kind, term, primary](const std::function<void(TermReply)> &reply) {
             reply(serveOrder(member, kind, term, primary));
         },
-        [this, proxy, member, kind, term, sentAt](const LinkResult<TermReply> &result) {
+        [this, proxy, member, kind, term, sentAt](const ConnectionResult<TermReply> &result) {
             auto &monitor = *proxies[proxy].monitor;
             const auto &name = members[member].name;
-            if (const auto *failure = std::get_if<LinkFailure>(&result)) {
+            if (const auto *failure = std::get_if<ConnectionFailure>(&result)) {
                 perform(proxy, monitor.onOrderFailure(name, kind, term, *failure, now));
                 return;
             }
@@ -482,7 +482,7 @@
             changed(member);
             reply(done);
         },
-        [this, proxy, member, id](const LinkResult<WriteReply> &result) {
+        [this, proxy, member, id](const ConnectionResult<WriteReply> &result) {
             const auto *reply = std::get_if<WriteReply>(&result);
             if (reply == nullptr) {
                 return;
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -170,7 +170,7 @@
               int member,
               Milliseconds timeout,
               std::function<void(std::function<void(Reply)>)> serve,
-              std::function<void(LinkResult<Reply>)> done);
+              std::function<void(ConnectionResult<Reply>)> done);
     void perform(int proxy, GroupActions actions);
     void performOne(int proxy, const GroupAction &action);
     void order(int proxy, int member, OrderKind kind, const Term &term, int primary, Milliseconds timeout);
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -62,9 +62,9 @@
     return reply;
 }
 
-LinkFailure lost()
+ConnectionFailure lost()
 {
-    return LinkFailure{LinkFault::Closed, false, "closed"};
+    return ConnectionFailure{ConnectionFault::Closed, false, "closed"};
 }
 
 const AnswerWrite &answerOf(const WriteStep &step)
@@ -172,7 +172,7 @@
     RetryBudget budget{{0.1, 2}};
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
+    const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
     cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(1))));
     cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(2))));
     const auto answer = answerOf(attempt.sendFailed(unsent, at(3)));
@@ -182,7 +182,7 @@
 Test(requests, anUnsentWriteGoesToANewPrimaryWithoutABudget)
 {
     RetryBudget budget{{0.1, 0}};
-    const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
+    const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(is<SendStoreWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
@@ -281,7 +281,7 @@
     need.commit = true;
     WriteAttempt unsent{need, budget};
     (void)unsent.start({termOf(3), true}, at(0));
-    const auto aborted = answerOf(unsent.sendFailed({LinkFault::Closed, true, "not sent"}, at(1)));
+    const auto aborted = answerOf(unsent.sendFailed({ConnectionFault::Closed, true, "not sent"}, at(1)));
     cr_assert(aborted.ran == Ran::No && aborted.error->kind == ErrorKind::TransactionAborted);
 
     WriteAttempt sent{need, budget};
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -131,7 +131,7 @@
                 if (up) {
                     handle(Report{name, report, sentAt});
                 } else {
-                    handle(ReportFailure{name, {LinkFault::Refused, true, "connection refused by 10.0.0.9"}});
+                    handle(ReportFailure{name, {ConnectionFault::Refused, true, "connection refused by 10.0.0.9"}});
                 }
             });
         });
@@ -146,7 +146,7 @@
                 if (up) {
                     handle(OrderReply{name, kind, term, {accepted, report}, sentAt});
                 } else {
-                    handle(OrderFailure{name, kind, term, {LinkFault::Refused, true, {}}});
+                    handle(OrderFailure{name, kind, term, {ConnectionFault::Refused, true, {}}});
                 }
             });
         });
@@ -309,9 +309,9 @@
         policy.replicaHeartbeatFactor = *rc::gen::inRange(1U, 9U);
         const std::vector<GroupInput> inputs{Tick{},
                                              Report{report.member, report, time},
-                                             ReportFailure{report.member, {LinkFault::Corrupt, flag, {}}},
+                                             ReportFailure{report.member, {ConnectionFault::Corrupt, flag, {}}},
                                              OrderReply{report.member, OrderKind::Lead, term, {flag, report}, time},
-                                             OrderFailure{report.member, OrderKind::Follow, term, {LinkFault::TimedOut, flag, {}}},
+                                             OrderFailure{report.member, OrderKind::Follow, term, {ConnectionFault::TimedOut, flag, {}}},
                                              Sighting{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
                                              StatementEvidence{report.member},
                                              SetRank{3},
