--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -17,12 +17,12 @@
 constexpr Milliseconds listTimeout{3'000};
 constexpr Milliseconds longestPause{200};
 
-SpreadOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
+GossipOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
 {
-    SpreadOptions options;
+    GossipOptions options;
     options.self = self.name;
     options.domain = self.domain;
-    options.currency = {};
+    options.freshness = {};
     options.seed = seed;
     return options;
 }
@@ -81,7 +81,7 @@
     gossip_.setInstances(std::move(live), listedDomains);
 }
 
-SpreadMessage ConfigurationService::onRequest(const SpreadMessage &request)
+GossipMessage ConfigurationService::onRequest(const GossipMessage &request)
 {
     std::unique_lock lock(mutex_);
     auto handled = gossip_.onRequest(request, steadyNow());
@@ -104,10 +104,10 @@
     return catalog_;
 }
 
-CurrencyState ConfigurationService::configurationFreshness() const
+ConfigurationFreshnessState ConfigurationService::configurationFreshness() const
 {
     const std::lock_guard lock(mutex_);
-    return gossip_.currency(steadyNow());
+    return gossip_.configurationFreshness(steadyNow());
 }
 
 bool ConfigurationService::mayWriteToStore() const
@@ -138,7 +138,7 @@
     return tickPeriod;
 }
 
-void ConfigurationService::finishInput(std::unique_lock<std::mutex> &lock, const SpreadActions &actions)
+void ConfigurationService::finishInput(std::unique_lock<std::mutex> &lock, const GossipActions &actions)
 {
     const auto before = catalog_;
     perform(actions);
@@ -150,7 +150,7 @@
     }
 }
 
-void ConfigurationService::perform(const SpreadActions &actions)
+void ConfigurationService::perform(const GossipActions &actions)
 {
     for (const auto &action : actions) {
         if (const auto *exchange = std::get_if<SendExchange>(&action)) {
@@ -166,7 +166,7 @@
     const bool added = tasks_ && tasks_->add([this, exchange] {
         const auto result = peers_.gossip(exchange.to.address, exchange.message, exchangeTimeout);
         std::unique_lock taskLock(mutex_);
-        if (const auto *reply = std::get_if<SpreadMessage>(&result)) {
+        if (const auto *reply = std::get_if<GossipMessage>(&result)) {
             const auto actions = gossip_.onReply(exchange.id, *reply, steadyNow());
             finishInput(taskLock, actions);
         } else {
@@ -198,7 +198,7 @@
         const std::lock_guard lock(mutex_);
         step = gossip_.nextStoreStep(steadyNow());
     }
-    if (const auto *pause = std::get_if<PauseUntil>(&step)) {
+    if (const auto *pause = std::get_if<DelayUntil>(&step)) {
         return std::clamp(wholeMilliseconds(pause->time - steadyNow()) + Milliseconds{1}, Milliseconds{1}, longestPause);
     }
     if (const auto *watching = std::get_if<WatchAfter>(&step)) {
--- a/src/app/planmonitor.cpp
+++ b/src/app/planmonitor.cpp
@@ -51,10 +51,10 @@
         return;
     }
     const auto primary = owner->snapshot().primary;
-    PlanSight observation;
+    PlanObservation observation;
     observation.due = plan.due;
-    observation.leads = primary && primary->member == plan.member;
-    observation.quiet = plan.due && !observation.leads && isDrained(plan, *owner);
+    observation.isPrimary = primary && primary->member == plan.member;
+    observation.drained = plan.due && !observation.isPrimary && isDrained(plan, *owner);
     const auto progress = planProgress(observation);
     const auto known = lastPublished_.find(plan.plan);
     if (known != lastPublished_.end() && known->second == std::pair{plan.version, progress}) {
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -252,7 +252,7 @@
     handlers.snapshot = [this] {
         return membership.snapshot();
     };
-    handlers.gossip = [this](const SpreadMessage &message) {
+    handlers.gossip = [this](const GossipMessage &message) {
         return configuration.onRequest(message);
     };
     handlers.exchangeObservations = [this](const peer::GroupObservation &received) {
@@ -333,7 +333,7 @@
 entry::FleetSnapshot Proxy::Impl::fleet() const
 {
     const auto freshness = configuration.configurationFreshness();
-    const bool mayServe = freshness == CurrencyState::Current || freshness == CurrencyState::StoreSilent;
+    const bool mayServe = freshness == ConfigurationFreshnessState::Current || freshness == ConfigurationFreshnessState::StoreSilent;
     return {configuration.catalog(), membership.owners(), mayServe};
 }
 
--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -43,11 +43,11 @@
     const bool someWillComeBack = !entries_.empty();
     if (now >= deadline || (!someWillComeBack && openedAt >= deadline)) {
         const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.expectedOpenTime);
-        return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.comingBackAfter(wait)};
+        return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.withRetryAfter(wait)};
     }
     if (allowed_ == 0) {
         const Error error{ErrorKind::EndpointUnreachable, "this proxy has no share of the member's connections"};
-        return NoConnection{Error{error}.comingBackAfter(limits_.pauseAfterRefusal)};
+        return NoConnection{Error{error}.withRetryAfter(limits_.pauseAfterRefusal)};
     }
     const TimePoint askAgain = now < pausedUntil_ ? pausedUntil_ : now + limits_.expectedOpenTime;
     return AwaitConnection{std::min(askAgain, deadline)};
@@ -62,10 +62,10 @@
     }
 }
 
-void ConnectionPool::openFailed(ConnectionKey key, LinkFault fault, TimePoint now)
+void ConnectionPool::openFailed(ConnectionKey key, ConnectionFault fault, TimePoint now)
 {
     closed(key);
-    const auto doublings = fault == LinkFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
+    const auto doublings = fault == ConnectionFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
     const auto pause = std::min(limits_.maxPause, limits_.pauseAfterRefusal * (1U << doublings));
     pausedUntil_ = std::max<TimePoint>(pausedUntil_, now + pause);
     ++failures_;
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -19,9 +19,9 @@
 Answer lostAtPeer(const Statement &statement, const std::string &why)
 {
     if (statement.access == Access::Read && statement.verb == Verb::Execute) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.withRetryAfter(defaultRetryAfter));
     }
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(defaultRetryAfter));
 }
 
 /// True when the statement may be given to another owner after one took it and fell silent.
@@ -52,7 +52,7 @@
 {
     const auto fleet = sources_.fleet();
     if (!fleet.mayServe) {
-        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::NotReady, "the configuration is not known yet"}.withRetryAfter(defaultRetryAfter));
     }
     if (!statement.transaction.empty()) {
         return runInTransaction(statement, fleet, deadline);
@@ -104,7 +104,7 @@
     const auto found = std::find_if(instances.begin(), instances.end(), [&owner](const auto &instance) { return instance.name == *owner; });
     if (found == instances.end()) {
         const auto kind = statement.verb == Verb::Commit ? ErrorKind::OutcomeUnknown : ErrorKind::TransactionAborted;
-        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.withRetryAfter(defaultRetryAfter));
     }
     const auto result = peers_.execute(found->address, routed, deadline - steadyNow() - answerMargin, connectWithin);
     if (const auto *answer = std::get_if<Answer>(&result)) {
@@ -112,14 +112,14 @@
     }
     const auto &failure = std::get<peer::Failure>(result);
     if (failure.notSent || statement.verb != Verb::Commit) {
-        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.withRetryAfter(defaultRetryAfter));
     }
     return lostAtPeer(statement, failure.description);
 }
 
 Answer Dispatcher::runAtOwners(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline)
 {
-    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.comingBackAfter(defaultRetryAfter));
+    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.withRetryAfter(defaultRetryAfter));
     bool taken = false;
     for (const auto *owner : ownersByProximity(fleet, statement.group)) {
         const auto remaining = deadline - steadyNow() - answerMargin;
@@ -144,7 +144,7 @@
         const auto &failure = std::get<peer::Failure>(result);
         taken = taken || !failure.notSent;
         last = taken ? lostAtPeer(statement, failure.description)
-                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.comingBackAfter(defaultRetryAfter));
+                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.withRetryAfter(defaultRetryAfter));
         if (taken && !mayGoToAnotherOwner(statement)) {
             break;
         }
@@ -167,7 +167,7 @@
         return failedAnswer(Error{ErrorKind::TransactionUnknown, "the transaction is not open here"});
     }
     if (!owner) {
-        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::PeerUnreachable, "this proxy does not own the group"}.withRetryAfter(defaultRetryAfter));
     }
     return owner->run(statement, deadline);
 }
--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -5,15 +5,15 @@
 
 namespace {
 
-void fill(wire::Position &message, const Mark &mark)
+void fill(wire::Position &message, const LogPosition &mark)
 {
     message.set_term(mark.term.number);
-    message.set_number(mark.position);
+    message.set_number(mark.index);
 }
 
-Mark markOf(const wire::Position &message)
+LogPosition markOf(const wire::Position &message)
 {
-    return Mark{Term{message.term(), 0}, message.number()};
+    return LogPosition{Term{message.term(), 0}, message.number()};
 }
 
 void fill(wire::Record &message, const leadership::GroupRecord &record)
@@ -36,13 +36,13 @@
     return record;
 }
 
-void fill(wire::CatalogMarks &message, const CatalogMarks &marks)
+void fill(wire::CatalogMarks &message, const CatalogRevisions &marks)
 {
     message.set_configuration(marks.configuration.value);
     message.set_members(marks.members.value);
 }
 
-CatalogMarks marksOf(const wire::CatalogMarks &message)
+CatalogRevisions marksOf(const wire::CatalogMarks &message)
 {
     return {Revision{message.configuration()}, Revision{message.members()}};
 }
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -142,7 +142,7 @@
         const auto marks = [this] {
             return catalog_.marks();
         };
-        const auto marksHeard = [this](const CatalogMarks &heard) {
+        const auto marksHeard = [this](const CatalogRevisions &heard) {
             catalog_.heardOf(heard);
         };
         return LeaderHost{engine_, directory_, write, perform, proxiesChanged, marks, marksHeard};
@@ -328,7 +328,7 @@
     {
         const auto key = action.connection;
         MemberLinkHandlers handlers;
-        handlers.opened = [this, key](const std::optional<Mark> &position) {
+        handlers.opened = [this, key](const std::optional<LogPosition> &position) {
             engine_.connectionOpened(key, position, evloop::bootTimeNow());
             perform();
         };
--- a/src/groups/impl/membertracker.cpp
+++ b/src/groups/impl/membertracker.cpp
@@ -50,7 +50,7 @@
     return logAdvancedAt_;
 }
 
-void MemberTracker::onPrimaryLog(const Mark &primaryLog, TimePoint now) noexcept
+void MemberTracker::onPrimaryLog(const LogPosition &primaryLog, TimePoint now) noexcept
 {
     if (!report_ || report_->log >= primaryLog) {
         behindSince_.reset();
@@ -117,15 +117,15 @@
     failedSinceContact_ = false;
 }
 
-TimePoint MemberTracker::onFailure(const LinkFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept
+TimePoint MemberTracker::onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept
 {
     failedSinceContact_ = true;
     // The process may have ended; a new one follows nobody.
     followedTerm_.reset();
-    if (failure.fault == LinkFault::TimedOut) {
+    if (failure.fault == ConnectionFault::TimedOut) {
         return now;
     }
-    if (failure.fault != LinkFault::Refused) {
+    if (failure.fault != ConnectionFault::Refused) {
         return now + policy.refusalRetry;
     }
     if (isDown()) {
--- a/src/groups/impl/membertracker.h
+++ b/src/groups/impl/membertracker.h
@@ -33,7 +33,7 @@
     [[nodiscard]] TimePoint logAdvancedAt() const noexcept;
 
     /// The primary's log ends at \a primaryLog: notes since when this member is behind it.
-    void onPrimaryLog(const Mark &primaryLog, TimePoint now) noexcept;
+    void onPrimaryLog(const LogPosition &primaryLog, TimePoint now) noexcept;
     /// Since when this member has been behind its primary without moving, although it answers; none when it is not behind.
     [[nodiscard]] std::optional<TimePoint> stalledSince() const noexcept;
 
@@ -42,7 +42,7 @@
     /// The member gave a sign of life.
     void onContact(TimePoint now) noexcept;
     /// An exchange failed; returns when a report may be asked for again.
-    TimePoint onFailure(const LinkFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
+    TimePoint onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
     /// The observer itself stood still for \a span: silence does not count for that time.
     void discountPause(Microseconds span, TimePoint now) noexcept;
 
--- a/src/groups/impl/peerobservations.cpp
+++ b/src/groups/impl/peerobservations.cpp
@@ -37,9 +37,9 @@
     return votes;
 }
 
-Mark PeerObservations::furthestLog(const MemberName &primary, const Term &term) const noexcept
+LogPosition PeerObservations::furthestLog(const MemberName &primary, const Term &term) const noexcept
 {
-    Mark furthest;
+    LogPosition furthest;
     for (const auto &kept : kept_) {
         if (kept.observation.primary == primary && kept.observation.term == term) {
             furthest = std::max(furthest, kept.observation.log);
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -61,7 +61,7 @@
     return finishInput(now);
 }
 
-GroupActions GroupMonitor::onConnectionFailure(const MemberName &member, const LinkFailure &failure, TimePoint now)
+GroupActions GroupMonitor::onConnectionFailure(const MemberName &member, const ConnectionFailure &failure, TimePoint now)
 {
     beginInput(now);
     if (auto *tracker = find(member)) {
@@ -87,7 +87,7 @@
 }
 
 GroupActions
-GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const LinkFailure &failure, TimePoint now)
+GroupMonitor::onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const ConnectionFailure &failure, TimePoint now)
 {
     beginInput(now);
     if (auto *tracker = find(member)) {
--- a/src/groups/quorumstate.cpp
+++ b/src/groups/quorumstate.cpp
@@ -23,7 +23,7 @@
     states_ = std::move(states);
 }
 
-bool AckTracker::onState(const MemberName &member, const Mark &log, const Term &adopted)
+bool AckTracker::onState(const MemberName &member, const LogPosition &log, const Term &adopted)
 {
     const auto state = std::find_if(states_.begin(), states_.end(), [&](const State &known) { return known.member == member; });
     if (state == states_.end()) {
@@ -38,31 +38,32 @@
     }
     // Under a higher adopted term the entries may have come from that term's primary, and then prove nothing.
     if (log.term == adopted && advance(state->furthest, log)) {
-        changed = advance(replicated_, Mark{log.term, majorityIndex(log.term)}) || changed;
+        changed = advance(replicated_, LogPosition{log.term, majorityIndex(log.term)}) || changed;
     }
     return changed;
 }
 
-QuorumState AckTracker::quorumState(const Mark &entryPosition) const noexcept
+QuorumState AckTracker::quorumState(const LogPosition &entryPosition) const noexcept
 {
     // A term without covered entries has position 0, which says nothing about its start entry.
-    if (indexAt(replicated_, entryPosition.term) >= std::max<std::uint64_t>(entryPosition.position, 1)) {
+    if (indexAt(replicated_, entryPosition.term) >= std::max<std::uint64_t>(entryPosition.index, 1)) {
         return QuorumState::Replicated;
     }
     return majorityAdopted_ > entryPosition.term ? QuorumState::Superseded : QuorumState::Pending;
 }
 
-Mark AckTracker::replicated() const noexcept
+LogPosition AckTracker::replicated() const noexcept
 {
     return replicated_.front();
 }
 
-bool AckTracker::advance(Positions &positions, const Mark &entryPosition) noexcept
+bool AckTracker::advance(Positions &positions, const LogPosition &entryPosition) noexcept
 {
-    if (entryPosition.position == 0) {
+    if (entryPosition.index == 0) {
         return false;
     }
-    const auto same = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == entryPosition.term; });
+    const auto same =
+        std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == entryPosition.term; });
     const auto place = same == positions.end() ? std::prev(positions.end()) : same;
     if (*place >= entryPosition) {
         return false;
@@ -74,8 +75,8 @@
 
 std::uint64_t AckTracker::indexAt(const Positions &positions, const Term &term) noexcept
 {
-    const auto found = std::find_if(positions.begin(), positions.end(), [&](const Mark &kept) { return kept.term == term; });
-    return found == positions.end() ? 0 : found->position;
+    const auto found = std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == term; });
+    return found == positions.end() ? 0 : found->index;
 }
 
 std::uint64_t AckTracker::majorityIndex(const Term &term) const
--- a/src/groups/readindexrounds.cpp
+++ b/src/groups/readindexrounds.cpp
@@ -66,7 +66,7 @@
     return currentRound_;
 }
 
-void ReadIndexRounds::onState(const MemberName &member, const Term &adopted, const Mark &log, TimePoint sentAt)
+void ReadIndexRounds::onState(const MemberName &member, const Term &adopted, const LogPosition &log, TimePoint sentAt)
 {
     const bool known = std::find(members_.begin(), members_.end(), member) != members_.end();
     if (!inFlight_ || !known || sentAt < startedAt_ || adopted < term_) {
@@ -121,7 +121,7 @@
 void ReadIndexRounds::finish(bool leaderConfirmed)
 {
     inFlight_ = false;
-    results_.push_back(RoundResult{currentRound_, leaderConfirmed, leaderConfirmed ? *primaryLog_ : Mark{}});
+    results_.push_back(RoundResult{currentRound_, leaderConfirmed, leaderConfirmed ? *primaryLog_ : LogPosition{}});
 }
 
 } // namespace cardamomstep
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/result.h"
 #include "members/fwd.h"
 
@@ -28,7 +28,7 @@
     /// Highest term adopted: the member refuses everything of a lower term.
     Term adopted;
     /// Last entry of its log.
-    Mark log;
+    LogPosition log;
     /// True when the member has been told to stop.
     bool leaving = false;
 
@@ -36,7 +36,7 @@
 };
 
 /// Why a member gave no usable reply.
-enum class LinkFault : std::uint8_t {
+enum class ConnectionFault : std::uint8_t {
     Refused, ///< Nothing listens at the address: the process is gone.
     Closed, ///< The connection broke, perhaps after the request was sent.
     TimedOut, ///< No reply within the time given.
@@ -45,8 +45,8 @@
 };
 
 /// A failed exchange with a member.
-struct LinkFailure {
-    LinkFault fault = LinkFault::TimedOut;
+struct ConnectionFailure {
+    ConnectionFault fault = ConnectionFault::TimedOut;
     /// True when no byte of the request left this process, so it did not run.
     bool notSent = false;
     std::string description;
@@ -91,7 +91,7 @@
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Last log entry when the statement ran; for writes, the entry that holds the effect.
-    Mark mark;
+    LogPosition position;
     /// Highest adopted term when it ran.
     Term adopted;
     /// The member-side transaction that a begin opened.
@@ -104,7 +104,7 @@
 struct OutcomeReply {
     bool found = false;
     /// Entry that holds the effect, when found.
-    Mark mark;
+    LogPosition position;
     std::uint64_t fingerprint = 0;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
@@ -120,51 +120,56 @@
 
 /// A reply or the failure of the link.
 template<typename Reply>
-using LinkResult = std::variant<Reply, LinkFailure>;
+using ConnectionResult = std::variant<Reply, ConnectionFailure>;
 
 /// A connection to one member that carries statements.
 ///
 /// One call at a time. After a LinkFailure it is closed and must not be used again.
 template<typename T>
-concept StatementLink = requires(T link, const MemberCall &call, Milliseconds timeout)
+concept StatementConnection = requires(T connection, const MemberCall &call, Milliseconds timeout)
 {
     {
-        link.execute(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.execute(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.begin(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.begin(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.commit(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.commit(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
     {
-        link.rollback(call, timeout)
-        } -> std::same_as<LinkResult<MemberReply>>;
+        connection.rollback(call, timeout)
+        } -> std::same_as<ConnectionResult<MemberReply>>;
 };
 
 /// A connection to one member that carries reports and orders; it takes no slot and no database connection.
 template<typename T>
-concept ControlLink = requires(
-    T link, const MemberReport &seen, Term term, const MemberName &name, const Address &address, const RequestId &id, Milliseconds timeout)
+concept ControlConnection = requires(T connection,
+                                     const MemberReport &seen,
+                                     Term term,
+                                     const MemberName &name,
+                                     const Address &address,
+                                     const RequestId &id,
+                                     Milliseconds timeout)
 {
     {
-        link.report(timeout)
-        } -> std::same_as<LinkResult<MemberReport>>;
+        connection.report(timeout)
+        } -> std::same_as<ConnectionResult<MemberReport>>;
     {
-        link.reportAfter(seen, timeout, timeout)
-        } -> std::same_as<LinkResult<MemberReport>>;
+        connection.reportAfter(seen, timeout, timeout)
+        } -> std::same_as<ConnectionResult<MemberReport>>;
     {
-        link.adopt(term, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.adopt(term, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.lead(term, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.lead(term, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.follow(term, name, address, timeout)
-        } -> std::same_as<LinkResult<TermReply>>;
+        connection.follow(term, name, address, timeout)
+        } -> std::same_as<ConnectionResult<TermReply>>;
     {
-        link.outcome(id, timeout)
-        } -> std::same_as<LinkResult<OutcomeReply>>;
+        connection.outcome(id, timeout)
+        } -> std::same_as<ConnectionResult<OutcomeReply>>;
 };
 
 } // namespace cardamomstep
--- a/src/operators/api.h
+++ b/src/operators/api.h
@@ -59,7 +59,7 @@
         }
         if (!isInForce(route->minRevision)) {
             return failureAnswer(
-                {Error{ErrorKind::NotReady, "revision " + std::to_string(route->minRevision) + " is not in force here yet"}.comingBackAfter(
+                {Error{ErrorKind::NotReady, "revision " + std::to_string(route->minRevision) + " is not in force here yet"}.withRetryAfter(
                     options_.maxRevisionWait)});
         }
         return dispatch(*route, request);
@@ -138,7 +138,7 @@
         if (const auto conflict = checkExpected(route, answer.fromVersion)) {
             return std::vector<Error>{*conflict};
         }
-        const ChangeMark stamp{route.who, environment_.now()};
+        const ChangeStamp stamp{route.who, environment_.now()};
         const auto *replaced = current ? &*current : nullptr;
         auto proposed = proposeChange(candidate, replaced, *environment_.catalog(), environment_.proxies(), stamp);
         if (!proposed) {
@@ -189,7 +189,7 @@
         }
         answer.written = true;
         answer.toVersion = *revision;
-        const ChangeMark stamp{route.who, environment_.now()};
+        const ChangeStamp stamp{route.who, environment_.now()};
         answer.audited = audit(auditRecord(route.key, stamp, answer.fromVersion, answer.toVersion, answer.changes, true));
         return changeAnswer(answer);
     }
--- a/src/owner/impl/flow.cpp
+++ b/src/owner/impl/flow.cpp
@@ -25,19 +25,19 @@
 {
     switch (refusal) {
     case Refusal::LowerTerm:
-        return Error{ErrorKind::Superseded, description}.comingBackAfter(defaultRetryAfter);
+        return Error{ErrorKind::Superseded, description}.withRetryAfter(defaultRetryAfter);
     case Refusal::NotPrimary:
-        return Error{ErrorKind::NoPrimary, description}.comingBackAfter(defaultRetryAfter);
+        return Error{ErrorKind::NoPrimary, description}.withRetryAfter(defaultRetryAfter);
     case Refusal::RequestIdReused:
         return Error{ErrorKind::RequestIdReused, description};
     case Refusal::TransactionUnknown:
-        return Error{ErrorKind::TransactionAborted, description}.comingBackAfter(defaultRetryAfter);
+        return Error{ErrorKind::TransactionAborted, description}.withRetryAfter(defaultRetryAfter);
     case Refusal::StatementFailed:
         return Error{ErrorKind::StatementFailed, description};
     case Refusal::Leaving:
         break;
     }
-    return Error{ErrorKind::NoPrimary, "the member is leaving"}.comingBackAfter(defaultRetryAfter);
+    return Error{ErrorKind::NoPrimary, "the member is leaving"}.withRetryAfter(defaultRetryAfter);
 }
 
 Milliseconds exchangeTimeout(const MemberConnections &connections, TimePoint deadline)
@@ -46,7 +46,7 @@
     return std::max(Milliseconds{1}, std::min(remaining, connections.replyTimeout()));
 }
 
-std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &position)
+std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &position)
 {
     // Room was checked before the request ran, so the merge cannot fail.
     (void)session.merge(group, position);
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -28,16 +28,16 @@
 ///
 /// Feeds what the reply says to the machines; the lease is not given back.
 template<typename Send>
-[[nodiscard]] LinkResult<MemberReply> exchange(GroupCore &core,
-                                               std::unique_lock<std::mutex> &lock,
-                                               const MemberName &name,
-                                               const MemberConnections::CheckedOutConnection &checkout,
-                                               TimePoint deadline,
-                                               Send send)
+[[nodiscard]] ConnectionResult<MemberReply> exchange(GroupCore &core,
+                                                     std::unique_lock<std::mutex> &lock,
+                                                     const MemberName &name,
+                                                     const MemberConnections::CheckedOutConnection &checkout,
+                                                     TimePoint deadline,
+                                                     Send send)
 {
     auto *member = core.find(name);
     if (member == nullptr) {
-        return LinkFailure{LinkFault::Closed, true, "the member was removed"};
+        return ConnectionFailure{ConnectionFault::Closed, true, "the member was removed"};
     }
     const auto sentAt = steadyNow();
     const auto timeout = exchangeTimeout(member->connections, deadline);
@@ -56,13 +56,13 @@
     core.feed(trace::StatementEvidence{name});
     // A stored reply names the entry of its effect, not the end of the log.
     if (!reply->repeated) {
-        core.onState(name, reply->mark, reply->adopted, sentAt);
+        core.onState(name, reply->position, reply->adopted, sentAt);
     }
     core.router.setRoundTrip(name, now - sentAt);
     return result;
 }
 
 /// The answer's session token: \a session with \a mark merged in.
-[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const Mark &position);
+[[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &position);
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -16,7 +16,7 @@
 
 Answer unknown(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.comingBackAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(defaultRetryAfter));
 }
 
 /// The statement that takes the place of a request id: it has no effect but to hold the id.
@@ -80,7 +80,7 @@
         }
         address = member->address;
     }
-    HttpControlLink link(address, core_.options.identity);
+    HttpControlConnection link(address, core_.options.identity);
     const auto sentAt = steadyNow();
     const auto result = link.outcome(statement_.requestId, queryTimeout);
     const auto *reply = std::get_if<OutcomeReply>(&result);
@@ -103,8 +103,8 @@
     const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
-        const bool inheritedForGood = leader.startReplicated && leader.term == reply.report.adopted && reply.mark.term < leader.term;
-        if (inheritedForGood || core_.acks.quorumState(reply.mark) == QuorumState::Replicated) {
+        const bool inheritedForGood = leader.startReplicated && leader.term == reply.report.adopted && reply.position.term < leader.term;
+        if (inheritedForGood || core_.acks.quorumState(reply.position) == QuorumState::Replicated) {
             break;
         }
         if (steadyNow() >= deadline_) {
@@ -121,8 +121,8 @@
     Answer answer;
     answer.rows = reply.rows;
     answer.rowCount = reply.rowCount;
-    answer.mark = reply.mark;
-    answer.session = sessionAfter(session_, core_.options.group, reply.mark);
+    answer.position = reply.position;
+    answer.session = sessionAfter(session_, core_.options.group, reply.position);
     return answer;
 }
 
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -46,7 +46,7 @@
             return *answer;
         }
         if (steadyNow() >= deadline_) {
-            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.comingBackAfter(defaultRetryAfter));
+            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.withRetryAfter(defaultRetryAfter));
         }
     }
 }
@@ -126,10 +126,10 @@
         core_.router.failed(plan, read.member);
         return std::nullopt;
     }
-    if (!core_.router.verify(plan, read.member, reply.mark, steadyNow())) {
+    if (!core_.router.verify(plan, read.member, reply.position, steadyNow())) {
         return std::nullopt;
     }
-    if (!waitDurable(reply.mark)) {
+    if (!waitDurable(reply.position)) {
         core_.router.failed(plan, read.member);
         return std::nullopt;
     }
@@ -138,18 +138,18 @@
     answer.rowCount = reply.rowCount;
     answer.servedBy = read.member;
     answer.fromReplica = !read.isPrimary;
-    answer.mark = reply.mark;
+    answer.position = reply.position;
     answer.session = statement_.session;
     return answer;
 }
 
-bool ReadFlow::waitDurable(const Mark &position)
+bool ReadFlow::waitDurable(const LogPosition &position)
 {
     Waiter waiter;
     const WaitList::Entry entry(core_.quorumWaiters, waiter);
     for (;;) {
         const auto coverage = core_.acks.quorumState(position);
-        if (coverage != QuorumState::Pending || position.position == 0) {
+        if (coverage != QuorumState::Pending || position.index == 0) {
             return coverage != QuorumState::Superseded;
         }
         const bool woken = waiter.wait(lock_, deadline_);
@@ -168,7 +168,7 @@
 
 Answer ReadFlow::noPrimary() const
 {
-    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.comingBackAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::NoPrimary, "no primary could be confirmed within the window"}.withRetryAfter(defaultRetryAfter));
 }
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -23,7 +23,7 @@
     [[nodiscard]] std::optional<Answer> performReadFromMember(ReadPlan &plan, const ReadFromMember &read);
     [[nodiscard]] std::optional<Answer> evaluate(ReadPlan &plan, const ReadFromMember &read, const MemberReply &reply);
     /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
-    [[nodiscard]] bool waitDurable(const Mark &position);
+    [[nodiscard]] bool waitDurable(const LogPosition &position);
     void performAwait(TimePoint until);
     [[nodiscard]] Answer noPrimary() const;
 
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -11,7 +11,7 @@
 
 Answer aborted(const std::string &why)
 {
-    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.comingBackAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.withRetryAfter(defaultRetryAfter));
 }
 
 } // namespace
@@ -48,7 +48,7 @@
         }
         if (!inTime) {
             return failedAnswer(
-                Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.comingBackAfter(defaultRetryAfter));
+                Error{ErrorKind::NoPrimary, "the group has no primary for new transactions"}.withRetryAfter(defaultRetryAfter));
         }
     }
     return beginOn(*primary);
@@ -92,7 +92,7 @@
     answer.transaction = *id;
     answer.servedBy = primary.member;
     answer.session = statement_.session;
-    answer.mark = reply->mark;
+    answer.position = reply->position;
     return answer;
 }
 
@@ -117,7 +117,7 @@
     return finishExecute(*use, result);
 }
 
-Answer TransactionFlow::finishExecute(const Transactions::Use &use, const LinkResult<MemberReply> &result)
+Answer TransactionFlow::finishExecute(const Transactions::Use &use, const ConnectionResult<MemberReply> &result)
 {
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
@@ -141,7 +141,7 @@
     answer.servedBy = use.transaction.member;
     answer.session = statement_.session;
     answer.transaction = statement_.transaction;
-    answer.mark = reply->mark;
+    answer.position = reply->position;
     return answer;
 }
 
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -30,7 +30,7 @@
         return failedAnswer(room.error());
     }
     if (!core_.waitForWrites(lock_, deadline_)) {
-        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.comingBackAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.withRetryAfter(defaultRetryAfter));
     }
     return drive(false, [this](const Term &term) { return sendOnce(term); });
 }
@@ -38,9 +38,9 @@
 Answer WriteFlow::commit(const Transactions::Use &use)
 {
     servedBy_ = use.transaction.member;
-    return drive(true, [this, &use](const Term &term) -> LinkResult<MemberReply> {
+    return drive(true, [this, &use](const Term &term) -> ConnectionResult<MemberReply> {
         if (term != use.transaction.term) {
-            return LinkFailure{LinkFault::Closed, true, "the transaction's primary was superseded"};
+            return ConnectionFailure{ConnectionFault::Closed, true, "the transaction's primary was superseded"};
         }
         auto call = callFor(core_, statement_, term);
         call.write = true;
@@ -59,7 +59,7 @@
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
             return toAnswer(*answer);
         }
-        if (const auto *sending = std::get_if<SendWrite>(&step)) {
+        if (const auto *sending = std::get_if<SendStoreWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
         } else if (const auto *query = std::get_if<QueryOutcome>(&step)) {
             step = performQueryOutcome(attempt, *query);
@@ -81,23 +81,23 @@
     return need;
 }
 
-LinkResult<MemberReply> WriteFlow::sendOnce(const Term &term)
+ConnectionResult<MemberReply> WriteFlow::sendOnce(const Term &term)
 {
     const auto view = core_.monitor.primary();
     if (!view || view->term != term) {
-        return LinkFailure{LinkFault::Closed, true, "the primary changed before the statement was sent"};
+        return ConnectionFailure{ConnectionFault::Closed, true, "the primary changed before the statement was sent"};
     }
     const auto ticket = core_.admit(lock_, Lane::Primary, statement_.service, deadline_);
     if (!ticket) {
         refusal_ = ticket.error();
-        return LinkFailure{LinkFault::NoConnection, true, ticket.error().description};
+        return ConnectionFailure{ConnectionFault::NoConnection, true, ticket.error().description};
     }
     servedBy_ = view->member;
     auto *member = core_.find(servedBy_);
     const auto checkout = member->connections.acquire(lock_, deadline_);
     if (!checkout) {
         core_.releaseSlot(*ticket);
-        return LinkFailure{LinkFault::NoConnection, true, checkout.error().description};
+        return ConnectionFailure{ConnectionFault::NoConnection, true, checkout.error().description};
     }
     const auto call = callFor(core_, statement_, term);
     auto result = exchange(
@@ -114,7 +114,7 @@
     if (const auto *reply = std::get_if<MemberReply>(&result)) {
         return attempt.replied(*reply, now);
     }
-    const auto &failure = std::get<LinkFailure>(result);
+    const auto &failure = std::get<ConnectionFailure>(result);
     (void)attempt.primaryChanged(core_.leader(), now);
     auto step = attempt.sendFailed(failure, now);
     // A refusal by admission is final: it names when to come back.
@@ -126,7 +126,7 @@
         return answer;
     }
     // After an unsent try, look again at who is primary.
-    return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
+    return std::holds_alternative<SendStoreWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
 WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const QueryOutcome &query)
@@ -147,7 +147,7 @@
         return attempt.onOutcomeFailed(steadyNow());
     }
     const auto *member = core_.find(view->member);
-    HttpControlLink link(member->address, core_.options.identity);
+    HttpControlConnection link(member->address, core_.options.identity);
     const auto sentAt = steadyNow();
     lock_.unlock();
     const auto result =
@@ -161,7 +161,7 @@
     return attempt.onOutcome(*reply, steadyNow());
 }
 
-WriteStep WriteFlow::performWaitQuorum(WriteAttempt &attempt, const Mark &position)
+WriteStep WriteFlow::performWaitQuorum(WriteAttempt &attempt, const LogPosition &position)
 {
     Waiter waiter;
     const WaitList::Entry forCoverage(core_.quorumWaiters, waiter);
@@ -212,7 +212,7 @@
     answer.error = result.error;
     answer.rows = result.rows;
     answer.rowCount = result.rowCount;
-    answer.mark = result.position;
+    answer.position = result.position;
     answer.servedBy = servedBy_;
     answer.session = statement_.session;
     if (!result.error) {
--- a/src/owner/impl/writeflow.h
+++ b/src/owner/impl/writeflow.h
@@ -22,14 +22,14 @@
 
 private:
     /// Sends the request once to the primary of a term.
-    using Sender = std::function<LinkResult<MemberReply>(const Term &)>;
+    using Sender = std::function<ConnectionResult<MemberReply>(const Term &)>;
 
     [[nodiscard]] Answer drive(bool isCommit, const Sender &send);
     [[nodiscard]] WriteRequirements requirements(bool isCommit) const;
-    [[nodiscard]] LinkResult<MemberReply> sendOnce(const Term &term);
+    [[nodiscard]] ConnectionResult<MemberReply> sendOnce(const Term &term);
     [[nodiscard]] WriteStep performSend(WriteAttempt &attempt, const Term &term, const Sender &send);
     [[nodiscard]] WriteStep performQueryOutcome(WriteAttempt &attempt, const QueryOutcome &query);
-    [[nodiscard]] WriteStep performWaitQuorum(WriteAttempt &attempt, const Mark &position);
+    [[nodiscard]] WriteStep performWaitQuorum(WriteAttempt &attempt, const LogPosition &position);
     [[nodiscard]] WriteStep performWaitPrimary(WriteAttempt &attempt);
     [[nodiscard]] Answer toAnswer(const AnswerWrite &result) const;
 
--- a/src/owner/memberconnections.cpp
+++ b/src/owner/memberconnections.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-MemberConnections::MemberConnections(const Address &remote, const LinkIdentity &identity)
+MemberConnections::MemberConnections(const Address &remote, const ConnectionIdentity &identity)
     : remote_(remote)
     , identity_(identity)
 {
@@ -53,12 +53,12 @@
 Result<MemberConnections::CheckedOutConnection>
 MemberConnections::openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline)
 {
-    auto connection = std::make_shared<HttpStatementLink>(remote_, identity_);
+    auto connection = std::make_shared<HttpStatementConnection>(remote_, identity_);
     const auto timeout = std::min(openTimeout, wholeMilliseconds(deadline - steadyNow()));
     lock.unlock();
     const auto result = connection->open(timeout);
     lock.lock();
-    if (const auto *failure = std::get_if<LinkFailure>(&result)) {
+    if (const auto *failure = std::get_if<ConnectionFailure>(&result)) {
         pool_.openFailed(key, failure->fault, steadyNow());
         waiting_.signalAll();
         return Error{ErrorKind::EndpointUnreachable, failure->description};
--- a/src/owner/memberconnections.h
+++ b/src/owner/memberconnections.h
@@ -4,7 +4,7 @@
 #include "base/result.h"
 #include "connections/pool.h"
 #include "connections/silence.h"
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 #include "owner/waiter.h"
 
@@ -23,10 +23,10 @@
     /// A connection in use by one request.
     struct CheckedOutConnection {
         ConnectionKey key = 0;
-        std::shared_ptr<HttpStatementLink> connection;
+        std::shared_ptr<HttpStatementConnection> connection;
     };
 
-    MemberConnections(const Address &remote, const LinkIdentity &identity);
+    MemberConnections(const Address &remote, const ConnectionIdentity &identity);
 
     /// Sets how many connections may be open.
     void setAllowed(std::uint32_t allowed, TimePoint now);
@@ -75,11 +75,11 @@
     [[nodiscard]] Result<CheckedOutConnection> openNew(std::unique_lock<std::mutex> &lock, ConnectionKey key, TimePoint deadline);
 
     Address remote_;
-    LinkIdentity identity_;
+    ConnectionIdentity identity_;
     ConnectionPool pool_;
     SilenceDetector silence_;
     /// Links of all open connections; opening ones have none yet.
-    std::map<ConnectionKey, std::shared_ptr<HttpStatementLink>> connections_;
+    std::map<ConnectionKey, std::shared_ptr<HttpStatementConnection>> connections_;
     WaitList waiting_;
 };
 
--- a/src/peer/client.h
+++ b/src/peer/client.h
@@ -54,7 +54,7 @@
     [[nodiscard]] PeerResult<std::vector<SharedUpdate>> snapshot(const Address &peer, Milliseconds timeout);
 
     /// Compares the configuration.
-    [[nodiscard]] PeerResult<SpreadMessage> gossip(const Address &peer, const SpreadMessage &message, Milliseconds timeout);
+    [[nodiscard]] PeerResult<GossipMessage> gossip(const Address &peer, const GossipMessage &message, Milliseconds timeout);
 
     /// Tells and asks about a group's primary.
     [[nodiscard]] PeerResult<GroupObservation>
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -49,7 +49,7 @@
     wire::DeltaMessage message;
     message.set_after(delta.after.value);
     message.set_up_to(delta.upTo.value);
-    message.set_whole(delta.whole);
+    message.set_whole(delta.isFullState);
     for (const auto &object : delta.changes) {
         auto *entry = message.add_changes();
         entry->set_kind(object.kind.text());
@@ -71,7 +71,7 @@
     ConfigurationDelta delta;
     delta.after = Revision{message.after()};
     delta.upTo = Revision{message.up_to()};
-    delta.whole = message.whole();
+    delta.isFullState = message.whole();
     for (const auto &entry : message.changes()) {
         delta.changes.push_back(
             {ObjectKind{entry.kind()}, ObjectName{entry.name()}, Revision{entry.version()}, entry.value(), entry.deleted()});
@@ -82,10 +82,10 @@
     return delta;
 }
 
-Mark markOrNone(const std::string &text)
+LogPosition markOrNone(const std::string &text)
 {
-    const auto mark = parseMark(text);
-    return mark ? *mark : Mark{};
+    const auto mark = parseLogPosition(text);
+    return mark ? *mark : LogPosition{};
 }
 
 Term termOrNone(const std::string &text)
@@ -158,7 +158,7 @@
     message.set_from_replica(answer.fromReplica);
     message.set_request_id(answer.requestId.text());
     message.set_transaction(answer.transaction.text());
-    message.set_mark(toText(answer.mark));
+    message.set_mark(toText(answer.position));
     return message;
 }
 
@@ -183,7 +183,7 @@
     answer.fromReplica = message.from_replica();
     answer.requestId = RequestId{message.request_id()};
     answer.transaction = TransactionId{message.transaction()};
-    answer.mark = markOrNone(message.mark());
+    answer.position = markOrNone(message.mark());
     return answer;
 }
 
@@ -223,7 +223,7 @@
     return decodeUpdates(message.updates());
 }
 
-wire::SpreadMessage encode(const SpreadMessage &gossip)
+wire::SpreadMessage encode(const GossipMessage &gossip)
 {
     wire::SpreadMessage message;
     message.set_from(gossip.from.text());
@@ -238,7 +238,7 @@
         message.mutable_confirmation()->set_revision(gossip.confirmation->revision.value);
         message.mutable_confirmation()->set_age_ms(gossip.confirmation->age.count());
     }
-    for (const auto &heard : gossip.heard) {
+    for (const auto &heard : gossip.domainAges) {
         auto *entry = message.add_heard();
         entry->set_domain(heard.domain.text());
         entry->set_age_ms(heard.age.count());
@@ -246,9 +246,9 @@
     return message;
 }
 
-SpreadMessage decode(const wire::SpreadMessage &message)
+GossipMessage decode(const wire::SpreadMessage &message)
 {
-    SpreadMessage gossip;
+    GossipMessage gossip;
     gossip.from = InstanceName{message.from()};
     gossip.domain = FailureDomain{message.domain()};
     const auto &digest = message.digest();
@@ -260,7 +260,7 @@
         gossip.confirmation = StoreConfirmation{Revision{message.confirmation().revision()}, Milliseconds{message.confirmation().age_ms()}};
     }
     for (const auto &heard : message.heard()) {
-        gossip.heard.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
+        gossip.domainAges.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
     }
     return gossip;
 }
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -104,7 +104,7 @@
 
     // Links.
 
-    void connectionOpened(MemberConnectionKey connection, const std::optional<Mark> &position, TimePoint now);
+    void connectionOpened(MemberConnectionKey connection, const std::optional<LogPosition> &position, TimePoint now);
     void connectionReplied(MemberConnectionKey connection, const MemberReply &reply, TimePoint now);
     /// Takes in that a link broke or could not be opened; \a refusal is set when the member refused it.
     void connectionClosed(MemberConnectionKey connection, std::optional<MemberFault> refusal, TimePoint now);
@@ -137,7 +137,7 @@
     /// When \a member last answered anything; the clock's origin when it never did.
     [[nodiscard]] TimePoint lastReplyAt(const GroupName &group, const MemberName &member) const;
     /// Highest position that was acknowledged to any caller in \a group.
-    [[nodiscard]] Mark acknowledged(const GroupName &group) const;
+    [[nodiscard]] LogPosition acknowledged(const GroupName &group) const;
     /// Since when writes at the group's primary have gone unanswered; nothing while they are answered.
     [[nodiscard]] std::optional<TimePoint> writesStalledSince(const GroupName &group) const;
 
@@ -202,7 +202,7 @@
         std::map<MemberName, MemberPool> pools;
         /// Callers that wait for a link, most urgent first.
         std::vector<std::pair<TimePoint, CallerKey>> waiting;
-        Mark acknowledged;
+        LogPosition acknowledged;
         /// Last probe of the primary's position.
         TimePoint probedAt;
         /// Last read that needed evidence of the primary's position.
@@ -236,15 +236,16 @@
     // Lending (enginelending.cpp)
     void dispatchWaiting(Group &group, TimePoint now);
     [[nodiscard]] bool serve(CallerKey key, Caller &caller, Group &group, TimePoint now);
-    [[nodiscard]] std::optional<Mark> requiredPosition(const Caller &caller, Group &group, TimePoint now) const;
+    [[nodiscard]] std::optional<LogPosition> requiredPosition(const Caller &caller, Group &group, TimePoint now) const;
     [[nodiscard]] MemberPool *primaryPool(Group &group, TimePoint now);
-    [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now);
+    [[nodiscard]] MemberPool *chooseReader(const Caller &caller, Group &group, const std::optional<LogPosition> &required, TimePoint now);
     void openConnections(Group &group, TimePoint now);
     void openConnection(Group &group, MemberPool &pool, TimePoint now);
-    void assignConnection(CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, TimePoint now);
+    void assignConnection(
+        CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<LogPosition> &required, TimePoint now);
     void sendStatement(Caller &caller,
                        PooledConnection &connection,
-                       const std::optional<Mark> &required,
+                       const std::optional<LogPosition> &required,
                        std::vector<MemberRequest> requests,
                        TimePoint now);
     void addSetupRequests(const Caller &caller, PooledConnection &connection, std::vector<MemberRequest> &requests, TimePoint now);
--- a/src/relay/engineconnections.cpp
+++ b/src/relay/engineconnections.cpp
@@ -23,7 +23,7 @@
     return (*pool)->find(key);
 }
 
-void Engine::connectionOpened(MemberConnectionKey key, const std::optional<Mark> &position, TimePoint now)
+void Engine::connectionOpened(MemberConnectionKey key, const std::optional<LogPosition> &position, TimePoint now)
 {
     Group *group = nullptr;
     MemberPool *pool = nullptr;
@@ -135,7 +135,7 @@
     budget_.succeeded();
     if (lasting) {
         group.stalledSince.reset();
-        group.acknowledged = std::max(group.acknowledged, reply.position.value_or(Mark{}));
+        group.acknowledged = std::max(group.acknowledged, reply.position.value_or(LogPosition{}));
     }
     caller.session.statementSucceeded(caller.statement, reply.position);
     CallerReply answered;
@@ -193,7 +193,7 @@
         return;
     }
     if (answerRule(outcome.error.kind).retryable && outcome.error.ran == Ran::No) {
-        outcome.error = std::move(outcome.error).comingBackAfter(retryAfterOf(groupState(caller.group)));
+        outcome.error = std::move(outcome.error).withRetryAfter(retryAfterOf(groupState(caller.group)));
     }
     fail(key, caller, std::move(outcome.error), now);
 }
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -49,7 +49,7 @@
 }
 
 /// The position that a replica must hold to serve the caller's read; nothing when it is not known.
-std::optional<Mark> Engine::requiredPosition(const Caller &caller, Group &group, TimePoint now) const
+std::optional<LogPosition> Engine::requiredPosition(const Caller &caller, Group &group, TimePoint now) const
 {
     if (needsPrimary(caller)) {
         return std::nullopt;
@@ -72,7 +72,7 @@
 }
 
 /// The member with an idle link that should answer a read soonest; the primary only where it is much sooner.
-MemberPool *Engine::chooseReader(const Caller &caller, Group &group, const std::optional<Mark> &required, TimePoint now)
+MemberPool *Engine::chooseReader(const Caller &caller, Group &group, const std::optional<LogPosition> &required, TimePoint now)
 {
     MemberPool *best = nullptr;
     Microseconds least{0};
@@ -135,7 +135,7 @@
 }
 
 void Engine::assignConnection(
-    CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, TimePoint now)
+    CallerKey key, Caller &caller, PooledConnection &connection, const std::optional<LogPosition> &required, TimePoint now)
 {
     auto &group = groupState(caller.group);
     connection.state = PooledConnectionState::InUse;
@@ -163,8 +163,11 @@
 }
 
 /// Sends the caller's statement, after \a requests.
-void Engine::sendStatement(
-    Caller &caller, PooledConnection &connection, const std::optional<Mark> &required, std::vector<MemberRequest> requests, TimePoint now)
+void Engine::sendStatement(Caller &caller,
+                           PooledConnection &connection,
+                           const std::optional<LogPosition> &required,
+                           std::vector<MemberRequest> requests,
+                           TimePoint now)
 {
     auto &group = groupState(caller.group);
     auto &pool = group.pools.at(connection.member);
--- a/src/relay/forwardedsession.cpp
+++ b/src/relay/forwardedsession.cpp
@@ -13,7 +13,7 @@
     disposition_ = session_.handle(statement, reply_);
 }
 
-void ForwardedSession::onAnswer(bool success, SessionState state, const std::optional<Mark> &position)
+void ForwardedSession::onAnswer(bool success, SessionState state, const std::optional<LogPosition> &position)
 {
     partialAnswerSent_ = false;
     if (disposition_ == StatementDisposition::Forward) {
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -24,13 +24,13 @@
     return sendOrWait(now);
 }
 
-WriteStep WriteAttempt::sendFailed(const LinkFailure &failure, TimePoint now)
+WriteStep WriteAttempt::sendFailed(const ConnectionFailure &failure, TimePoint now)
 {
     if (!inFlight()) {
         return step_;
     }
     if (failure.notSent) {
-        if (failure.fault == LinkFault::Refused && !requirements_.commit) {
+        if (failure.fault == ConnectionFault::Refused && !requirements_.commit) {
             return waitForNext(sentTerm_, ErrorKind::EndpointUnreachable, now);
         }
         return sendAgain(Error{ErrorKind::EndpointUnreachable, failure.description}, now);
@@ -51,17 +51,17 @@
     if (reply.refusal) {
         return onRefused(reply, now);
     }
-    if (reply.mark.term > sentTerm_) {
+    if (reply.position.term > sentTerm_) {
         recordMaybeRan(sentTerm_);
         return resolve(now, now);
     }
-    result_.position = reply.mark;
+    result_.position = reply.position;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return awaitQuorum(reply.mark, sentTerm_, now);
+    return awaitQuorum(reply.position, sentTerm_, now);
 }
 
-WriteStep WriteAttempt::replicated(const Mark &position)
+WriteStep WriteAttempt::replicated(const LogPosition &position)
 {
     const auto *waiting = std::get_if<WaitQuorum>(&step_);
     if (waiting == nullptr || waiting->position != position) {
@@ -156,7 +156,7 @@
 
 bool WriteAttempt::inFlight() const noexcept
 {
-    return std::holds_alternative<SendWrite>(step_);
+    return std::holds_alternative<SendStoreWrite>(step_);
 }
 
 WriteStep WriteAttempt::setStep(WriteStep step)
@@ -177,7 +177,7 @@
     }
     sentTerm_ = leader_.term;
     ++sends_;
-    return setStep(SendWrite{sentTerm_});
+    return setStep(SendStoreWrite{sentTerm_});
 }
 
 WriteStep WriteAttempt::sendAgain(Error otherwise, TimePoint now)
@@ -218,10 +218,10 @@
     return setStep(QueryOutcome{leader_.term, notBefore});
 }
 
-WriteStep WriteAttempt::awaitQuorum(const Mark &entry, const Term &leader, TimePoint now)
+WriteStep WriteAttempt::awaitQuorum(const LogPosition &entry, const Term &leader, TimePoint now)
 {
     recordMaybeRan(leader);
-    step_ = WaitQuorum{std::max(entry, Mark{leader, 0})};
+    step_ = WaitQuorum{std::max(entry, LogPosition{leader, 0})};
     return hasTimeFor(Microseconds{0}, now) ? step_ : giveUp();
 }
 
@@ -251,7 +251,7 @@
 WriteStep WriteAttempt::onOutcomeFound(const OutcomeReply &reply, TimePoint now)
 {
     const bool leads = reply.report.role == MemberRole::Primary && reply.report.log.term == reply.report.adopted;
-    if (!leads || reply.mark.term > reply.report.adopted) {
+    if (!leads || reply.position.term > reply.report.adopted) {
         return resolve(now + requirements_.outcomeQueryInterval, now);
     }
     if (requirements_.fingerprint && reply.fingerprint != *requirements_.fingerprint) {
@@ -259,10 +259,10 @@
         return fail(
             Error{ErrorKind::RequestIdReused, "the request id stands in the log with another body"}.withRan(ours ? Ran::No : Ran::Unknown));
     }
-    result_.position = reply.mark;
+    result_.position = reply.position;
     result_.rows = reply.rows;
     result_.rowCount = reply.rowCount;
-    return awaitQuorum(reply.mark, reply.report.adopted, now);
+    return awaitQuorum(reply.position, reply.report.adopted, now);
 }
 
 WriteStep WriteAttempt::onOutcomeAbsent(const OutcomeReply &reply, TimePoint now)
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "members/member.h"
 #include "requests/fwd.h"
@@ -27,10 +27,10 @@
 };
 
 /// Send the request to the primary of \a term.
-struct SendWrite {
+struct SendStoreWrite {
     Term term;
 
-    [[nodiscard]] bool operator==(const SendWrite &) const = default;
+    [[nodiscard]] bool operator==(const SendStoreWrite &) const = default;
 };
 
 /// Ask the primary of \a term for the outcome of the request id, no earlier than \a notBefore.
@@ -43,7 +43,7 @@
 
 /// Wait until a majority of members has adopted no higher term than \a mark's and has logs at or beyond \a mark.
 struct WaitQuorum {
-    Mark position;
+    LogPosition position;
 
     [[nodiscard]] bool operator==(const WaitQuorum &) const = default;
 };
@@ -61,7 +61,7 @@
     /// Set unless the write is acknowledged.
     std::optional<Error> error;
     /// Entry that holds the effect, when it ran.
-    Mark position;
+    LogPosition position;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
     /// Highest term at which the request was sent and may have run, for an unknown outcome.
@@ -71,7 +71,7 @@
 };
 
 /// The next step of a write.
-using WriteStep = std::variant<SendWrite, QueryOutcome, WaitQuorum, WaitPrimary, AnswerWrite>;
+using WriteStep = std::variant<SendStoreWrite, QueryOutcome, WaitQuorum, WaitPrimary, AnswerWrite>;
 
 /// What the caller wants of an attempt.
 enum class WriteGoal : std::uint8_t {
@@ -126,13 +126,13 @@
     /// The exchange that SendWrite asked for failed.
     ///
     /// Call primaryChanged() first when the primary may have changed meanwhile, so that the same one is not tried again.
-    [[nodiscard]] WriteStep sendFailed(const LinkFailure &failure, TimePoint now);
+    [[nodiscard]] WriteStep sendFailed(const ConnectionFailure &failure, TimePoint now);
 
     /// The member replied to what SendWrite sent; the shell has checked the exchange id and that the reply is whole.
     [[nodiscard]] WriteStep replied(const MemberReply &reply, TimePoint now);
 
     /// \a mark, as WaitCoverage named it, is covered.
-    [[nodiscard]] WriteStep replicated(const Mark &position);
+    [[nodiscard]] WriteStep replicated(const LogPosition &position);
 
     /// Coverage is not expected before \a expected; answers at once when that is too late.
     [[nodiscard]] WriteStep replicationExpected(TimePoint expected, TimePoint now);
@@ -168,7 +168,7 @@
     [[nodiscard]] WriteStep sendAgain(Error failure, TimePoint now);
     [[nodiscard]] WriteStep waitForNext(const Term &above, ErrorKind kind, TimePoint now);
     [[nodiscard]] WriteStep resolve(TimePoint notBefore, TimePoint now);
-    [[nodiscard]] WriteStep awaitQuorum(const Mark &entry, const Term &leader, TimePoint now);
+    [[nodiscard]] WriteStep awaitQuorum(const LogPosition &entry, const Term &leader, TimePoint now);
     [[nodiscard]] WriteStep onRefused(const MemberReply &reply, TimePoint now);
     [[nodiscard]] WriteStep onOutcomeFound(const OutcomeReply &reply, TimePoint now);
     [[nodiscard]] WriteStep onOutcomeAbsent(const OutcomeReply &reply, TimePoint now);
--- a/src/sessions/impl/timedpositions.cpp
+++ b/src/sessions/impl/timedpositions.cpp
@@ -5,7 +5,7 @@
 
 namespace cardamomstep::impl {
 
-void TimedPositions::append(TimePoint time, const Mark &position)
+void TimedPositions::append(TimePoint time, const LogPosition &position)
 {
     if (size_ == capacity) {
         dropDensest(time);
@@ -30,7 +30,7 @@
     --size_;
 }
 
-std::optional<Mark> TimedPositions::positionAt(TimePoint time) const noexcept
+std::optional<LogPosition> TimedPositions::positionAt(TimePoint time) const noexcept
 {
     const auto *end = pairs_.data() + size_;
     const auto *place = std::lower_bound(pairs_.data(), end, time, [](const Pair &pair, TimePoint wanted) { return pair.time < wanted; });
@@ -40,11 +40,11 @@
     return place->position;
 }
 
-std::optional<TimePoint> TimedPositions::timeOf(const Mark &position) const noexcept
+std::optional<TimePoint> TimedPositions::timeOf(const LogPosition &position) const noexcept
 {
     const auto *end = pairs_.data() + size_;
     const auto *place =
-        std::lower_bound(pairs_.data(), end, position, [](const Pair &pair, const Mark &wanted) { return pair.position < wanted; });
+        std::lower_bound(pairs_.data(), end, position, [](const Pair &pair, const LogPosition &wanted) { return pair.position < wanted; });
     if (place == end) {
         return std::nullopt;
     }
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -74,7 +74,7 @@
     primary_ = maxMembers;
 }
 
-void ReadRouter::confirm(TimePoint began, const Mark &bound)
+void ReadRouter::confirm(TimePoint began, const LogPosition &bound)
 {
     history_.confirm(began, bound);
     recordPrimaryPosition(bound, began);
@@ -127,7 +127,7 @@
     return giveUp(plan, now);
 }
 
-bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const Mark &position, TimePoint now)
+bool ReadRouter::verify(ReadPlan &plan, const MemberName &member, const LogPosition &position, TimePoint now)
 {
     auto *found = find(member);
     const bool fresh = plan.required_ && position >= *plan.required_;
@@ -159,7 +159,7 @@
     }
 }
 
-std::optional<TimePoint> ReadRouter::replicationExpected(const Mark &position, TimePoint now) const
+std::optional<TimePoint> ReadRouter::replicationExpected(const LogPosition &position, TimePoint now) const
 {
     std::vector<TimePoint> expected;
     for (std::size_t index = 0; index < members_.size(); ++index) {
@@ -220,7 +220,7 @@
     if (!covering) {
         return CollectReports{};
     }
-    plan.required_ = std::max(*covering, requirements.sessionPosition.value_or(Mark{}));
+    plan.required_ = std::max(*covering, requirements.sessionPosition.value_or(LogPosition{}));
     return std::nullopt;
 }
 
@@ -290,16 +290,16 @@
 {
     if (now + limits_.stalePenalty >= plan.requirements_.deadline) {
         return GiveUpRead{
-            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.comingBackAfter(retryAfterNotFresh)};
+            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.withRetryAfter(retryAfterNotFresh)};
     }
     if (primary_ >= members_.size()) {
         return GiveUpRead{
-            Error{ErrorKind::NoPrimary, "no replica is fresh enough and there is no primary"}.comingBackAfter(retryAfterNotFresh)};
+            Error{ErrorKind::NoPrimary, "no replica is fresh enough and there is no primary"}.withRetryAfter(retryAfterNotFresh)};
     }
-    return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.comingBackAfter(retryAfterNotFresh)};
+    return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.withRetryAfter(retryAfterNotFresh)};
 }
 
-TimePoint ReadRouter::expectedAt(const Member &member, const Mark &wanted, TimePoint now) const noexcept
+TimePoint ReadRouter::expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept
 {
     const auto reached = primaryPositions_.timeOf(wanted).value_or(now);
     const auto usual = reached + member.lag.withMargin(lagMargin);
@@ -316,7 +316,7 @@
     return member.roundTrip + inFront * limits_.queuePenalty;
 }
 
-void ReadRouter::recordPosition(Member &member, const Mark &position, TimePoint now)
+void ReadRouter::recordPosition(Member &member, const LogPosition &position, TimePoint now)
 {
     if (member.positionKnown && position > member.position) {
         const auto reached = primaryPositions_.timeOf(position).value_or(now);
@@ -328,7 +328,7 @@
     highestReported_ = std::max(highestReported_, position);
 }
 
-void ReadRouter::recordPrimaryPosition(const Mark &position, TimePoint now)
+void ReadRouter::recordPrimaryPosition(const LogPosition &position, TimePoint now)
 {
     if (primaryPositions_.size() == 0 || (position > primaryPositions_.last().position && now >= primaryPositions_.last().time)) {
         primaryPositions_.append(now, position);
--- a/src/sessions/token.cpp
+++ b/src/sessions/token.cpp
@@ -46,7 +46,7 @@
         return invalid("malformed entry");
     }
     auto group = impl::percentDecoded(text.substr(0, equals));
-    const auto position = parseMark(text.substr(equals + 1));
+    const auto position = parseLogPosition(text.substr(equals + 1));
     if (!group || !position) {
         return invalid("malformed entry");
     }
@@ -117,7 +117,7 @@
     return text + "!" + checksum;
 }
 
-std::optional<Mark> SessionToken::find(const GroupName &group) const
+std::optional<LogPosition> SessionToken::find(const GroupName &group) const
 {
     const auto place = lowerBound(entries_, group);
     if (place == entries_.end() || place->group != group) {
@@ -140,7 +140,7 @@
     return Success{};
 }
 
-Result<Success> SessionToken::merge(const GroupName &group, const Mark &position)
+Result<Success> SessionToken::merge(const GroupName &group, const LogPosition &position)
 {
     auto room = checkCapacity(group);
     if (!room) {
@@ -155,7 +155,8 @@
     return Success{};
 }
 
-TokenStanding checkAgainst(const Mark &position, const Mark &highestReported, const std::optional<Mark> &confirmed) noexcept
+TokenStanding
+checkAgainst(const LogPosition &position, const LogPosition &highestReported, const std::optional<LogPosition> &confirmed) noexcept
 {
     if (position <= highestReported || (confirmed && position <= *confirmed)) {
         return TokenStanding::Reached;
--- a/src/store/resolution.cpp
+++ b/src/store/resolution.cpp
@@ -15,11 +15,11 @@
 /// When to ask again after an answer that names no better time.
 constexpr Milliseconds comeBack{1000};
 
-const WriterNonce *nonceAt(const WriterMark &mark, Revision version)
+const WriterNonce *nonceAt(const WriterStamp &stamp, Revision version)
 {
     const auto entry =
-        std::find_if(mark.earlier.begin(), mark.earlier.end(), [&](const EarlierWriter &writer) { return writer.version == version; });
-    return entry == mark.earlier.end() ? nullptr : &entry->nonce;
+        std::find_if(stamp.earlier.begin(), stamp.earlier.end(), [&](const EarlierWriter &writer) { return writer.version == version; });
+    return entry == stamp.earlier.end() ? nullptr : &entry->nonce;
 }
 
 } // namespace
@@ -34,7 +34,7 @@
 
 WriteAction WriteResolution::start()
 {
-    return SendWrite{};
+    return SendStoreWrite{};
 }
 
 WriteAction WriteResolution::onWriteReply(const WriteReply &reply, TimePoint now)
@@ -44,21 +44,21 @@
         return finishedAt(reply.version);
     case WriteReplyKind::Mismatch:
         // An earlier copy of this write may be what moved the version on.
-        if (lost_) {
+        if (replyLost_) {
             return ReadBack{};
         }
         return conflictAt(reply.version);
     case WriteReplyKind::TooLarge:
-        return lost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store refuses a value of this size"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store refuses a value of this size"}};
     case WriteReplyKind::Rejected:
-        return lost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store refuses this write"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store refuses this write"}};
     case WriteReplyKind::NotSent:
     case WriteReplyKind::TooManyCalls:
         return waitOrGiveUp(now);
     case WriteReplyKind::Lost:
         break;
     }
-    lost_ = true;
+    replyLost_ = true;
     if (now >= deadline_) {
         return giveUp();
     }
@@ -68,17 +68,17 @@
 WriteAction WriteResolution::onReadBack(const ReadBackReply &reply, TimePoint now)
 {
     if (!reply.answered) {
-        readNext_ = true;
+        readBackNext_ = true;
         return waitOrGiveUp(now);
     }
     if (!reply.object || reply.object->deleted) {
-        return judgeAbsence(now);
+        return evaluateAbsence(now);
     }
     if (reply.object->version != write_.expected) {
-        return judge(*reply.object);
+        return evaluate(*reply.object);
     }
     // Not applied so far; a copy may still be on its way, so only another conditional write settles it.
-    readNext_ = false;
+    readBackNext_ = false;
     return waitOrGiveUp(now);
 }
 
@@ -87,34 +87,34 @@
     if (now >= deadline_) {
         return giveUp();
     }
-    if (readNext_) {
-        readNext_ = false;
+    if (readBackNext_) {
+        readBackNext_ = false;
         return ReadBack{};
     }
-    return SendWrite{};
+    return SendStoreWrite{};
 }
 
-WriteAction WriteResolution::judge(const StoredObject &found)
+WriteAction WriteResolution::evaluate(const StoredObject &found)
 {
     if (write_.removal) {
         // Either another writer changed it first, or it was removed and made anew.
         return unknownAt(found.version);
     }
-    const auto mark = readWriterMark(found.value);
-    if (mark.nonce == write_.nonce) {
+    const auto stamp = readWriterStamp(found.value);
+    if (stamp.nonce == write_.nonce) {
         return finishedAt(found.version);
     }
     const auto ours = std::find_if(
-        mark.earlier.begin(), mark.earlier.end(), [this](const EarlierWriter &writer) { return writer.nonce == write_.nonce; });
-    if (ours != mark.earlier.end()) {
+        stamp.earlier.begin(), stamp.earlier.end(), [this](const EarlierWriter &writer) { return writer.nonce == write_.nonce; });
+    if (ours != stamp.earlier.end()) {
         return finishedAt(ours->version);
     }
     // The chain of writers goes back to the version expected, without this write: another one came first.
-    const bool chainReachesExpected = write_.expected.value != 0 && nonceAt(mark, write_.expected) != nullptr;
+    const bool chainReachesExpected = write_.expected.value != 0 && nonceAt(stamp, write_.expected) != nullptr;
     return chainReachesExpected ? conflictAt(found.version) : unknownAt(found.version);
 }
 
-WriteAction WriteResolution::judgeAbsence(TimePoint now)
+WriteAction WriteResolution::evaluateAbsence(TimePoint now)
 {
     if (write_.removal) {
         return finishedAt({});
@@ -123,7 +123,7 @@
         return unknownAt({});
     }
     // Never applied, on its way, or applied and removed by another: sent again it could bring a removed object back.
-    readNext_ = true;
+    readBackNext_ = true;
     return waitOrGiveUp(now);
 }
 
@@ -138,15 +138,15 @@
 
 WriteAction WriteResolution::giveUp() const
 {
-    if (lost_) {
+    if (replyLost_) {
         return unknownAt({});
     }
-    return WriteFinished{Error{ErrorKind::StoreUnavailable, "the store did not take the change"}.comingBackAfter(comeBack)};
+    return WriteFinished{Error{ErrorKind::StoreUnavailable, "the store did not take the change"}.withRetryAfter(comeBack)};
 }
 
 WriteAction WriteResolution::finishedAt(Revision version) const
 {
-    return WriteFinished{StoreWritten{version, lost_}};
+    return WriteFinished{StoreWritten{version, replyLost_}};
 }
 
 WriteAction WriteResolution::conflictAt(Revision current) const
@@ -158,7 +158,7 @@
 
 WriteAction WriteResolution::unknownAt(Revision current) const
 {
-    auto error = Error{ErrorKind::StoreOutcomeUnknown, "the store's answer was lost; read the object back"}.comingBackAfter(comeBack);
+    auto error = Error{ErrorKind::StoreOutcomeUnknown, "the store's answer was lost; read the object back"}.withRetryAfter(comeBack);
     if (current.value != 0) {
         error.currentVersion = current.value;
     }
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -56,9 +56,9 @@
     std::vector<std::function<void()>> watchers;
     std::vector<std::function<void()>> breakers;
 
-    [[nodiscard]] Mark mark() const
+    [[nodiscard]] LogPosition mark() const
     {
-        return log.empty() ? Mark{} : Mark{log.back().term, log.size()};
+        return log.empty() ? LogPosition{} : LogPosition{log.back().term, log.size()};
     }
     [[nodiscard]] MemberReport report() const
     {
@@ -68,13 +68,13 @@
 
 struct WriteReply {
     bool accepted = false;
-    Mark mark;
+    LogPosition mark;
     Term adopted;
 };
 
 struct PendingWrite {
     std::uint64_t id = 0;
-    Mark mark;
+    LogPosition mark;
     TimePoint appendedAt;
 };
 
@@ -92,7 +92,7 @@
 
 struct AckedWrite {
     std::uint64_t id = 0;
-    Mark mark;
+    LogPosition mark;
     TimePoint appendedAt;
     TimePoint ackedAt;
 };
@@ -170,7 +170,7 @@
               int member,
               Milliseconds timeout,
               std::function<void(std::function<void(Reply)>)> serve,
-              std::function<void(LinkResult<Reply>)> done);
+              std::function<void(ConnectionResult<Reply>)> done);
     void perform(int proxy, GroupActions actions);
     void performOne(int proxy, const GroupAction &action);
     void order(int proxy, int member, OrderKind kind, const Term &term, int primary, Milliseconds timeout);
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -35,10 +35,10 @@
     return need;
 }
 
-MemberReply doneAt(const Mark &mark)
+MemberReply doneAt(const LogPosition &mark)
 {
     MemberReply reply;
-    reply.mark = mark;
+    reply.position = mark;
     reply.adopted = mark.term;
     return reply;
 }
@@ -50,21 +50,21 @@
     return reply;
 }
 
-OutcomeReply outcomeAt(const Term &leader, std::optional<Mark> found, std::uint64_t fingerprint = ourFingerprint)
+OutcomeReply outcomeAt(const Term &leader, std::optional<LogPosition> found, std::uint64_t fingerprint = ourFingerprint)
 {
     OutcomeReply reply;
     reply.found = found.has_value();
-    reply.mark = found.value_or(Mark{});
+    reply.position = found.value_or(LogPosition{});
     reply.fingerprint = fingerprint;
     reply.report.role = MemberRole::Primary;
     reply.report.adopted = leader;
-    reply.report.log = Mark{leader, 50};
+    reply.report.log = LogPosition{leader, 50};
     return reply;
 }
 
-LinkFailure lost()
+ConnectionFailure lost()
 {
-    return LinkFailure{LinkFault::Closed, false, "closed"};
+    return ConnectionFailure{ConnectionFault::Closed, false, "closed"};
 }
 
 const AnswerWrite &answerOf(const WriteStep &step)
@@ -73,7 +73,7 @@
     return std::get<AnswerWrite>(step);
 }
 
-WriteStep covering(const Mark &mark)
+WriteStep covering(const LogPosition &mark)
 {
     return WaitQuorum{mark};
 }
@@ -95,10 +95,10 @@
 {
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
-    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendWrite{termOf(3)}});
-    const Mark entry{termOf(3), 12};
+    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendStoreWrite{termOf(3)}});
+    const LogPosition entry{termOf(3), 12};
     cr_assert(attempt.replied(doneAt(entry), at(5)) == covering(entry));
-    cr_assert(is<WaitQuorum>(attempt.replicated(Mark{termOf(3), 11})));
+    cr_assert(is<WaitQuorum>(attempt.replicated(LogPosition{termOf(3), 11})));
     const auto answer = answerOf(attempt.replicated(entry));
     cr_assert(answer.ran == Ran::Yes && !answer.error && answer.position == entry);
 }
@@ -108,9 +108,9 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(5), true}, at(0));
-    auto reply = doneAt(Mark{termOf(3), 12});
+    auto reply = doneAt(LogPosition{termOf(3), 12});
     reply.repeated = true;
-    cr_assert(attempt.replied(reply, at(5)) == covering(Mark{termOf(5), 0}));
+    cr_assert(attempt.replied(reply, at(5)) == covering(LogPosition{termOf(5), 0}));
 }
 
 Test(requests, aLostAnswerIsAskedForAndNeverResent)
@@ -121,7 +121,7 @@
     cr_assert(attempt.sendFailed(lost(), at(5)) == asking(termOf(3), at(5)));
     // Absent at the same primary proves nothing: the request may still arrive.
     cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(3), std::nullopt), at(10))));
-    const Mark entry{termOf(3), 12};
+    const LogPosition entry{termOf(3), 12};
     cr_assert(attempt.onOutcome(outcomeAt(termOf(3), entry), at(40)) == covering(entry));
     cr_assert(answerOf(attempt.replicated(entry)).ran == Ran::Yes);
     cr_assert(attempt.sends() == 1);
@@ -133,10 +133,10 @@
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.sendFailed(lost(), at(5));
-    auto onReplica = outcomeAt(termOf(3), Mark{termOf(3), 12});
+    auto onReplica = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
     onReplica.report.role = MemberRole::Replica;
     cr_assert(is<QueryOutcome>(attempt.onOutcome(onReplica, at(10))));
-    auto superseded = outcomeAt(termOf(3), Mark{termOf(3), 12});
+    auto superseded = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
     superseded.report.adopted = termOf(4);
     cr_assert(is<QueryOutcome>(attempt.onOutcome(superseded, at(40))));
 }
@@ -150,7 +150,7 @@
     cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), false}, at(10))));
     cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(20))), "the start entry may still be lost");
     cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), true}, at(30))));
-    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendWrite{termOf(4)}});
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendStoreWrite{termOf(4)}});
     cr_assert(attempt.sends() == 2);
 }
 
@@ -159,11 +159,11 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
+    (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
     cr_assert(attempt.primaryChanged({termOf(4), true}, at(9)) == asking(termOf(4), at(9)));
-    const Mark entry{termOf(3), 12};
-    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), entry), at(20)) == covering(Mark{termOf(4), 0}));
-    const auto answer = answerOf(attempt.replicated(Mark{termOf(4), 0}));
+    const LogPosition entry{termOf(3), 12};
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), entry), at(20)) == covering(LogPosition{termOf(4), 0}));
+    const auto answer = answerOf(attempt.replicated(LogPosition{termOf(4), 0}));
     cr_assert(answer.ran == Ran::Yes && answer.position == entry);
 }
 
@@ -172,9 +172,9 @@
     RetryBudget budget{{0.1, 2}};
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
-    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(1))));
-    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(2))));
+    const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(1))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(2))));
     const auto answer = answerOf(attempt.sendFailed(unsent, at(3)));
     cr_assert(answer.ran == Ran::No && answer.error->kind == ErrorKind::EndpointUnreachable && answer.error->retryAfter);
 }
@@ -182,15 +182,15 @@
 Test(requests, anUnsentWriteGoesToANewPrimaryWithoutABudget)
 {
     RetryBudget budget{{0.1, 0}};
-    const LinkFailure unsent{LinkFault::Closed, true, "not sent"};
+    const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
-    const WriteStep atNew = SendWrite{termOf(4)};
+    cr_assert(is<SendStoreWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
+    const WriteStep atNew = SendStoreWrite{termOf(4)};
     cr_assert(attempt.sendFailed(unsent, at(2)) == atNew);
     (void)attempt.primaryChanged({}, at(3));
     cr_assert(is<WaitPrimary>(attempt.sendFailed(unsent, at(4))));
-    const WriteStep atNext = SendWrite{termOf(5)};
+    const WriteStep atNext = SendStoreWrite{termOf(5)};
     cr_assert(attempt.primaryChanged({termOf(5), false}, at(9)) == atNext);
     const auto answer = answerOf(attempt.sendFailed(unsent, at(10)));
     cr_assert(answer.ran == Ran::No);
@@ -203,7 +203,7 @@
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(attempt.replied(refusal(Refusal::LowerTerm), at(5)) == WriteStep{WaitPrimary{termOf(3)}});
     cr_assert(is<WaitPrimary>(attempt.primaryChanged({termOf(3), true}, at(6))));
-    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendWrite{termOf(4)}});
+    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendStoreWrite{termOf(4)}});
 }
 
 Test(requests, withoutAPrimaryTheAnswerIsNotRunAndInTime)
@@ -232,7 +232,7 @@
     RetryBudget budget;
     WriteAttempt attempt{needUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    (void)attempt.replied(doneAt(Mark{termOf(3), 12}), at(5));
+    (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
     cr_assert(is<WaitQuorum>(attempt.replicationExpected(at(500), at(6))));
     const auto answer = answerOf(attempt.replicationExpected(at(5000), at(6)));
     cr_assert(answer.ran == Ran::Unknown && answer.error->kind == ErrorKind::OutcomeUnknown);
@@ -259,7 +259,7 @@
     WriteAttempt second{needUntil(1000), budget};
     (void)second.start({termOf(3), true}, at(0));
     (void)second.sendFailed(lost(), at(5));
-    const auto found = answerOf(second.onOutcome(outcomeAt(termOf(3), Mark{termOf(3), 4}, ourFingerprint + 1), at(9)));
+    const auto found = answerOf(second.onOutcome(outcomeAt(termOf(3), LogPosition{termOf(3), 4}, ourFingerprint + 1), at(9)));
     cr_assert(found.ran == Ran::No && found.error->kind == ErrorKind::RequestIdReused);
 }
 
@@ -268,8 +268,8 @@
     RetryBudget budget{{0.1, 2}};
     WriteAttempt attempt{needUntil(1000, true), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(10))));
-    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(20))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(10))));
+    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(20))));
     cr_assert(is<QueryOutcome>(attempt.sendFailed(lost(), at(30))), "the budget is spent");
     cr_assert(attempt.sends() == 3);
 }
@@ -281,7 +281,7 @@
     need.commit = true;
     WriteAttempt unsent{need, budget};
     (void)unsent.start({termOf(3), true}, at(0));
-    const auto aborted = answerOf(unsent.sendFailed({LinkFault::Closed, true, "not sent"}, at(1)));
+    const auto aborted = answerOf(unsent.sendFailed({ConnectionFault::Closed, true, "not sent"}, at(1)));
     cr_assert(aborted.ran == Ran::No && aborted.error->kind == ErrorKind::TransactionAborted);
 
     WriteAttempt sent{need, budget};
@@ -313,8 +313,8 @@
 
     WriteAttempt ran{need, budget};
     (void)ran.start({termOf(4), true}, at(0));
-    (void)ran.onOutcome(outcomeAt(termOf(4), Mark{termOf(3), 8}), at(8));
-    cr_assert(answerOf(ran.replicated(Mark{termOf(4), 0})).ran == Ran::Yes);
+    (void)ran.onOutcome(outcomeAt(termOf(4), LogPosition{termOf(3), 8}), at(8));
+    cr_assert(answerOf(ran.replicated(LogPosition{termOf(4), 0})).ran == Ran::Yes);
     cr_assert(ran.sends() == 0);
 }
 
@@ -334,16 +334,16 @@
         bool leads = false;
         std::vector<Entry> log{{termOf(1), false}};
 
-        [[nodiscard]] Mark last() const
+        [[nodiscard]] LogPosition last() const
         {
-            return Mark{log.back().term, log.size()};
+            return LogPosition{log.back().term, log.size()};
         }
 
-        [[nodiscard]] std::optional<Mark> ours() const
+        [[nodiscard]] std::optional<LogPosition> ours() const
         {
             for (std::size_t index = 0; index < log.size(); ++index) {
                 if (log[index].ours) {
-                    return Mark{log[index].term, index + 1};
+                    return LogPosition{log[index].term, index + 1};
                 }
             }
             return std::nullopt;
@@ -363,7 +363,7 @@
         members[0].leads = true;
     }
 
-    [[nodiscard]] bool covered(const Term &term, const Mark &mark) const
+    [[nodiscard]] bool covered(const Term &term, const LogPosition &mark) const
     {
         const auto reached = std::count_if(
             members.begin(), members.end(), [&](const Member &member) { return member.adopted == term && member.last() >= mark; });
@@ -387,7 +387,7 @@
     [[nodiscard]] LeaderInfo view() const
     {
         const auto *leader = primary();
-        return leader == nullptr ? LeaderInfo{} : LeaderInfo{leader->adopted, covered(leader->adopted, Mark{leader->adopted, 0})};
+        return leader == nullptr ? LeaderInfo{} : LeaderInfo{leader->adopted, covered(leader->adopted, LogPosition{leader->adopted, 0})};
     }
 
     // Runs a send at the member that leads its term, even when that member was superseded and does not know it.
@@ -449,7 +449,7 @@
             (void)group.arrive(term);
         } else if (event == 5) {
             step = attempt.primaryChanged(group.view(), now);
-        } else if (const auto *send = std::get_if<SendWrite>(&step)) {
+        } else if (const auto *send = std::get_if<SendStoreWrite>(&step)) {
             const auto fate = *rc::gen::inRange(0, 4);
             if (fate == 0) {
                 group.flying.push_back(send->term);
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -131,7 +131,7 @@
                 if (up) {
                     handle(Report{name, report, sentAt});
                 } else {
-                    handle(ReportFailure{name, {LinkFault::Refused, true, "connection refused by 10.0.0.9"}});
+                    handle(ReportFailure{name, {ConnectionFault::Refused, true, "connection refused by 10.0.0.9"}});
                 }
             });
         });
@@ -146,7 +146,7 @@
                 if (up) {
                     handle(OrderReply{name, kind, term, {accepted, report}, sentAt});
                 } else {
-                    handle(OrderFailure{name, kind, term, {LinkFault::Refused, true, {}}});
+                    handle(OrderFailure{name, kind, term, {ConnectionFault::Refused, true, {}}});
                 }
             });
         });
@@ -161,7 +161,7 @@
         if (kind == OrderKind::Lead) {
             const bool first = report.role != MemberRole::Primary;
             report.role = MemberRole::Primary;
-            report.log = first ? Mark{term, report.log.position + 1} : report.log;
+            report.log = first ? LogPosition{term, report.log.index + 1} : report.log;
             return true;
         }
         if (term > report.adopted || kind == OrderKind::Follow) {
@@ -301,16 +301,17 @@
 {
     const bool holds = rc::check("inputs survive", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position, bool flag) {
         const Term term{number, proposer};
-        const MemberReport report{MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, Mark{term, position}, flag};
+        const MemberReport report{
+            MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, LogPosition{term, position}, flag};
         const TimePoint time{Microseconds{*rc::gen::inRange<std::int64_t>(0, 1'000'000'000'000)}};
         GroupPolicy policy;
         policy.silenceBound = Milliseconds{*rc::gen::inRange(1, 10'000)};
         policy.replicaHeartbeatFactor = *rc::gen::inRange(1U, 9U);
         const std::vector<GroupInput> inputs{Tick{},
                                              Report{report.member, report, time},
-                                             ReportFailure{report.member, {LinkFault::Corrupt, flag, {}}},
+                                             ReportFailure{report.member, {ConnectionFault::Corrupt, flag, {}}},
                                              OrderReply{report.member, OrderKind::Lead, term, {flag, report}, time},
-                                             OrderFailure{report.member, OrderKind::Follow, term, {LinkFault::TimedOut, flag, {}}},
+                                             OrderFailure{report.member, OrderKind::Follow, term, {ConnectionFault::TimedOut, flag, {}}},
                                              Observation{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
                                              StatementEvidence{report.member},
                                              SetRank{3},
