--- a/src/connections/silence.cpp
+++ b/src/connections/silence.cpp
@@ -45,11 +45,11 @@
     }
     for (const auto &exchange : exchanges_) {
         if (exchange.overdueAt <= *probeBegan_) {
-            actions.emplace_back(CloseSilent{exchange.key});
+            actions.emplace_back(CloseSilentConnection{exchange.key});
         }
     }
     for (const auto &action : actions) {
-        closed(std::get<CloseSilent>(action).key);
+        closed(std::get<CloseSilentConnection>(action).key);
     }
     probeBegan_.reset();
     nextProbe_ = now;
--- a/src/connections/silence.h
+++ b/src/connections/silence.h
@@ -21,10 +21,10 @@
 };
 
 /// The connection is silent though the member answers: move its work and close it.
-struct CloseSilent {
+struct CloseSilentConnection {
     ConnectionKey key = 0;
 
-    [[nodiscard]] bool operator==(const CloseSilent &) const = default;
+    [[nodiscard]] bool operator==(const CloseSilentConnection &) const = default;
 };
 
 /// Neither the connection nor a new one gets an answer: the member is suspect.
@@ -38,7 +38,7 @@
 };
 
 /// What to do about silence.
-using SilenceAction = std::variant<ProbeMember, CloseSilent, MemberSuspected, MemberRecovered>;
+using SilenceAction = std::variant<ProbeMember, CloseSilentConnection, MemberSuspected, MemberRecovered>;
 
 /// Settings of a silence detector.
 struct SilenceLimits {
--- a/src/gateway/membercontrol.h
+++ b/src/gateway/membercontrol.h
@@ -18,7 +18,7 @@
     /// False when no answer came in time.
     bool answered = false;
     /// Nothing when the member was too busy to tell.
-    std::optional<relay::MemberAccount> account;
+    std::optional<relay::MemberStatusReply> account;
 };
 
 /// Sends orders to one member, one answer after the other.
--- a/src/gateway/proxymetrics.h
+++ b/src/gateway/proxymetrics.h
@@ -60,7 +60,7 @@
         metrics_.set("view_left_ms", static_cast<double>(leadership.viewLeft.count()));
         metrics_.set("proxies_registered", static_cast<double>(leadership.proxies));
         metrics_.set("log_lines_dropped", static_cast<double>(droppedLines));
-        for (const auto &group : engine.status()) {
+        for (const auto &group : engine.groupStats()) {
             const auto labels = "{group=\"" + group.group.text() + "\"}";
             metrics_.set("statements_waiting" + labels, static_cast<double>(group.waiting));
             metrics_.set("member_connections_open" + labels, static_cast<double>(group.connections));
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -29,7 +29,7 @@
 statusPage(const InstanceName &instance, const relay::Engine &engine, const LeadershipGauges &leadership, TimePoint now)
 {
     auto groups = nlohmann::json::array();
-    for (const auto &group : engine.status()) {
+    for (const auto &group : engine.groupStats()) {
         groups.push_back(toJson(group, now));
     }
     const nlohmann::json page{{"instance", instance.text()},
--- a/src/leadership/record.h
+++ b/src/leadership/record.h
@@ -45,7 +45,7 @@
 /// A member's account of itself, and which member that is.
 struct MemberStatus {
     MemberName member;
-    relay::MemberAccount account;
+    relay::MemberStatusReply account;
 };
 
 } // namespace cardamomstep::leadership
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -80,7 +80,7 @@
     group.primary = primary;
     if (changed) {
         group.history = FreshnessHistory{};
-        group.stalledSince.reset();
+        group.writesStalledFrom.reset();
     }
     if (primary.usable(now) && (changed || !wasUsable)) {
         dispatchWaiting(group, now);
@@ -179,7 +179,7 @@
     return std::exchange(actions_, {});
 }
 
-std::vector<GroupStats> Engine::status() const
+std::vector<GroupStats> Engine::groupStats() const
 {
     std::vector<GroupStats> all;
     for (const auto &[name, group] : groups_) {
@@ -212,7 +212,7 @@
 std::optional<TimePoint> Engine::writesStalledSince(const GroupName &group) const
 {
     const auto found = groups_.find(group);
-    return found == groups_.end() ? std::nullopt : found->second.stalledSince;
+    return found == groups_.end() ? std::nullopt : found->second.writesStalledFrom;
 }
 
 } // namespace cardamomstep::relay
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -133,7 +133,7 @@
     {
         return callers_.size();
     }
-    [[nodiscard]] std::vector<GroupStats> status() const;
+    [[nodiscard]] std::vector<GroupStats> groupStats() const;
     /// When \a member last answered anything; the clock's origin when it never did.
     [[nodiscard]] TimePoint lastReplyAt(const GroupName &group, const MemberName &member) const;
     /// Highest position that was acknowledged to any caller in \a group.
@@ -159,7 +159,7 @@
         Activity activity = Activity::Idle;
         SessionStatement statement;
         /// Id of the statement that began the transaction; empty outside of one.
-        std::string transaction;
+        std::string transactionId;
         /// Id of the first statement that set the session up for this one; empty when none did.
         std::string setupStatementId;
         /// The next statement outside of a transaction belongs to something else.
@@ -207,7 +207,7 @@
         TimePoint probedAt;
         /// Last read that needed evidence of the primary's position.
         TimePoint evidenceUsedAt;
-        std::optional<TimePoint> stalledSince;
+        std::optional<TimePoint> writesStalledFrom;
     };
 
     /// The group's state, made when something is first heard of it: records may arrive before the configuration.
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -87,7 +87,7 @@
         caller.setupStatementId = statement.id;
     }
     caller.setupComplete = !isSessionSetup(statement.kind);
-    caller.transaction = statement.kind == StatementKind::Begin ? statement.id : std::string();
+    caller.transactionId = statement.kind == StatementKind::Begin ? statement.id : std::string();
 }
 
 /// True for the begin of a transaction that would be cut by the end of this process.
@@ -350,8 +350,8 @@
     if (!caller.setupStatementId.empty()) {
         decision.fields.emplace_back("prelude", caller.setupStatementId);
     }
-    if (!caller.transaction.empty()) {
-        decision.fields.emplace_back("transaction", caller.transaction);
+    if (!caller.transactionId.empty()) {
+        decision.fields.emplace_back("transaction", caller.transactionId);
     }
     actions_.emplace_back(std::move(decision));
 }
--- a/src/relay/engineconnections.cpp
+++ b/src/relay/engineconnections.cpp
@@ -116,8 +116,8 @@
     const auto key = connection.caller;
     auto &caller = callers_.at(key);
     const auto retryClass = retryClassOf(caller.session, caller.statement);
-    const bool lasting = retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
-    if (lasting && caller.fenced && !reply.fault) {
+    const bool durable = retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites;
+    if (durable && caller.fenced && !reply.fault) {
         exchangeFailed(key, caller, ExchangeEnd::Broken, std::nullopt, now);
         return;
     }
@@ -133,8 +133,8 @@
         return;
     }
     budget_.succeeded();
-    if (lasting) {
-        group.stalledSince.reset();
+    if (durable) {
+        group.writesStalledFrom.reset();
         group.acknowledged = std::max(group.acknowledged, reply.position.value_or(Mark{}));
     }
     caller.session.statementSucceeded(caller.statement, reply.position);
@@ -206,7 +206,7 @@
     if (connection == nullptr) {
         return;
     }
-    const auto lentTo = connection->caller;
+    const auto callerKey = connection->caller;
     const bool wasOpening = connection->state == PooledConnectionState::Opening;
     const bool wasIdle = connection->state == PooledConnectionState::Idle;
     actions_.emplace_back(LogDecision{LogLevel::Info,
@@ -222,8 +222,8 @@
     } else if (!wasIdle) {
         pool->failed(now);
     }
-    const auto found = callers_.find(lentTo);
-    if (lentTo == 0 || found == callers_.end()) {
+    const auto found = callers_.find(callerKey);
+    if (callerKey == 0 || found == callers_.end()) {
         return;
     }
     auto &caller = found->second;
@@ -232,7 +232,7 @@
         caller.session.transactionLost();
         return;
     }
-    exchangeFailed(lentTo, caller, ExchangeEnd::Broken, std::nullopt, now);
+    exchangeFailed(callerKey, caller, ExchangeEnd::Broken, std::nullopt, now);
 }
 
 /// Makes a link free for others.
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -184,14 +184,14 @@
     caller.sentAt = now;
     const auto retryClass = retryClassOf(caller.session, caller.statement);
     if (retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites) {
-        group.stalledSince = group.stalledSince.value_or(now);
+        group.writesStalledFrom = group.writesStalledFrom.value_or(now);
     }
-    const auto late = wholeMilliseconds(pool.replyTime().withMargin(limits_.overdueFactor));
+    const auto overdueAfter = wholeMilliseconds(pool.replyTime().withMargin(limits_.overdueFactor));
     auto due = caller.giveUpAt;
     if (retryClass == RetryClass::Read && caller.attempts < limits_.maxAttempts) {
-        due = std::min<TimePoint>(due, now + std::max(limits_.hedgeDelay, late));
+        due = std::min<TimePoint>(due, now + std::max(limits_.hedgeDelay, overdueAfter));
     } else if (retryClass == RetryClass::InTransaction) {
-        due = std::min<TimePoint>(due, now + std::max(limits_.transactionReplyTimeout, late));
+        due = std::min<TimePoint>(due, now + std::max(limits_.transactionReplyTimeout, overdueAfter));
     }
     setTimer(connection.caller, caller, due);
     actions_.emplace_back(SendToMember{connection.key, std::move(requests)});
--- a/src/relay/message.h
+++ b/src/relay/message.h
@@ -117,7 +117,7 @@
 };
 
 /// A member's own account of itself.
-struct MemberAccount {
+struct MemberStatusReply {
     bool primary = false;
     std::uint64_t term = 0;
     /// End of the log that it has received.
--- a/src/relay/wire.h
+++ b/src/relay/wire.h
@@ -66,7 +66,7 @@
         } -> std::same_as<MemberLine>;
     {
         Codec::parseAccount(line)
-        } -> std::same_as<std::optional<MemberAccount>>;
+        } -> std::same_as<std::optional<MemberStatusReply>>;
     Codec::appendReply(out, reply);
     Codec::appendSessionReady(out);
     Codec::appendRefusal(out, error);
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -96,11 +96,11 @@
         }
         return maybeRanTerm_ ? resolve(now, now) : sendOrWait(now);
     }
-    const auto *asking = std::get_if<QueryOutcome>(&step_);
+    const auto *query = std::get_if<QueryOutcome>(&step_);
     const auto *waiting = std::get_if<WaitQuorum>(&step_);
-    const bool askAnew = asking != nullptr && (leader.term > asking->term || leader.startReplicated);
+    const bool queryAgain = query != nullptr && (leader.term > query->term || leader.startReplicated);
     const bool mayBeLost = waiting != nullptr && leader.term > waiting->position.term;
-    return askAnew || mayBeLost ? resolve(now, now) : step_;
+    return queryAgain || mayBeLost ? resolve(now, now) : step_;
 }
 
 WriteStep WriteAttempt::onOutcome(const OutcomeReply &reply, TimePoint now)
@@ -320,8 +320,8 @@
     if (const auto *waiting = std::get_if<WaitQuorum>(&step_)) {
         return "a majority was not seen to hold " + toText(waiting->position);
     }
-    if (const auto *asking = std::get_if<QueryOutcome>(&step_)) {
-        return "the primary of term " + toText(asking->term) + " did not tell it";
+    if (const auto *query = std::get_if<QueryOutcome>(&step_)) {
+        return "the primary of term " + toText(query->term) + " did not tell it";
     }
     return inFlight() ? "the primary did not reply" : "there was no primary to ask";
 }
--- a/src/requests/deadline.h
+++ b/src/requests/deadline.h
@@ -17,25 +17,25 @@
     static constexpr Microseconds minAllowance{500};
 
     explicit HopMargin(Microseconds first = Microseconds{4'000}) noexcept
-        : trip_(first)
+        : roundTrip_(first)
     {
     }
 
     /// Takes in the measured time of a hop there and back, without the work at the far end.
     void observe(Microseconds roundTrip) noexcept
     {
-        trip_.observe(roundTrip);
+        roundTrip_.observe(roundTrip);
     }
 
     /// Time to keep back from the window: there and back, with a margin.
     [[nodiscard]] Microseconds allowance() const noexcept
     {
-        const auto margin = trip_.withMargin(2);
+        const auto margin = roundTrip_.withMargin(2);
         return margin < minAllowance ? minAllowance : margin;
     }
 
 private:
-    SmoothedTime trip_;
+    SmoothedTime roundTrip_;
 };
 
 /// The deadline of a request that arrived at \a arrived with \a window.
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -140,7 +140,7 @@
         }
         return true;
     }
-    plan.stale_ |= bitOf(indexOf(member));
+    plan.staleMembers_ |= bitOf(indexOf(member));
     found->position = position;
     found->positionObservedAt = now;
     if (plan.required_) {
@@ -155,7 +155,7 @@
 {
     const auto index = indexOf(member);
     if (index < members_.size()) {
-        plan.failed_ |= bitOf(index);
+        plan.failedMembers_ |= bitOf(index);
     }
 }
 
@@ -228,7 +228,8 @@
 {
     const auto &member = members_[index];
     const bool inTime = now + member.roundTrip < plan.requirements_.deadline;
-    return member.positionKnown && member.listed && !member.leaving && !member.suspect && inTime && (plan.failed_ & bitOf(index)) == 0;
+    return member.positionKnown && member.listed && !member.leaving && !member.suspect && inTime
+        && (plan.failedMembers_ & bitOf(index)) == 0;
 }
 
 std::optional<ReadRouter::Candidate> ReadRouter::bestReplica(const ReadPlan &plan, TimePoint now) const
@@ -242,7 +243,7 @@
         auto cost = costOf(member);
         if (member.position < *plan.required_) {
             const bool likely = expectedAt(member, *plan.required_, now) <= now + member.roundTrip / 2;
-            if (!likely || (plan.stale_ & bitOf(index)) != 0) {
+            if (!likely || (plan.staleMembers_ & bitOf(index)) != 0) {
                 continue;
             }
             cost += limits_.stalePenalty;
@@ -256,7 +257,7 @@
 
 std::optional<ReadRouter::Candidate> ReadRouter::primaryCandidate(const ReadPlan &plan, TimePoint now) const
 {
-    if (primary_ >= members_.size() || !usable(primary_, plan, now) || (plan.stale_ & bitOf(primary_)) != 0) {
+    if (primary_ >= members_.size() || !usable(primary_, plan, now) || (plan.staleMembers_ & bitOf(primary_)) != 0) {
         return std::nullopt;
     }
     return Candidate{primary_, costOf(members_[primary_]) + limits_.primaryPenalty};
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -88,8 +88,8 @@
     ReadRequirements requirements_;
     std::optional<Mark> required_;
     /// Members that failed this read or answered it too old; bit N stands for the member at index N of the router's members.
-    std::uint32_t failed_ = 0;
-    std::uint32_t stale_ = 0;
+    std::uint32_t failedMembers_ = 0;
+    std::uint32_t staleMembers_ = 0;
     /// End of waiting for a replica; set at the first wait.
     std::optional<TimePoint> waitEnd_;
 };
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -331,7 +331,7 @@
     cr_assert(detector.nextWake() == at(10'060));
     cr_assert(detector.wake(at(10'060)) == (Actions{ProbeMember{7}}));
     cr_assert(!detector.nextWake());
-    cr_assert(detector.probeReplied(at(10'080)) == (Actions{CloseSilent{7}}));
+    cr_assert(detector.probeReplied(at(10'080)) == (Actions{CloseSilentConnection{7}}));
     cr_assert(!detector.memberSuspect());
     cr_assert(detector.nextWake() == at(10'115), "the younger exchange goes on");
 }
