--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -1,6 +1,6 @@
 // Tests of the relay's small parts: outcomes, the route book, the directory.
 #include "relay/directory.h"
-#include "relay/placement.h"
+#include "relay/poolplacement.h"
 #include "relay/retrydecision.h"
 #include "relay/routingtable.h"
 
