--- a/src/evloop/httpclient.cpp
+++ b/src/evloop/httpclient.cpp
@@ -95,7 +95,7 @@
             self->finish(exchange, Error{ErrorKind::StoreUnavailable, "cannot connect to " + self->server_.text()}, false);
             return;
         }
-        watchPeer(*socket, peerTimeout, keepAliveIdle);
+        setPeerTimeouts(*socket, peerTimeout, keepAliveIdle);
         self->socket_ = std::move(socket);
         self->write(exchange);
     });
@@ -131,12 +131,12 @@
                 }
                 auto &message = exchange->parser.get();
                 const bool keep = message.keep_alive();
-                self->finish(exchange, HttpAnswer{static_cast<int>(message.result_int()), std::move(message.body())}, keep);
+                self->finish(exchange, HttpResponse{static_cast<int>(message.result_int()), std::move(message.body())}, keep);
             });
     });
 }
 
-void HttpClient::finish(const std::shared_ptr<Exchange> &exchange, Result<HttpAnswer> result, bool keep)
+void HttpClient::finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keep)
 {
     if (std::exchange(exchange->finished, true)) {
         return;
--- a/src/evloop/httpclient.h
+++ b/src/evloop/httpclient.h
@@ -29,7 +29,7 @@
 };
 
 /// The whole answer to a call.
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::string body;
 };
@@ -40,7 +40,7 @@
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
-    using Handler = std::function<void(Result<HttpAnswer>)>;
+    using Handler = std::function<void(Result<HttpResponse>)>;
 
     HttpClient(boost::asio::io_context &loop, Address server);
     ~HttpClient();
@@ -69,7 +69,7 @@
 
     void next();
     void write(const std::shared_ptr<Exchange> &exchange);
-    void finish(const std::shared_ptr<Exchange> &exchange, Result<HttpAnswer> result, bool keep);
+    void finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keep);
 
     boost::asio::io_context &loop_;
     Address server_;
--- a/src/evloop/lineconnection.cpp
+++ b/src/evloop/lineconnection.cpp
@@ -30,7 +30,7 @@
     : socket_(std::move(socket))
     , limits_(limits)
 {
-    watchPeer(socket_, limits_.peerTimeout, limits_.keepAliveIdle);
+    setPeerTimeouts(socket_, limits_.peerTimeout, limits_.keepAliveIdle);
 }
 
 void LineConnection::start(LineHandler onLine, EndHandler onEnd)
@@ -49,7 +49,7 @@
     socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](const error_code &error, std::size_t count) {
         self->reading_ = false;
         if (error) {
-            self->end(LineEnd::Closed);
+            self->end(CloseReason::Closed);
             return;
         }
         self->received(count);
@@ -63,10 +63,10 @@
     }
     input_.append(chunk_.data(), count);
     deliver();
-    if (!closed_ && input_.size() - consumed_ <= limits_.lineBytes) {
+    if (!closed_ && input_.size() - consumed_ <= limits_.maxLineBytes) {
         read();
     } else if (!paused_) {
-        end(LineEnd::TooLong);
+        end(CloseReason::TooLong);
     }
 }
 
@@ -117,8 +117,8 @@
         return;
     }
     queued_ += bytes;
-    if (queued_.size() > limits_.unsentBytes) {
-        end(LineEnd::NotReading);
+    if (queued_.size() > limits_.maxUnsentBytes) {
+        end(CloseReason::NotReading);
         return;
     }
     if (writing_ || flushPosted_) {
@@ -149,7 +149,7 @@
         self->writing_ = false;
         self->sending_.clear();
         if (error) {
-            self->end(LineEnd::Closed);
+            self->end(CloseReason::Closed);
             return;
         }
         self->flush();
@@ -180,13 +180,13 @@
     });
 }
 
-void LineConnection::end(LineEnd reason)
+void LineConnection::end(CloseReason reason)
 {
     if (closed_) {
         return;
     }
     const auto handler = onEnd_;
-    if (reason == LineEnd::Closed) {
+    if (reason == CloseReason::Closed) {
         abort();
     }
     if (handler) {
@@ -194,7 +194,7 @@
     }
 }
 
-void watchPeer(tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle)
+void setPeerTimeouts(tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle)
 {
     error_code ignored; // An option that is refused only delays the detection of a lost peer.
     socket.set_option(tcp::no_delay(true), ignored);
--- a/src/evloop/lineconnection.h
+++ b/src/evloop/lineconnection.h
@@ -21,9 +21,9 @@
 /// Bounds of a LineConnection.
 struct LineLimits {
     /// Longest line in bytes, its end included.
-    std::size_t lineBytes = std::size_t{1} << 20U;
+    std::size_t maxLineBytes = std::size_t{1} << 20U;
     /// Bytes that may wait to be sent before the peer counts as not reading.
-    std::size_t unsentBytes = std::size_t{4} << 20U;
+    std::size_t maxUnsentBytes = std::size_t{4} << 20U;
     /// Unacknowledged data for longer means that the peer is gone.
     Milliseconds peerTimeout{5000};
     /// Silence after which the peer's presence is probed.
@@ -31,7 +31,7 @@
 };
 
 /// Why a connection ended.
-enum class LineEnd : std::uint8_t {
+enum class CloseReason : std::uint8_t {
     Closed, ///< By the peer, or broken.
     TooLong, ///< A line exceeded the limit.
     NotReading, ///< The peer does not read what it is sent.
@@ -44,7 +44,7 @@
 {
 public:
     using LineHandler = std::function<void(std::string_view line)>;
-    using EndHandler = std::function<void(LineEnd reason)>;
+    using EndHandler = std::function<void(CloseReason reason)>;
 
     LineConnection(boost::asio::ip::tcp::socket socket, const LineLimits &limits);
 
@@ -72,7 +72,7 @@
     void received(std::size_t count);
     void deliver();
     void flush();
-    void end(LineEnd reason);
+    void end(CloseReason reason);
 
     boost::asio::ip::tcp::socket socket_;
     LineLimits limits_;
@@ -96,7 +96,7 @@
 };
 
 /// Makes \a socket notice within seconds that its peer is gone, also while nothing is sent.
-void watchPeer(boost::asio::ip::tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle);
+void setPeerTimeouts(boost::asio::ip::tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle);
 
 /// Connects to \a address within \a timeout; \a done gets the socket, or nothing.
 void connect(boost::asio::io_context &loop,
--- a/src/gateway/callerlink.h
+++ b/src/gateway/callerlink.h
@@ -49,7 +49,7 @@
     void start()
     {
         connection_->start([self = this->shared_from_this()](std::string_view line) { self->take(line); },
-                           [self = this->shared_from_this()](evloop::LineEnd reason) { self->ended(reason); });
+                           [self = this->shared_from_this()](evloop::CloseReason reason) { self->ended(reason); });
     }
 
     /// Sends the answer to the statement under way.
@@ -170,7 +170,7 @@
         }
         upstream_ = std::make_shared<evloop::LineConnection>(std::move(*socket), evloop::LineLimits{Wire::maxMessage});
         upstream_->start([self = this->shared_from_this()](std::string_view answer) { self->passBack(answer); },
-                         [self = this->shared_from_this()](evloop::LineEnd) { self->upstreamEnded(); });
+                         [self = this->shared_from_this()](evloop::CloseReason) { self->upstreamEnded(); });
         sendUpstream(line);
     }
 
@@ -320,13 +320,13 @@
         }
     }
 
-    void ended(evloop::LineEnd reason)
+    void ended(evloop::CloseReason reason)
     {
-        if (reason == evloop::LineEnd::TooLong) {
+        if (reason == evloop::CloseReason::TooLong) {
             refuse(Error{ErrorKind::TooLarge, "the message is too long"});
             return;
         }
-        if (reason == evloop::LineEnd::NotReading) {
+        if (reason == evloop::CloseReason::NotReading) {
             connection_->abort();
         }
         const auto closed = std::exchange(handlers_, {}).closed;
--- a/src/gateway/memberlink.h
+++ b/src/gateway/memberlink.h
@@ -77,7 +77,7 @@
     {
         connection_ = std::make_shared<evloop::LineConnection>(std::move(socket), evloop::LineLimits{Wire::maxMessage});
         connection_->start([self = this->shared_from_this()](std::string_view line) { self->take(line); },
-                           [self = this->shared_from_this()](evloop::LineEnd) { self->end(std::nullopt); });
+                           [self = this->shared_from_this()](evloop::CloseReason) { self->end(std::nullopt); });
         std::string text;
         Wire::appendMemberStart(text, group, member);
         connection_->send(text);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -145,7 +145,7 @@
     {
         server.minThreads(std::min(options.maxThreads, 4U));
         server.maxThreads(options.maxThreads);
-        server.keepAliveTimeout(cxxtools::Milliseconds(static_cast<double>(options.keepAlive.count())));
+        server.keepAliveTimeout(cxxtools::Milliseconds(static_cast<double>(options.keepAliveTimeout.count())));
         server.addService(cxxtools::Regex("^/"), service);
     }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -20,7 +20,7 @@
     /// Most requests that are handled at once.
     unsigned maxThreads = 200;
     /// How long an idle connection is kept open.
-    Milliseconds keepAlive{30'000};
+    Milliseconds keepAliveTimeout{30'000};
     /// Certificate and key file for TLS; plain TCP when empty.
     std::string certificateFile;
     std::string keyFile;
