--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -21,7 +21,7 @@
     message.set_group(record.group.text());
     message.set_primary(record.primary.text());
     message.set_generation(record.generation);
-    message.set_moving(record.moving);
+    message.set_moving(record.changeInProgress);
     message.set_revision(record.revision.value);
 }
 
@@ -31,7 +31,7 @@
     record.group = GroupName{message.group()};
     record.primary = MemberName{message.primary()};
     record.generation = message.generation();
-    record.moving = message.moving();
+    record.changeInProgress = message.moving();
     record.revision = Revision{message.revision()};
     return record;
 }
@@ -63,7 +63,7 @@
         entry.set_group(sighting.group.text());
         entry.set_generation(sighting.generation);
         entry.set_since_answer_ms(sighting.sinceAnswer ? sighting.sinceAnswer->count() : -1);
-        entry.set_writes_stalled_ms(sighting.writesStalled.count());
+        entry.set_writes_stalled_ms(sighting.writesStalledFor.count());
         fill(*entry.mutable_acknowledged(), sighting.acknowledged);
     }
     return message;
@@ -81,13 +81,13 @@
     }
     request.marks = marksOf(message.marks());
     for (const auto &entry : message.sightings()) {
-        leadership::PrimarySighting sighting;
+        leadership::PrimaryObservation sighting;
         sighting.group = GroupName{entry.group()};
         sighting.generation = entry.generation();
         if (entry.since_answer_ms() >= 0) {
             sighting.sinceAnswer = Milliseconds{entry.since_answer_ms()};
         }
-        sighting.writesStalled = Milliseconds{entry.writes_stalled_ms()};
+        sighting.writesStalledFor = Milliseconds{entry.writes_stalled_ms()};
         sighting.acknowledged = markOf(entry.acknowledged());
         request.sightings.push_back(std::move(sighting));
     }
@@ -100,9 +100,9 @@
     message.set_granted(reply.granted);
     message.set_age_ms(reply.age.count());
     message.set_holder(reply.lease.holder.text());
-    message.set_fence(reply.lease.fence);
+    message.set_fence(reply.lease.fencingToken);
     message.set_renewals(reply.lease.renewals);
-    message.set_lease_left_ms(reply.lease.left.count());
+    message.set_lease_left_ms(reply.lease.remaining.count());
     message.set_holder_since_store_ms(reply.holderSinceStore ? reply.holderSinceStore->count() : -1);
     fill(*message.mutable_marks(), reply.marks);
     message.set_yielded_fence(reply.yieldedFence);
@@ -118,9 +118,9 @@
     reply.granted = message.granted();
     reply.age = Milliseconds{message.age_ms()};
     reply.lease.holder = InstanceName{message.holder()};
-    reply.lease.fence = message.fence();
+    reply.lease.fencingToken = message.fence();
     reply.lease.renewals = message.renewals();
-    reply.lease.left = Milliseconds{message.lease_left_ms()};
+    reply.lease.remaining = Milliseconds{message.lease_left_ms()};
     if (message.holder_since_store_ms() >= 0) {
         reply.holderSinceStore = Milliseconds{message.holder_since_store_ms()};
     }
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -1,7 +1,7 @@
 // What session proxies tell each other, as plain values.
 #pragma once
 
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
 #include "leadership/record.h"
 #include "store/catalogmarks.h"
 
@@ -14,7 +14,7 @@
 /// Asks the lease holder for a renewed view.
 struct RenewRequest {
     InstanceName instance;
-    std::vector<leadership::PrimarySighting> sightings;
+    std::vector<leadership::PrimaryObservation> sightings;
     /// Time since the store last answered the sender.
     std::optional<Milliseconds> sinceStore;
     /// Proxies that renew their views at the sender.
@@ -29,7 +29,7 @@
     bool granted = false;
     Milliseconds age{0};
     std::vector<leadership::GroupRecord> records;
-    leadership::LeaseWord lease;
+    leadership::LeaseReport lease;
     /// Time since the store last answered the holder, where the holder itself replies.
     std::optional<Milliseconds> holderSinceStore;
     /// How new a catalog the sender knows or was told of.
--- a/src/gateway/groupmoves.h
+++ b/src/gateway/groupmoves.h
@@ -7,7 +7,7 @@
 #include "gateway/primarywatch.h"
 #include "gateway/proxyregistry.h"
 #include "gateway/viewkeeper.h"
-#include "leadership/promotion.h"
+#include "leadership/primarychange.h"
 #include "leadership/recordjson.h"
 
 #include <algorithm>
@@ -45,12 +45,12 @@
     /// Begins a move of the group's leadership where there is a reason to.
     void consider(const leadership::GroupRecord &record, TimePoint now)
     {
-        std::optional<leadership::MoveReason> reason;
+        std::optional<leadership::PrimaryChangeReason> reason;
         const auto *member = context_.host.directory.find(record.primary);
-        if (record.moving) {
-            reason = leadership::MoveReason::Resumed;
+        if (record.changeInProgress) {
+            reason = leadership::PrimaryChangeReason::Resumed;
         } else if (member != nullptr && member->draining && hasSuccessor(record)) {
-            reason = leadership::MoveReason::Leaving;
+            reason = leadership::PrimaryChangeReason::Leaving;
         } else {
             reason = watch_.judge(record.group, now);
         }
@@ -63,9 +63,9 @@
                            {"primary", record.primary.text()},
                            {"reason", leadership::toText(*reason)},
                            {"generation", static_cast<std::int64_t>(record.generation)},
-                           {"fence", static_cast<std::int64_t>(context_.lease.fence())}});
-        auto &move = moves_.emplace(record.group, leadership::Promotion(record, *reason, now)).first->second;
-        move.known(views_.acknowledged(record.group));
+                           {"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
+        auto &move = moves_.emplace(record.group, leadership::PrimaryChange(record, *reason, now)).first->second;
+        move.onAcknowledged(views_.acknowledged(record.group));
         move.setMembers(context_.host.directory.membersOf(record.group));
     }
 
@@ -74,7 +74,7 @@
     {
         for (auto move = moves_.begin(); move != moves_.end();) {
             step(move->first, move->second, now);
-            move = move->second.over() ? moves_.erase(move) : std::next(move);
+            move = move->second.finished() ? moves_.erase(move) : std::next(move);
         }
     }
 
@@ -99,7 +99,7 @@
             members.begin(), members.end(), [&record](const auto &member) { return member.name != record.primary && !member.draining; });
     }
 
-    void step(const GroupName &group, leadership::Promotion &move, TimePoint now)
+    void step(const GroupName &group, leadership::PrimaryChange &move, TimePoint now)
     {
         for (auto &action : move.next(now)) {
             std::visit([this, &group](const auto &what) { carryOut(group, what); }, action);
@@ -107,7 +107,7 @@
     }
 
     /// The group's move, if it is still under way; answers of earlier ones are ignored.
-    leadership::Promotion *moveOf(const GroupName &group)
+    leadership::PrimaryChange *moveOf(const GroupName &group)
     {
         const auto found = moves_.find(group);
         return found == moves_.end() ? nullptr : &found->second;
@@ -122,7 +122,7 @@
                 return;
             }
             step(group, *move, now);
-            if (move->over()) {
+            if (move->finished()) {
                 moves_.erase(group);
             }
         });
@@ -164,8 +164,8 @@
                     if (record == nullptr || record->group != group) {
                         continue;
                     }
-                    const bool same =
-                        record->primary == wanted.primary && record->generation == wanted.generation && record->moving == wanted.moving;
+                    const bool same = record->primary == wanted.primary && record->generation == wanted.generation
+                        && record->changeInProgress == wanted.changeInProgress;
                     if (same && record->revision != wanted.revision) {
                         recordStored(group, wanted, record->revision);
                         return;
@@ -187,7 +187,7 @@
         }
         move->recorded(revision, now);
         context_.views.accept(record);
-        if (record.moving) {
+        if (record.changeInProgress) {
             context_.viewsChanged(now);
             stepSoon(group);
             return;
@@ -199,7 +199,7 @@
                            {"generation", static_cast<std::int64_t>(record.generation)},
                            {"took_ms", static_cast<std::int64_t>(wholeMilliseconds(now - move->startedAt()).count())}});
         moves_.erase(group);
-        context_.views.renew({record}, std::min(now, context_.lease.validUntil() - leadership::viewLease));
+        context_.views.renew({record}, std::min(now, context_.lease.validUntil() - leadership::primaryTableLease));
         context_.viewsChanged(now);
         for (const auto &[instance, proxy] : registry_.all()) {
             if (instance != context_.settings.instance) {
@@ -225,16 +225,16 @@
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::HoldProxy &action)
+    void carryOut(const GroupName &group, const leadership::QuiesceProxy &action)
     {
         const auto took = [this, group, proxy = action.proxy](const fleet::HoldReply &reply) {
             if (auto *move = moveOf(group)) {
-                move->held(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
+                move->quiesced(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
                 stepSoon(group);
             }
         };
         if (action.proxy == context_.settings.instance) {
-            views_.holdThenAnswer(action.record, evloop::bootTimeNow() + action.drain, took);
+            views_.holdThenAnswer(action.record, evloop::bootTimeNow() + action.drainTimeout, took);
             return;
         }
         const auto *proxy = registry_.find(action.proxy);
@@ -242,7 +242,7 @@
             return;
         }
         context_.client.announce(proxy->address,
-                                 fleet::Announcement{action.record, action.drain},
+                                 fleet::Announcement{action.record, action.drainTimeout},
                                  context_.limits.announceTimeout,
                                  [this, took](Result<fleet::HoldReply> reply) {
                                      boost::asio::post(context_.loop, [took, reply = std::move(reply)] {
@@ -253,18 +253,18 @@
                                  });
     }
 
-    void carryOut(const GroupName &group, const leadership::PauseMember &action)
+    void carryOut(const GroupName &group, const leadership::StopReplication &action)
     {
         controls_.ask(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlAnswer &answer) {
             auto *move = moveOf(group);
             if (move != nullptr && answer.account) {
-                move->memberPaused({action.member, *answer.account}, action.term);
+                move->replicationStopped({action.member, *answer.account}, action.term);
                 stepSoon(group);
             }
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::AskMember &action)
+    void carryOut(const GroupName &group, const leadership::QueryMember &action)
     {
         controls_.ask(action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlAnswer &answer) {
             auto *move = moveOf(group);
@@ -290,11 +290,11 @@
         context_.host.log(
             LogLevel::Info,
             "promote",
-            {{"group", group.text()}, {"member", action.member.text()}, {"fence", static_cast<std::int64_t>(context_.lease.fence())}});
+            {{"group", group.text()}, {"member", action.member.text()}, {"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
         promoter_.promote(group,
                           action.member,
                           context_.settings.instance,
-                          context_.lease.fence(),
+                          context_.lease.fencingToken(),
                           context_.limits.promoteTimeout,
                           [this, group, name = action.member](const Result<Success> &result) {
                               auto *pending = moveOf(group);
@@ -318,7 +318,7 @@
         controls_.ask(action.member, relay::MemberVerb::Demote, action.term, [](const ControlAnswer &) {});
     }
 
-    void carryOut(const GroupName &, const leadership::ResumeMember &action)
+    void carryOut(const GroupName &, const leadership::ResumeReplication &action)
     {
         controls_.ask(action.member, relay::MemberVerb::Resume, 0, [](const ControlAnswer &) {});
     }
@@ -328,7 +328,7 @@
     MemberControls<Wire, Store> &controls_;
     PrimaryWatch<Wire, Store> &watch_;
     Promoter promoter_;
-    std::map<GroupName, leadership::Promotion> moves_;
+    std::map<GroupName, leadership::PrimaryChange> moves_;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/leadercontext.h
+++ b/src/gateway/leadercontext.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "fleet/client.h"
-#include "leadership/lease.h"
-#include "leadership/viewbook.h"
-#include "leadership/viewtree.h"
+#include "leadership/fleetlease.h"
+#include "leadership/primarytable.h"
+#include "leadership/renewaltree.h"
 #include "logging/log.h"
 #include "relay/engine.h"
 #include "settings/sessionsettings.h"
@@ -78,9 +78,9 @@
     /// Reads that must not wait behind a write.
     Store renewStore;
     Random random;
-    leadership::HolderLease lease;
-    leadership::ViewBook views;
-    leadership::ViewTree tree;
+    leadership::FleetLease lease;
+    leadership::PrimaryTable views;
+    leadership::RenewalTree tree;
     fleet::FleetClient client;
     TimePoint startedAt;
     /// Last answer of the store to this process.
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershell.h
@@ -36,7 +36,7 @@
                    .store = Store(loop, settings.store),
                    .renewStore = Store(loop, settings.store),
                    .random = Random(seed),
-                   .lease = leadership::HolderLease(settings.instance, seed ^ 1U),
+                   .lease = leadership::FleetLease(settings.instance, seed ^ 1U),
                    .startedAt = evloop::bootTimeNow()}
         , registry_(context_)
         , lease_(context_,
@@ -201,7 +201,7 @@
     void viewsChanged(TimePoint now)
     {
         for (const auto &record : context_.views.all()) {
-            const auto belief = context_.views.belief(record.group);
+            const auto belief = context_.views.primaryOf(record.group);
             auto &told = told_[record.group];
             if (told.member != belief.member || told.generation != belief.generation || told.held != belief.held) {
                 context_.host.log(LogLevel::Info,
@@ -251,7 +251,7 @@
         } else {
             views_.renew(now, listed_);
         }
-        if (!lease.holds(now) || lease.needsObservation()) {
+        if (!lease.holds(now) || lease.needsRead()) {
             lease_.read(now, listed_);
         }
     }
@@ -289,14 +289,14 @@
     void lead(TimePoint now)
     {
         const auto &lease = context_.lease;
-        if (!lease_.recordsCurrent() || now < lease.takenAt()) {
+        if (!lease_.recordsCurrent() || now < lease.acquiredAt()) {
             return;
         }
         auto &views = context_.views;
-        views.renew(views.all(), std::min(now, lease.validUntil() - leadership::viewLease));
+        views.renew(views.all(), std::min(now, lease.validUntil() - leadership::primaryTableLease));
         viewsChanged(now);
         // Views that an earlier holder granted have ended by then.
-        const bool viewsEnded = now - std::max(lease.takenAt(), registry_.removedAt()) >= leadership::viewLease;
+        const bool viewsEnded = now - std::max(lease.acquiredAt(), registry_.removedAt()) >= leadership::primaryTableLease;
         const bool mayMove = viewsEnded && now - context_.startedAt >= context_.limits.membersSettle;
         for (const auto &[group, config] : context_.host.engine.routes().groups()) {
             const auto *record = views.find(group);
--- a/src/gateway/leasekeeper.h
+++ b/src/gateway/leasekeeper.h
@@ -39,7 +39,7 @@
         if (!write) {
             return;
         }
-        const auto value = leadership::encodeLease(context_.settings.instance, write->fence, write->renewals);
+        const auto value = leadership::encodeLease(context_.settings.instance, write->fencingToken, write->renewals);
         const auto done = [this, now, write = *write](const Result<StoredObject> &stored) {
             const auto later = evloop::bootTimeNow();
             if (!stored) {
@@ -47,7 +47,7 @@
                 return;
             }
             context_.storeAnsweredAt = later;
-            const bool taken = !context_.lease.holds(later) || write.fence == 0;
+            const bool taken = !context_.lease.holds(later) || write.fencingToken == 0;
             context_.lease.written(stored->version, now, later);
             if (taken) {
                 took();
@@ -65,12 +65,12 @@
     {
         const bool reads = context_.tree.readsStore(context_.settings.instance) || !everListed
             || context_.random.below(context_.limits.leaseReadOdds) == 0;
-        const bool needed = context_.lease.needsObservation() || now - heardAt_ >= context_.limits.leaseReadAfter;
+        const bool needed = context_.lease.needsRead() || now - heardAt_ >= context_.limits.leaseReadAfter;
         if (reading_ || !needed || now - readAt_ < context_.limits.leaseReadInterval) {
             return;
         }
         readAt_ = now;
-        if (!reads && !context_.lease.needsObservation()) {
+        if (!reads && !context_.lease.needsRead()) {
             return;
         }
         reading_ = true;
@@ -82,7 +82,7 @@
             const auto later = evloop::bootTimeNow();
             context_.storeAnsweredAt = later;
             if (listing->objects.empty()) {
-                context_.lease.observe(std::nullopt, later);
+                context_.lease.onStoredLease(std::nullopt, later);
             }
             for (const auto &object : listing->objects) {
                 context_.takeObject(object, later);
@@ -95,13 +95,13 @@
     {
         const bool held = context_.lease.holds(now);
         const auto before = context_.lease.holder();
-        context_.lease.observe(lease, now);
+        context_.lease.onStoredLease(lease, now);
         if (lease && before != context_.lease.holder()) {
             context_.host.log(LogLevel::Info,
                               "lease_seen",
                               {{"holder", context_.lease.holder().text()},
                                {"before", before.text()},
-                               {"fence", static_cast<std::int64_t>(lease->fence)}});
+                               {"fence", static_cast<std::int64_t>(lease->fencingToken)}});
         }
         if (held && !context_.lease.holds(now)) {
             lost();
@@ -111,9 +111,9 @@
     /// Notes the word of a proxy on the lease that it or its source holds.
     void heard(const fleet::RenewReply &reply, TimePoint now)
     {
-        context_.lease.yielded(reply.yieldedFence, now);
-        context_.lease.heard(reply.lease, now);
-        const bool kept = reply.lease.left > Milliseconds{0} && reply.yieldedFence != reply.lease.fence;
+        context_.lease.onRelinquished(reply.yieldedFence, now);
+        context_.lease.onLeaseReport(reply.lease, now);
+        const bool kept = reply.lease.remaining > Milliseconds{0} && reply.yieldedFence != reply.lease.fencingToken;
         if (reply.granted && kept) {
             heardAt_ = now;
         }
@@ -127,7 +127,7 @@
         if (!context_.lease.holds(now) || !cutOff || !answersSender) {
             return;
         }
-        yieldedFence_ = context_.lease.yield(now);
+        yieldedFence_ = context_.lease.relinquish(now);
         context_.host.log(LogLevel::Warning,
                           "lease_yielded",
                           {{"fence", static_cast<std::int64_t>(yieldedFence_)}, {"store_answers", request.instance.text()}});
@@ -139,7 +139,7 @@
         const auto now = evloop::bootTimeNow();
         if (context_.lease.holds(now)) {
             const auto revision = context_.lease.revision();
-            yieldedFence_ = context_.lease.yield(now);
+            yieldedFence_ = context_.lease.relinquish(now);
             const auto released = leadership::encodeLease(InstanceName{}, yieldedFence_, 0);
             context_.store.replace(
                 leadership::leaseKey(), revision, released, context_.limits.storeTimeout, [](const Result<StoredObject> &) {});
@@ -163,10 +163,10 @@
     /// Reads all records anew after the lease was taken.
     void readRecords()
     {
-        const auto fence = context_.lease.fence();
+        const auto fence = context_.lease.fencingToken();
         context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, fence](const Result<StoreListing> &listing) {
             const auto now = evloop::bootTimeNow();
-            if (!context_.lease.holds(now) || context_.lease.fence() != fence) {
+            if (!context_.lease.holds(now) || context_.lease.fencingToken() != fence) {
                 return;
             }
             if (!listing) {
@@ -181,7 +181,7 @@
 private:
     void took()
     {
-        context_.host.log(LogLevel::Info, "lease_taken", {{"fence", static_cast<std::int64_t>(context_.lease.fence())}});
+        context_.host.log(LogLevel::Info, "lease_taken", {{"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
         recordsCurrent_ = false;
         handlers_.taken();
         readRecords();
--- a/src/gateway/primarywatch.h
+++ b/src/gateway/primarywatch.h
@@ -6,7 +6,7 @@
 #include "gateway/leadercontext.h"
 #include "gateway/membercontrols.h"
 #include "gateway/sighting.h"
-#include "leadership/suspicion.h"
+#include "leadership/primaryfailuredetector.h"
 
 #include <map>
 #include <optional>
@@ -35,9 +35,9 @@
         }
         const bool registered = context_.host.directory.find(record.primary) != nullptr;
         if (registered) {
-            watched.suspicion.registered();
+            watched.suspicion.onRegistered();
         }
-        watched.suspicion.sight(context_.settings.instance, sightingOf(context_.host.engine, record, now), now);
+        watched.suspicion.recordObservation(context_.settings.instance, sightingOf(context_.host.engine, record, now), now);
         const auto answered = context_.host.engine.lastAnswer(record.group, record.primary);
         const bool quiet = now - answered >= context_.limits.probeAfter && now - watched.probedAt >= context_.limits.probeAfter;
         if (!quiet && now - watched.probedAt < context_.limits.probeInterval) {
@@ -53,7 +53,7 @@
             if (!answer.answered || found == watched_.end() || found->second.generation != generation) {
                 return;
             }
-            found->second.suspicion.probed(!answer.account || answer.account->primary, evloop::bootTimeNow());
+            found->second.suspicion.onProbeReply(!answer.account || answer.account->primary, evloop::bootTimeNow());
         });
     }
 
@@ -63,15 +63,15 @@
         for (const auto &seen : request.sightings) {
             const auto watched = watched_.find(seen.group);
             if (watched != watched_.end()) {
-                watched->second.suspicion.sight(request.instance, seen, now);
+                watched->second.suspicion.recordObservation(request.instance, seen, now);
             }
         }
     }
 
     /// Why the group's primary should be replaced; nothing when it should not.
-    [[nodiscard]] std::optional<leadership::MoveReason> judge(const GroupName &group, TimePoint now)
+    [[nodiscard]] std::optional<leadership::PrimaryChangeReason> judge(const GroupName &group, TimePoint now)
     {
-        return watched_[group].suspicion.judge(now);
+        return watched_[group].suspicion.evaluate(now);
     }
 
     /// Begins anew for all groups, after this process stood still.
@@ -89,7 +89,7 @@
 
 private:
     struct Watched {
-        leadership::Suspicion suspicion;
+        leadership::PrimaryFailureDetector suspicion;
         std::uint64_t generation = 0;
         TimePoint probedAt;
         bool known = false;
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -3,7 +3,7 @@
 
 #include "evloop/clock.h"
 #include "gateway/leadercontext.h"
-#include "leadership/attendance.h"
+#include "leadership/proxyliveness.h"
 #include "leadership/recordjson.h"
 #include "membership/rendezvous.h"
 
@@ -82,7 +82,7 @@
     void put(const leadership::ProxyEntry &entry, Revision revision, TimePoint now)
     {
         proxies_[entry.instance] = {entry, revision};
-        attendance_.known(entry.instance, now);
+        attendance_.onRegistered(entry.instance, now);
     }
 
     void remove(const InstanceName &instance)
@@ -134,7 +134,7 @@
     /// Notes that \a instance renewed its view here or through a proxy that did.
     void heard(const InstanceName &instance, TimePoint now)
     {
-        attendance_.heard(instance, now);
+        attendance_.onContact(instance, now);
     }
 
     /// Gives every proxy time to be heard of, when this process takes the lease.
@@ -147,10 +147,10 @@
     void removeDead(TimePoint now)
     {
         for (const auto &[instance, proxy] : proxies_) {
-            if (instance == context_.settings.instance || !attendance_.gone(instance, now)) {
+            if (instance == context_.settings.instance || !attendance_.isExpired(instance, now)) {
                 continue;
             }
-            attendance_.heard(instance, now);
+            attendance_.onContact(instance, now);
             removedAt_ = now;
             context_.store.remove(
                 leadership::proxyKey(instance), proxy.revision, context_.limits.storeTimeout, [](const Result<Success> &) {});
@@ -167,7 +167,7 @@
 private:
     LeaderContext<Store> &context_;
     std::map<InstanceName, RegisteredProxy> proxies_;
-    leadership::Attendance attendance_;
+    leadership::ProxyLiveness attendance_;
     /// Revision of this proxy's own entry; 0 until it is registered.
     Revision registered_;
     bool failed_ = false;
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/viewkeeper.h
@@ -57,7 +57,7 @@
         const auto now = evloop::bootTimeNow();
         lease_.yieldIfCutOff(request, now);
         fleet::RenewReply reply;
-        reply.lease = context_.lease.word(now);
+        reply.lease = context_.lease.report(now);
         reply.yieldedFence = lease_.yieldedFence();
         clients_[request.instance] = now;
         for (const auto &sighting : request.sightings) {
@@ -70,14 +70,15 @@
         if (!context_.lease.holds(now)) {
             // A view is passed on with its age, so it ends for the asker when it ends here.
             // Moves wait for the views of registered proxies only.
-            reply.granted = now - context_.views.asOf() < leadership::viewLease * 3 / 4 && registry_.find(request.instance) != nullptr;
+            reply.granted =
+                now - context_.views.asOf() < leadership::primaryTableLease * 3 / 4 && registry_.find(request.instance) != nullptr;
             reply.age = std::chrono::ceil<Milliseconds>(now - context_.views.asOf());
             reply.records = context_.views.current();
             return reply;
         }
         // The view that is granted must end before another proxy can take the lease.
-        reply.granted =
-            context_.lease.holds(now + leadership::viewLease) && lease_.recordsCurrent() && registry_.find(request.instance) != nullptr;
+        reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && lease_.recordsCurrent()
+            && registry_.find(request.instance) != nullptr;
         reply.holderSinceStore = wholeMilliseconds(now - context_.storeAnsweredAt);
         registry_.heard(request.instance, now);
         for (const auto &client : request.clients) {
@@ -100,13 +101,13 @@
     {
         constexpr Milliseconds step{10};
         const auto now = evloop::bootTimeNow();
-        if (record.moving && now < until && context_.host.engine.lastingInFlight(record.group) > 0) {
+        if (record.changeInProgress && now < until && context_.host.engine.lastingInFlight(record.group) > 0) {
             const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop, step);
             timer->async_wait(
                 [this, record, until, answer, timer](const boost::system::error_code &) { holdThenAnswer(record, until, answer); });
             return;
         }
-        if (record.moving) {
+        if (record.changeInProgress) {
             context_.host.engine.seal(record.group, now);
             context_.host.perform();
         }
--- a/src/leadership/lease.h
+++ b/src/leadership/fleetlease.h
@@ -16,13 +16,13 @@
     /// How long a holder that is not heard of keeps the lease; longer than the outages of the store that service should survive.
     Milliseconds duration{7000};
     /// Time between two renewals.
-    Milliseconds renewal{1500};
+    Milliseconds renewalInterval{1500};
     /// Part of the duration that the holder itself does not use, for clocks that run at different speeds.
-    Milliseconds margin{300};
+    Milliseconds clockMargin{300};
     /// Longest random wait before a free lease is taken, so that few proxies try at once.
-    Milliseconds contention{250};
+    Milliseconds maxContentionDelay{250};
     /// Pause after an attempt without a clear answer.
-    Milliseconds retryPause{500};
+    Milliseconds retryDelay{500};
 };
 
 /// What the stored lease says.
@@ -30,7 +30,7 @@
     /// Empty when the lease was given back.
     InstanceName holder;
     /// Revision at which the present holder took the lease: its fencing token.
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     /// Counts renewals: the store takes a write that changes nothing for none, and no proxy would see it.
     std::uint64_t renewals = 0;
     Revision revision;
@@ -39,19 +39,19 @@
 };
 
 /// What the holder, or a proxy that asked it, says of the lease.
-struct LeaseWord {
+struct LeaseReport {
     InstanceName holder;
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     std::uint64_t renewals = 0;
     /// Time until the holder stops relying on it, unless it renews it.
-    Milliseconds left{0};
+    Milliseconds remaining{0};
 };
 
 /// Write the lease with this process as holder if it is still at `expected` (0: it must not exist).
 struct LeaseWrite {
     Revision expected;
     /// Keep this fencing token; 0 asks for the revision of this very write.
-    std::uint64_t fence = 0;
+    std::uint64_t fencingToken = 0;
     /// Differs from write to write.
     std::uint64_t renewals = 0;
 };
@@ -59,10 +59,10 @@
 /// Decides when to take, renew and give back the lease.
 ///
 /// Invariant: while holds(now) is true, no other proxy can have taken the lease.
-class HolderLease
+class FleetLease
 {
 public:
-    HolderLease(InstanceName self, std::uint64_t seed, const LeaseLimits &limits = {})
+    FleetLease(InstanceName self, std::uint64_t seed, const LeaseLimits &limits = {})
         : self_(std::move(self))
         , limits_(limits)
         , random_(seed)
@@ -70,13 +70,13 @@
     }
 
     /// Takes in the stored lease as read at \a now, or that there is none.
-    void observe(const std::optional<LeaseState> &state, TimePoint now);
+    void onStoredLease(const std::optional<LeaseState> &state, TimePoint now);
 
     /// Takes in what another proxy said of the lease at \a now; a holder that is heard of is not waited out from the start.
-    void heard(const LeaseWord &word, TimePoint now);
+    void onLeaseReport(const LeaseReport &report, TimePoint now);
 
     /// What this process can say of the lease at \a now.
-    [[nodiscard]] LeaseWord word(TimePoint now) const;
+    [[nodiscard]] LeaseReport report(TimePoint now) const;
 
     /// The write to make at \a now, if any; report it by written() or writeFailed().
     [[nodiscard]] std::optional<LeaseWrite> next(TimePoint now);
@@ -89,16 +89,16 @@
     void writeFailed(bool conflict, TimePoint now);
 
     /// True when the stored lease must be observed before the next write.
-    [[nodiscard]] bool needsObservation() const noexcept
+    [[nodiscard]] bool needsRead() const noexcept
     {
-        return conflicted_ || !observed_;
+        return conflicted_ || !stateRead_;
     }
 
     /// Gives a held lease up without the store, for others to take; returns its fencing token.
-    std::uint64_t yield(TimePoint now);
+    std::uint64_t relinquish(TimePoint now);
 
     /// Takes in that the holder with fencing token \a fence gave the lease up by its own word.
-    void yielded(std::uint64_t fence, TimePoint now);
+    void onRelinquished(std::uint64_t fencingToken, TimePoint now);
 
     /// Gives the lease up: it is not taken again by this process.
     void resign() noexcept
@@ -120,15 +120,15 @@
     }
 
     /// When this process took the lease.
-    [[nodiscard]] TimePoint takenAt() const noexcept
+    [[nodiscard]] TimePoint acquiredAt() const noexcept
     {
-        return takenAt_;
+        return acquiredAt_;
     }
 
     /// The fencing token; only while the lease is held.
-    [[nodiscard]] std::uint64_t fence() const noexcept
+    [[nodiscard]] std::uint64_t fencingToken() const noexcept
     {
-        return fence_;
+        return fencingToken_;
     }
 
     /// Revision of the stored lease as last known.
@@ -146,29 +146,29 @@
     Random random_;
     /// The stored lease as last seen.
     std::optional<LeaseState> state_;
-    bool observed_ = false;
+    bool stateRead_ = false;
     /// When state_ was first seen at its revision.
-    TimePoint seenSince_;
+    TimePoint unchangedSince_;
     /// The newest word of the lease, and when the lease ends by it.
-    LeaseWord word_;
-    TimePoint wordEnds_;
+    LeaseReport report_;
+    TimePoint reportedEnd_;
     /// Random wait before the lease is taken; drawn anew for each revision.
-    Milliseconds contention_{0};
+    Milliseconds contentionDelay_{0};
     bool held_ = false;
-    bool writing_ = false;
+    bool writePending_ = false;
     bool conflicted_ = false;
     /// Takes no lease until another holder was seen, or ever while leaving_.
     bool resigned_ = false;
     bool leaving_ = false;
-    std::uint64_t fence_ = 0;
+    std::uint64_t fencingToken_ = 0;
     std::uint64_t renewals_ = 0;
     /// Fencing token of a lease that its holder gave up by word; 0 for none.
-    std::uint64_t yieldedFence_ = 0;
-    TimePoint yieldedAt_;
-    TimePoint takenAt_;
+    std::uint64_t relinquishedToken_ = 0;
+    TimePoint relinquishedAt_;
+    TimePoint acquiredAt_;
     TimePoint validUntil_;
     TimePoint renewedAt_;
-    TimePoint pausedUntil_;
+    TimePoint nextAttemptAt_;
 };
 
 } // namespace cardamomstep::leadership
--- a/src/leadership/fwd.h
+++ b/src/leadership/fwd.h
@@ -4,10 +4,10 @@
 namespace cardamomstep::leadership {
 
 struct GroupRecord;
-class HolderLease;
-class ViewBook;
-class Suspicion;
-class Attendance;
-class Promotion;
+class FleetLease;
+class PrimaryTable;
+class PrimaryFailureDetector;
+class ProxyLiveness;
+class PrimaryChange;
 
 } // namespace cardamomstep::leadership
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/primarychange.cpp
@@ -1,29 +1,29 @@
 // The steps of a move of leadership.
-#include "leadership/promotion.h"
+#include "leadership/primarychange.h"
 
 #include <algorithm>
 
 namespace cardamomstep::leadership {
 
-Promotion::Promotion(GroupRecord record, MoveReason reason, TimePoint now, const PromotionLimits &limits)
+PrimaryChange::PrimaryChange(GroupRecord record, PrimaryChangeReason reason, TimePoint now, const PrimaryChangeLimits &limits)
     : limits_(limits)
     , record_(std::move(record))
     , reason_(reason)
     , startedAt_(now)
     , recordedAt_(now)
 {
-    if (record_.moving) {
+    if (record_.changeInProgress) {
         phase_ = Phase::Gathering;
     }
-    record_.moving = true;
+    record_.changeInProgress = true;
 }
 
-void Promotion::known(const Mark &acknowledged)
+void PrimaryChange::onAcknowledged(const Mark &acknowledged)
 {
     acknowledged_ = std::max(acknowledged_, acknowledged);
 }
 
-void Promotion::setMembers(const std::vector<relay::MemberEntry> &members)
+void PrimaryChange::setMembers(const std::vector<relay::MemberEntry> &members)
 {
     members_.clear();
     for (const auto &member : members) {
@@ -31,65 +31,65 @@
     }
 }
 
-void Promotion::recorded(Revision revision, TimePoint now)
+void PrimaryChange::recorded(Revision revision, TimePoint now)
 {
     record_.revision = revision;
     if (phase_ == Phase::Recording) {
         phase_ = Phase::Gathering;
         recordedAt_ = now;
     } else if (phase_ == Phase::Publishing) {
-        phase_ = Phase::Over;
+        phase_ = Phase::Finished;
     }
     retryAt_ = now;
 }
 
-void Promotion::recordFailed(bool conflict, TimePoint now)
+void PrimaryChange::recordFailed(bool conflict, TimePoint now)
 {
     if (conflict) {
-        phase_ = Phase::Over;
+        phase_ = Phase::Finished;
     }
-    retryAt_ = now + limits_.retry;
+    retryAt_ = now + limits_.retryInterval;
 }
 
-void Promotion::proxiesListed(const std::vector<InstanceName> &proxies, TimePoint now)
+void PrimaryChange::proxiesListed(const std::vector<InstanceName> &proxies, TimePoint now)
 {
     proxies_ = std::set<InstanceName>(proxies.begin(), proxies.end());
-    gatherSooner(now);
+    advanceRetry(now);
 }
 
-void Promotion::held(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now)
+void PrimaryChange::quiesced(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now)
 {
-    held_[proxy] = uptime >= limits_.knowingUptime;
-    known(acknowledged);
+    quiesced_[proxy] = uptime >= limits_.minHistoryUptime;
+    onAcknowledged(acknowledged);
     if (proxiesSettled(now)) {
-        gatherSooner(now);
+        advanceRetry(now);
     }
 }
 
 /// Steps that were ordered already are not ordered again for news of proxies.
-void Promotion::gatherSooner(TimePoint now)
+void PrimaryChange::advanceRetry(TimePoint now)
 {
     if (phase_ == Phase::Gathering) {
         retryAt_ = std::min(retryAt_, now);
     }
 }
 
-void Promotion::memberStatus(const MemberStatus &status)
+void PrimaryChange::memberStatus(const MemberStatus &status)
 {
     statuses_[status.member] = status;
 }
 
-void Promotion::memberPaused(const MemberStatus &status, std::uint64_t term)
+void PrimaryChange::replicationStopped(const MemberStatus &status, std::uint64_t term)
 {
     statuses_[status.member] = status;
-    if (term == fenceTerm_) {
-        paused_.insert(status.member);
+    if (term == stopTerm_) {
+        stoppedReplicas_.insert(status.member);
     }
 }
 
-void Promotion::promoted(const MemberName &member, bool accepted, bool refused, TimePoint now)
+void PrimaryChange::promoted(const MemberName &member, bool accepted, bool refused, TimePoint now)
 {
-    if (phase_ != Phase::Promoting || member != chosen_) {
+    if (phase_ != Phase::Promoting || member != chosenMember_) {
         return;
     }
     retryAt_ = now;
@@ -97,16 +97,16 @@
         phase_ = Phase::Confirming;
         promotedAt_ = now;
     } else if (refused) {
-        refused_.insert(member);
+        refusedMembers_.insert(member);
         phase_ = Phase::Gathering;
     } else {
-        retryAt_ = now + limits_.retry;
+        retryAt_ = now + limits_.retryInterval;
     }
 }
 
-PromotionActions Promotion::next(TimePoint now)
+PrimaryChangeActions PrimaryChange::next(TimePoint now)
 {
-    PromotionActions actions;
+    PrimaryChangeActions actions;
     switch (phase_) {
     case Phase::Recording:
         recording(actions, now);
@@ -116,7 +116,7 @@
         break;
     case Phase::Promoting:
         if (now >= retryAt_) {
-            actions.emplace_back(PromoteMember{chosen_});
+            actions.emplace_back(PromoteMember{chosenMember_});
             retryAt_ = TimePoint::max();
         }
         break;
@@ -126,13 +126,13 @@
     case Phase::Publishing:
         publishing(actions, now);
         break;
-    case Phase::Over:
+    case Phase::Finished:
         break;
     }
     return actions;
 }
 
-void Promotion::recording(PromotionActions &actions, TimePoint now)
+void PrimaryChange::recording(PrimaryChangeActions &actions, TimePoint now)
 {
     if (now < retryAt_) {
         return;
@@ -141,95 +141,95 @@
     retryAt_ = TimePoint::max();
 }
 
-void Promotion::gathering(PromotionActions &actions, TimePoint now)
+void PrimaryChange::gathering(PrimaryChangeActions &actions, TimePoint now)
 {
     const bool ready = proxiesSettled(now);
     if (ready) {
-        choose(actions, now);
+        chooseMember(actions, now);
     }
     if (phase_ != Phase::Gathering || now < retryAt_) {
         return;
     }
-    retryAt_ = now + limits_.retry;
-    askProxies(actions);
-    askMembers(actions);
+    retryAt_ = now + limits_.retryInterval;
+    quiesceProxies(actions);
+    queryMembers(actions);
     if (ready || !planned()) {
-        pauseReplicas(actions);
+        stopReplicas(actions);
     }
 }
 
-void Promotion::askProxies(PromotionActions &actions)
+void PrimaryChange::quiesceProxies(PrimaryChangeActions &actions)
 {
     if (!proxies_) {
         actions.emplace_back(ListProxies{});
         return;
     }
     for (const auto &proxy : *proxies_) {
-        if (!held_.contains(proxy)) {
-            actions.emplace_back(HoldProxy{proxy, record_, planned() ? limits_.drain : Milliseconds{0}});
+        if (!quiesced_.contains(proxy)) {
+            actions.emplace_back(QuiesceProxy{proxy, record_, planned() ? limits_.drainTimeout : Milliseconds{0}});
         }
     }
 }
 
-void Promotion::askMembers(PromotionActions &actions)
+void PrimaryChange::queryMembers(PrimaryChangeActions &actions)
 {
     for (const auto &[name, member] : members_) {
         if (!statuses_.contains(name)) {
-            actions.emplace_back(AskMember{name});
+            actions.emplace_back(QueryMember{name});
         }
     }
 }
 
 /// Stops replication at a term above every known one, once the members' terms are known.
-void Promotion::pauseReplicas(PromotionActions &actions)
+void PrimaryChange::stopReplicas(PrimaryChangeActions &actions)
 {
     std::uint64_t highest = 0;
     for (const auto &[name, status] : statuses_) {
         highest = std::max({highest, status.account.term, status.account.received.term.number});
     }
-    if (highest >= fenceTerm_) {
-        fenceTerm_ = highest + 1;
-        paused_.clear();
+    if (highest >= stopTerm_) {
+        stopTerm_ = highest + 1;
+        stoppedReplicas_.clear();
     }
     for (const auto &[name, member] : members_) {
-        if (name != record_.primary && statuses_.contains(name) && !paused_.contains(name)) {
-            actions.emplace_back(PauseMember{name, fenceTerm_});
+        if (name != record_.primary && statuses_.contains(name) && !stoppedReplicas_.contains(name)) {
+            actions.emplace_back(StopReplication{name, stopTerm_});
         }
     }
 }
 
 /// True when no proxy relies on the old primary any more.
-bool Promotion::proxiesSettled(TimePoint now) const
+bool PrimaryChange::proxiesSettled(TimePoint now) const
 {
-    if (now >= recordedAt_ + viewLease + limits_.viewMargin) {
+    if (now >= recordedAt_ + primaryTableLease + limits_.primaryTableMargin) {
         return true;
     }
-    return proxies_ && std::all_of(proxies_->begin(), proxies_->end(), [this](const auto &proxy) { return held_.contains(proxy); });
+    return proxies_ && std::all_of(proxies_->begin(), proxies_->end(), [this](const auto &proxy) { return quiesced_.contains(proxy); });
 }
 
 /// True when every proxy told all that was acknowledged to callers.
-bool Promotion::allProxiesKnown() const
+bool PrimaryChange::allAcknowledgementsKnown() const
 {
     return proxies_ && std::all_of(proxies_->begin(), proxies_->end(), [this](const auto &proxy) {
-               const auto found = held_.find(proxy);
-               return found != held_.end() && found->second;
+               const auto found = quiesced_.find(proxy);
+               return found != quiesced_.end() && found->second;
            });
 }
 
-bool Promotion::replicasSettled() const
+bool PrimaryChange::replicasSettled() const
 {
     return std::all_of(members_.begin(), members_.end(), [this](const auto &member) {
-        return member.first == record_.primary || paused_.contains(member.first);
+        return member.first == record_.primary || stoppedReplicas_.contains(member.first);
     });
 }
 
 /// The member to promote: one that stays and holds what was acknowledged, else the one with the longest log.
-std::optional<Promotion::Candidate> Promotion::best() const
+std::optional<PrimaryChange::Candidate> PrimaryChange::bestCandidate() const
 {
     std::vector<Candidate> candidates;
-    for (const auto &name : paused_) {
+    for (const auto &name : stoppedReplicas_) {
         const auto member = members_.find(name);
-        if (member != members_.end() && !refused_.contains(name)) {
+        if (member != members_.end() && !refusedMembers_.contains(name)) {
             candidates.push_back({name, statuses_.at(name).account.received, member->second.draining});
         }
     }
@@ -238,7 +238,7 @@
     }
     const auto longest = std::max_element(
         candidates.begin(), candidates.end(), [](const auto &left, const auto &right) { return left.received < right.received; });
-    const auto needed = allProxiesKnown() ? std::min(acknowledged_, longest->received) : longest->received;
+    const auto needed = allAcknowledgementsKnown() ? std::min(acknowledged_, longest->received) : longest->received;
     std::optional<Candidate> chosen;
     for (const auto &candidate : candidates) {
         if (candidate.draining || candidate.received < needed) {
@@ -251,27 +251,27 @@
     return chosen ? chosen : std::optional(*longest);
 }
 
-void Promotion::choose(PromotionActions &actions, TimePoint now)
+void PrimaryChange::chooseMember(PrimaryChangeActions &actions, TimePoint now)
 {
     const auto waited = now - recordedAt_;
-    const auto candidate = best();
+    const auto candidate = bestCandidate();
     const auto primary = statuses_.find(record_.primary);
     const bool primaryLeads = primary != statuses_.end() && primary->second.account.primary;
     if (!candidate) {
         // Nobody else can lead; the old primary may go on, once its replicas replicate again.
-        if (primaryLeads && waited >= limits_.memberPatience && !planned()) {
-            publish(record_.primary);
+        if (primaryLeads && waited >= limits_.memberTimeout && !planned()) {
+            startPublishing(record_.primary);
         }
         return;
     }
     const bool lacks = candidate->received < acknowledged_;
-    if (lacks && primaryLeads && waited >= limits_.memberPatience) {
+    if (lacks && primaryLeads && waited >= limits_.memberTimeout) {
         // The old primary holds what its callers were told; slow is better than lost.
-        publish(record_.primary);
+        startPublishing(record_.primary);
         return;
     }
-    const bool settled = replicasSettled() || (allProxiesKnown() && waited >= limits_.memberPatience);
-    const bool enough = (settled && !lacks) || waited >= limits_.longestGathering;
+    const bool settled = replicasSettled() || (allAcknowledgementsKnown() && waited >= limits_.memberTimeout);
+    const bool enough = (settled && !lacks) || waited >= limits_.maxGatheringTime;
     if (!enough) {
         return;
     }
@@ -279,61 +279,61 @@
     if (status != statuses_.end() && status->second.account.primary) {
         // A promotion of an earlier holder took effect.
         newTerm_ = status->second.account.term;
-        publish(candidate->member);
+        startPublishing(candidate->member);
         return;
     }
-    chosen_ = candidate->member;
-    ordered_ = true;
+    chosenMember_ = candidate->member;
+    promotionRequested_ = true;
     phase_ = Phase::Promoting;
-    actions.emplace_back(PromoteMember{chosen_});
+    actions.emplace_back(PromoteMember{chosenMember_});
     retryAt_ = TimePoint::max();
 }
 
-void Promotion::confirming(PromotionActions &actions, TimePoint now)
+void PrimaryChange::confirming(PrimaryChangeActions &actions, TimePoint now)
 {
-    const auto status = statuses_.find(chosen_);
+    const auto status = statuses_.find(chosenMember_);
     if (status != statuses_.end() && status->second.account.primary) {
         newTerm_ = status->second.account.term;
-        publish(chosen_);
+        startPublishing(chosenMember_);
         publishing(actions, now);
         return;
     }
-    if (now - promotedAt_ >= limits_.confirmPatience) {
-        refused_.insert(chosen_);
+    if (now - promotedAt_ >= limits_.confirmTimeout) {
+        refusedMembers_.insert(chosenMember_);
         phase_ = Phase::Gathering;
         retryAt_ = now;
         return;
     }
     if (now >= retryAt_) {
-        actions.emplace_back(AskMember{chosen_});
-        retryAt_ = now + limits_.retry / 4;
+        actions.emplace_back(QueryMember{chosenMember_});
+        retryAt_ = now + limits_.retryInterval / 4;
     }
 }
 
-void Promotion::publish(const MemberName &member)
+void PrimaryChange::startPublishing(const MemberName &member)
 {
-    chosen_ = member;
+    chosenMember_ = member;
     phase_ = Phase::Publishing;
     retryAt_ = TimePoint{};
 }
 
-void Promotion::publishing(PromotionActions &actions, TimePoint now)
+void PrimaryChange::publishing(PrimaryChangeActions &actions, TimePoint now)
 {
     if (now < retryAt_) {
         return;
     }
     auto record = record_;
-    record.moving = false;
-    record.primary = chosen_;
+    record.changeInProgress = false;
+    record.primary = chosenMember_;
     ++record.generation;
     actions.emplace_back(StoreRecord{record});
-    if (!ordered_ || chosen_ == record_.primary) {
+    if (!promotionRequested_ || chosenMember_ == record_.primary) {
         // Only a promotion lets stopped replicas go on by itself.
-        for (const auto &name : paused_) {
-            actions.emplace_back(ResumeMember{name});
+        for (const auto &name : stoppedReplicas_) {
+            actions.emplace_back(ResumeReplication{name});
         }
     }
-    if (chosen_ != record_.primary && members_.contains(record_.primary)) {
+    if (chosenMember_ != record_.primary && members_.contains(record_.primary)) {
         actions.emplace_back(DemoteMember{record_.primary, newTerm_});
     }
     retryAt_ = TimePoint::max();
--- a/src/leadership/promotion.h
+++ b/src/leadership/primarychange.h
@@ -5,8 +5,8 @@
 // holds all that was acknowledged; have it promoted; record it as the primary.
 #pragma once
 
+#include "leadership/primaryfailuredetector.h"
 #include "leadership/record.h"
-#include "leadership/suspicion.h"
 #include "relay/directory.h"
 
 #include <map>
@@ -25,18 +25,18 @@
 struct ListProxies {
 };
 /// Tell a proxy of the move; report held(). It lets statements in flight end for up to `drain`.
-struct HoldProxy {
+struct QuiesceProxy {
     InstanceName proxy;
     GroupRecord record;
-    Milliseconds drain{0};
+    Milliseconds drainTimeout{0};
 };
 /// Stop a replica's replication at `term`; report memberPaused().
-struct PauseMember {
+struct StopReplication {
     MemberName member;
     std::uint64_t term = 0;
 };
 /// Ask a member for its status; report memberStatus().
-struct AskMember {
+struct QueryMember {
     MemberName member;
 };
 /// Have the platform promote the member; report promoted().
@@ -49,39 +49,39 @@
     std::uint64_t term = 0;
 };
 /// Let a replica go on with replication.
-struct ResumeMember {
+struct ResumeReplication {
     MemberName member;
 };
-using PromotionAction =
-    std::variant<StoreRecord, ListProxies, HoldProxy, PauseMember, AskMember, PromoteMember, DemoteMember, ResumeMember>;
-using PromotionActions = std::vector<PromotionAction>;
+using PrimaryChangeAction =
+    std::variant<StoreRecord, ListProxies, QuiesceProxy, StopReplication, QueryMember, PromoteMember, DemoteMember, ResumeReplication>;
+using PrimaryChangeActions = std::vector<PrimaryChangeAction>;
 
 /// Settings of a promotion.
-struct PromotionLimits {
+struct PrimaryChangeLimits {
     /// Time that statements in flight are given at a planned move.
-    Milliseconds drain{150};
+    Milliseconds drainTimeout{150};
     /// Time between two attempts at a step that was not answered.
-    Milliseconds retry{120};
+    Milliseconds retryInterval{120};
     /// A replica that cannot be reached for this long is left out if what was acknowledged is known to be held elsewhere.
-    Milliseconds memberPatience{900};
+    Milliseconds memberTimeout{900};
     /// After this time the best reachable member is taken, whatever is missing: who holds the rest is not expected back.
-    Milliseconds longestGathering{25'000};
+    Milliseconds maxGatheringTime{25'000};
     /// Margin on the lease of views, for timers that fire early.
-    Milliseconds viewMargin{50};
+    Milliseconds primaryTableMargin{50};
     /// A proxy that started more recently does not know all that its instance acknowledged.
-    Milliseconds knowingUptime{6000};
+    Milliseconds minHistoryUptime{6000};
     /// A member that was promoted and does not lead by then is given up.
-    Milliseconds confirmPatience{3000};
+    Milliseconds confirmTimeout{3000};
 };
 
 /// One move of leadership.
-class Promotion
+class PrimaryChange
 {
 public:
-    Promotion(GroupRecord record, MoveReason reason, TimePoint now, const PromotionLimits &limits = {});
+    PrimaryChange(GroupRecord record, PrimaryChangeReason reason, TimePoint now, const PrimaryChangeLimits &limits = {});
 
     /// Takes in a position that some proxy was heard to have acknowledged, also by a process that has ended since.
-    void known(const Mark &acknowledged);
+    void onAcknowledged(const Mark &acknowledged);
 
     /// Sets the group's registered members, now and whenever they change.
     void setMembers(const std::vector<relay::MemberEntry> &members);
@@ -90,27 +90,27 @@
     /// The record could not be stored; \a conflict ends the move.
     void recordFailed(bool conflict, TimePoint now);
     void proxiesListed(const std::vector<InstanceName> &proxies, TimePoint now);
-    void held(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now);
+    void quiesced(const InstanceName &proxy, const Mark &acknowledged, Milliseconds uptime, TimePoint now);
     void memberStatus(const MemberStatus &status);
     /// The member confirmed that its replication stopped; \a status is as of then.
-    void memberPaused(const MemberStatus &status, std::uint64_t term);
+    void replicationStopped(const MemberStatus &status, std::uint64_t term);
     /// The platform's answer; \a refused when it said that the member does not run, and `accepted` false with it when there was none.
     void promoted(const MemberName &member, bool accepted, bool refused, TimePoint now);
 
     /// The actions due at \a now.
-    [[nodiscard]] PromotionActions next(TimePoint now);
+    [[nodiscard]] PrimaryChangeActions next(TimePoint now);
 
     /// True once the move ended, one way or the other.
-    [[nodiscard]] bool over() const noexcept
+    [[nodiscard]] bool finished() const noexcept
     {
-        return phase_ == Phase::Over;
+        return phase_ == Phase::Finished;
     }
 
     [[nodiscard]] const GroupRecord &record() const noexcept
     {
         return record_;
     }
-    [[nodiscard]] MoveReason reason() const noexcept
+    [[nodiscard]] PrimaryChangeReason reason() const noexcept
     {
         return reason_;
     }
@@ -126,7 +126,7 @@
         Promoting,
         Confirming,
         Publishing,
-        Over,
+        Finished,
     };
 
     struct Candidate {
@@ -135,28 +135,28 @@
         bool draining = false;
     };
 
-    void recording(PromotionActions &actions, TimePoint now);
-    void gathering(PromotionActions &actions, TimePoint now);
-    void askMembers(PromotionActions &actions);
-    void askProxies(PromotionActions &actions);
-    void pauseReplicas(PromotionActions &actions);
-    void choose(PromotionActions &actions, TimePoint now);
-    void confirming(PromotionActions &actions, TimePoint now);
-    void publishing(PromotionActions &actions, TimePoint now);
-    void gatherSooner(TimePoint now);
-    void publish(const MemberName &member);
+    void recording(PrimaryChangeActions &actions, TimePoint now);
+    void gathering(PrimaryChangeActions &actions, TimePoint now);
+    void queryMembers(PrimaryChangeActions &actions);
+    void quiesceProxies(PrimaryChangeActions &actions);
+    void stopReplicas(PrimaryChangeActions &actions);
+    void chooseMember(PrimaryChangeActions &actions, TimePoint now);
+    void confirming(PrimaryChangeActions &actions, TimePoint now);
+    void publishing(PrimaryChangeActions &actions, TimePoint now);
+    void advanceRetry(TimePoint now);
+    void startPublishing(const MemberName &member);
     [[nodiscard]] bool proxiesSettled(TimePoint now) const;
-    [[nodiscard]] bool allProxiesKnown() const;
+    [[nodiscard]] bool allAcknowledgementsKnown() const;
     [[nodiscard]] bool replicasSettled() const;
-    [[nodiscard]] std::optional<Candidate> best() const;
+    [[nodiscard]] std::optional<Candidate> bestCandidate() const;
     [[nodiscard]] bool planned() const noexcept
     {
-        return reason_ == MoveReason::Leaving;
+        return reason_ == PrimaryChangeReason::Leaving;
     }
 
-    PromotionLimits limits_;
+    PrimaryChangeLimits limits_;
     GroupRecord record_;
-    MoveReason reason_;
+    PrimaryChangeReason reason_;
     TimePoint startedAt_;
     Phase phase_ = Phase::Recording;
     std::map<MemberName, relay::MemberEntry> members_;
@@ -164,16 +164,16 @@
     TimePoint recordedAt_;
     std::optional<std::set<InstanceName>> proxies_;
     /// Proxies that hold, and whether they know all that their instance acknowledged.
-    std::map<InstanceName, bool> held_;
+    std::map<InstanceName, bool> quiesced_;
     Mark acknowledged_;
     std::map<MemberName, MemberStatus> statuses_;
     /// Replicas whose replication was stopped at fenceTerm_.
-    std::set<MemberName> paused_;
-    std::uint64_t fenceTerm_ = 0;
-    std::set<MemberName> refused_;
-    MemberName chosen_;
+    std::set<MemberName> stoppedReplicas_;
+    std::uint64_t stopTerm_ = 0;
+    std::set<MemberName> refusedMembers_;
+    MemberName chosenMember_;
     /// This move ordered a promotion itself.
-    bool ordered_ = false;
+    bool promotionRequested_ = false;
     TimePoint promotedAt_;
     std::uint64_t newTerm_ = 0;
     /// The phase's requests were sent; they are sent again then.
--- a/src/leadership/viewbook.h
+++ b/src/leadership/primarytable.h
@@ -13,23 +13,23 @@
 ///
 /// A view is renewed by the lease holder's word or by a linearizable read of the store; either is good for `viewLease` from the moment
 /// it was asked for. A record never goes back to an older revision.
-class ViewBook
+class PrimaryTable
 {
 public:
     /// Takes in one record; false when a newer one is known.
     bool accept(const GroupRecord &record);
 
     /// Takes in that all \a records were current at some moment after \a askedAt; records that are older than known are left out.
-    void renew(const std::vector<GroupRecord> &records, TimePoint askedAt);
+    void renew(const std::vector<GroupRecord> &records, TimePoint requestedAt);
 
     [[nodiscard]] const GroupRecord *find(const GroupName &group) const;
 
-    [[nodiscard]] relay::PrimaryBelief belief(const GroupName &group) const;
+    [[nodiscard]] relay::PrimaryBelief primaryOf(const GroupName &group) const;
 
     /// The latest end of any group's view.
     [[nodiscard]] TimePoint validUntil() const noexcept
     {
-        return newest_;
+        return validUntil_;
     }
 
     [[nodiscard]] std::vector<GroupRecord> all() const;
@@ -50,7 +50,7 @@
     };
 
     std::map<GroupName, Entry> entries_;
-    TimePoint newest_;
+    TimePoint validUntil_;
     TimePoint asOf_;
 };
 
--- a/src/leadership/attendance.h
+++ b/src/leadership/proxyliveness.h
@@ -9,54 +9,54 @@
 namespace cardamomstep::leadership {
 
 /// Settings of an attendance.
-struct AttendanceLimits {
+struct ProxyLivenessLimits {
     /// A proxy that was not heard of for this long is gone for good.
-    Milliseconds removal{20'000};
+    Milliseconds removalTimeout{20'000};
 };
 
 /// Knows when proxies were last heard of.
-class Attendance
+class ProxyLiveness
 {
 public:
-    explicit Attendance(const AttendanceLimits &limits = {})
+    explicit ProxyLiveness(const ProxyLivenessLimits &limits = {})
         : limits_(limits)
     {
     }
 
     /// Takes in that \a instance is registered; it counts as heard of when it was not known before.
-    void known(const InstanceName &instance, TimePoint now)
+    void onRegistered(const InstanceName &instance, TimePoint now)
     {
-        heard_.try_emplace(instance, now);
+        lastContacts_.try_emplace(instance, now);
     }
 
     /// Takes in that \a instance renewed its view.
-    void heard(const InstanceName &instance, TimePoint now)
+    void onContact(const InstanceName &instance, TimePoint now)
     {
-        heard_[instance] = now;
+        lastContacts_[instance] = now;
     }
 
     void forget(const InstanceName &instance)
     {
-        heard_.erase(instance);
+        lastContacts_.erase(instance);
     }
 
     /// Gives every proxy the full time anew: what was heard before this process held the lease says nothing.
     void restart(TimePoint now)
     {
-        for (auto &[instance, heardAt] : heard_) {
-            heardAt = now;
+        for (auto &[instance, lastContactAt] : lastContacts_) {
+            lastContactAt = now;
         }
     }
 
-    [[nodiscard]] bool gone(const InstanceName &instance, TimePoint now) const
+    [[nodiscard]] bool isExpired(const InstanceName &instance, TimePoint now) const
     {
-        const auto found = heard_.find(instance);
-        return found != heard_.end() && now - found->second >= limits_.removal;
+        const auto found = lastContacts_.find(instance);
+        return found != lastContacts_.end() && now - found->second >= limits_.removalTimeout;
     }
 
 private:
-    AttendanceLimits limits_;
-    std::map<InstanceName, TimePoint> heard_;
+    ProxyLivenessLimits limits_;
+    std::map<InstanceName, TimePoint> lastContacts_;
 };
 
 } // namespace cardamomstep::leadership
--- a/src/leadership/record.h
+++ b/src/leadership/record.h
@@ -13,7 +13,7 @@
 namespace cardamomstep::leadership {
 
 /// Longest time that a proxy relies on what it was told about primaries without hearing it again.
-inline constexpr Milliseconds viewLease{700};
+inline constexpr Milliseconds primaryTableLease{700};
 
 /// The primary of one group.
 struct GroupRecord {
@@ -23,7 +23,7 @@
     /// Grows with each move.
     std::uint64_t generation = 0;
     /// A move is under way: nobody sends anything new to the primary.
-    bool moving = false;
+    bool changeInProgress = false;
     /// Revision of the stored record; orders what different proxies tell.
     Revision revision;
 
@@ -31,13 +31,13 @@
 };
 
 /// What one proxy has seen of a group's primary.
-struct PrimarySighting {
+struct PrimaryObservation {
     GroupName group;
     std::uint64_t generation = 0;
     /// Time since the primary last answered this proxy; nothing when it never did.
     std::optional<Milliseconds> sinceAnswer;
     /// Time since which writes have gone unanswered.
-    Milliseconds writesStalled{0};
+    Milliseconds writesStalledFor{0};
     /// Highest position that this proxy acknowledged to a caller, or was told that others did.
     Mark acknowledged;
 };
--- a/src/leadership/recordjson.cpp
+++ b/src/leadership/recordjson.cpp
@@ -54,12 +54,12 @@
 
 std::string encode(const GroupRecord &record)
 {
-    return Json{{"primary", record.primary.text()}, {"generation", record.generation}, {"moving", record.moving}}.dump();
+    return Json{{"primary", record.primary.text()}, {"generation", record.generation}, {"moving", record.changeInProgress}}.dump();
 }
 
-std::string encodeLease(const InstanceName &holder, std::uint64_t fence, std::uint64_t renewals)
+std::string encodeLease(const InstanceName &holder, std::uint64_t fencingToken, std::uint64_t renewals)
 {
-    return Json{{"holder", holder.text()}, {"fence", fence}, {"renewals", renewals}}.dump();
+    return Json{{"holder", holder.text()}, {"fence", fencingToken}, {"renewals", renewals}}.dump();
 }
 
 std::string encode(const ProxyEntry &entry)
@@ -80,8 +80,8 @@
         lease.holder = InstanceName{textOf(value, "holder")};
         lease.renewals = numberOf(value, "renewals");
         lease.revision = object.version;
-        const auto fence = numberOf(value, "fence");
-        lease.fence = fence == 0 ? object.version.value : fence;
+        const auto fencingToken = numberOf(value, "fence");
+        lease.fencingToken = fencingToken == 0 ? object.version.value : fencingToken;
         return lease;
     }
     if (name.starts_with(recordPrefix)) {
@@ -89,7 +89,7 @@
         record.group = GroupName{std::string(name.substr(recordPrefix.size()))};
         record.primary = MemberName{textOf(value, "primary")};
         record.generation = numberOf(value, "generation");
-        record.moving = value.value("moving", Json(false)) == Json(true);
+        record.changeInProgress = value.value("moving", Json(false)) == Json(true);
         record.revision = object.version;
         return record;
     }
--- a/src/leadership/recordjson.h
+++ b/src/leadership/recordjson.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
 #include "leadership/record.h"
 #include "store/object.h"
 
@@ -35,7 +35,7 @@
 
 [[nodiscard]] std::string encode(const GroupRecord &record);
 /// The lease as written by \a holder; \a fence 0 stands for the revision of the write itself.
-[[nodiscard]] std::string encodeLease(const InstanceName &holder, std::uint64_t fence, std::uint64_t renewals);
+[[nodiscard]] std::string encodeLease(const InstanceName &holder, std::uint64_t fencingToken, std::uint64_t renewals);
 [[nodiscard]] std::string encode(const ProxyEntry &entry);
 
 /// What one object of the fleet says; monostate when it cannot be read.
--- a/src/leadership/viewtree.h
+++ b/src/leadership/renewaltree.h
@@ -12,7 +12,7 @@
 ///
 /// In a small fleet all ask the lease holder. In a larger one the first few of the order ask the holder, and the others ask them: a proxy
 /// answers about `fanOut` others, however large the fleet.
-class ViewTree
+class RenewalTree
 {
 public:
     /// Proxies that one proxy answers.
@@ -40,7 +40,7 @@
     }
 
 private:
-    [[nodiscard]] std::size_t relays() const noexcept;
+    [[nodiscard]] std::size_t intermediates() const noexcept;
     [[nodiscard]] bool isAmongFirst(std::size_t count, const InstanceName &self) const;
 
     /// Invariant: ordered by a hash of the name, the same on every proxy.
