--- a/src/fleet/client.cpp
+++ b/src/fleet/client.cpp
@@ -54,14 +54,14 @@
 void FleetClient::announce(const Address &proxy,
                            const Announcement &announcement,
                            Milliseconds timeout,
-                           std::function<void(Result<HoldReply>)> done)
+                           std::function<void(Result<QuiesceReply>)> done)
 {
     const auto call = std::make_shared<Call<impl::wire::AnnounceRequest, impl::wire::AnnounceReply>>();
     call->request = impl::encode(announcement);
     call->context.set_deadline(std::chrono::system_clock::now() + timeout);
     const std::shared_ptr<impl::wire::Fleet::Stub> stub = impl::wire::Fleet::NewStub(impl_->channels.to(proxy));
     stub->async()->Announce(&call->context, &call->request, &call->reply, [call, stub, done = std::move(done)](const grpc::Status &status) {
-        done(status.ok() ? Result<HoldReply>(impl::decode(call->reply)) : Result<HoldReply>(unreachable(status)));
+        done(status.ok() ? Result<QuiesceReply>(impl::decode(call->reply)) : Result<QuiesceReply>(unreachable(status)));
     });
 }
 
--- a/src/fleet/client.h
+++ b/src/fleet/client.h
@@ -22,7 +22,7 @@
 
     void renew(const Address &proxy, const RenewRequest &request, Milliseconds timeout, std::function<void(Result<RenewReply>)> done);
     void
-    announce(const Address &proxy, const Announcement &announcement, Milliseconds timeout, std::function<void(Result<HoldReply>)> done);
+    announce(const Address &proxy, const Announcement &announcement, Milliseconds timeout, std::function<void(Result<QuiesceReply>)> done);
 
     /// Drops the connection to \a proxy, which is gone or silent; the next call makes a new one.
     void forget(const Address &proxy);
--- a/src/fleet/fwd.h
+++ b/src/fleet/fwd.h
@@ -6,7 +6,7 @@
 struct RenewRequest;
 struct RenewReply;
 struct Announcement;
-struct HoldReply;
+struct QuiesceReply;
 class FleetServer;
 class FleetClient;
 
--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -11,7 +11,7 @@
     message.set_number(mark.position);
 }
 
-Mark markOf(const wire::Position &message)
+Mark positionOf(const wire::Position &message)
 {
     return Mark{Term{message.term(), 0}, message.number()};
 }
@@ -36,13 +36,13 @@
     return record;
 }
 
-void fill(wire::CatalogMarks &message, const CatalogMarks &marks)
+void fill(wire::CatalogMarks &message, const CatalogMarks &revisions)
 {
-    message.set_configuration(marks.configuration.value);
-    message.set_members(marks.members.value);
+    message.set_configuration(revisions.configuration.value);
+    message.set_members(revisions.members.value);
 }
 
-CatalogMarks marksOf(const wire::CatalogMarks &message)
+CatalogMarks revisionsOf(const wire::CatalogMarks &message)
 {
     return {Revision{message.configuration()}, Revision{message.members()}};
 }
@@ -53,18 +53,18 @@
 {
     wire::RenewRequest message;
     message.set_instance(request.instance.text());
-    message.set_since_store_ms(request.sinceStore ? request.sinceStore->count() : -1);
-    for (const auto &client : request.clients) {
+    message.set_since_store_ms(request.sinceStoreReply ? request.sinceStoreReply->count() : -1);
+    for (const auto &client : request.downstreamProxies) {
         message.add_clients(client.text());
     }
-    fill(*message.mutable_marks(), request.marks);
-    for (const auto &sighting : request.sightings) {
+    fill(*message.mutable_marks(), request.catalogRevisions);
+    for (const auto &observation : request.observations) {
         auto &entry = *message.add_sightings();
-        entry.set_group(sighting.group.text());
-        entry.set_generation(sighting.generation);
-        entry.set_since_answer_ms(sighting.sinceAnswer ? sighting.sinceAnswer->count() : -1);
-        entry.set_writes_stalled_ms(sighting.writesStalledFor.count());
-        fill(*entry.mutable_acknowledged(), sighting.acknowledged);
+        entry.set_group(observation.group.text());
+        entry.set_generation(observation.generation);
+        entry.set_since_answer_ms(observation.sinceAnswer ? observation.sinceAnswer->count() : -1);
+        entry.set_writes_stalled_ms(observation.writesStalledFor.count());
+        fill(*entry.mutable_acknowledged(), observation.acknowledged);
     }
     return message;
 }
@@ -74,22 +74,22 @@
     RenewRequest request;
     request.instance = InstanceName{message.instance()};
     if (message.since_store_ms() >= 0) {
-        request.sinceStore = Milliseconds{message.since_store_ms()};
+        request.sinceStoreReply = Milliseconds{message.since_store_ms()};
     }
     for (const auto &client : message.clients()) {
-        request.clients.emplace_back(client);
+        request.downstreamProxies.emplace_back(client);
     }
-    request.marks = marksOf(message.marks());
+    request.catalogRevisions = revisionsOf(message.marks());
     for (const auto &entry : message.sightings()) {
-        leadership::PrimaryObservation sighting;
-        sighting.group = GroupName{entry.group()};
-        sighting.generation = entry.generation();
+        leadership::PrimaryObservation observation;
+        observation.group = GroupName{entry.group()};
+        observation.generation = entry.generation();
         if (entry.since_answer_ms() >= 0) {
-            sighting.sinceAnswer = Milliseconds{entry.since_answer_ms()};
+            observation.sinceAnswer = Milliseconds{entry.since_answer_ms()};
         }
-        sighting.writesStalledFor = Milliseconds{entry.writes_stalled_ms()};
-        sighting.acknowledged = markOf(entry.acknowledged());
-        request.sightings.push_back(std::move(sighting));
+        observation.writesStalledFor = Milliseconds{entry.writes_stalled_ms()};
+        observation.acknowledged = positionOf(entry.acknowledged());
+        request.observations.push_back(std::move(observation));
     }
     return request;
 }
@@ -103,9 +103,9 @@
     message.set_fence(reply.lease.fencingToken);
     message.set_renewals(reply.lease.renewals);
     message.set_lease_left_ms(reply.lease.remaining.count());
-    message.set_holder_since_store_ms(reply.holderSinceStore ? reply.holderSinceStore->count() : -1);
-    fill(*message.mutable_marks(), reply.marks);
-    message.set_yielded_fence(reply.yieldedFence);
+    message.set_holder_since_store_ms(reply.leaseHolderSinceStoreReply ? reply.leaseHolderSinceStoreReply->count() : -1);
+    fill(*message.mutable_marks(), reply.catalogRevisions);
+    message.set_yielded_fence(reply.relinquishedToken);
     for (const auto &record : reply.records) {
         fill(*message.add_records(), record);
     }
@@ -122,10 +122,10 @@
     reply.lease.renewals = message.renewals();
     reply.lease.remaining = Milliseconds{message.lease_left_ms()};
     if (message.holder_since_store_ms() >= 0) {
-        reply.holderSinceStore = Milliseconds{message.holder_since_store_ms()};
+        reply.leaseHolderSinceStoreReply = Milliseconds{message.holder_since_store_ms()};
     }
-    reply.marks = marksOf(message.marks());
-    reply.yieldedFence = message.yielded_fence();
+    reply.catalogRevisions = revisionsOf(message.marks());
+    reply.relinquishedToken = message.yielded_fence();
     for (const auto &record : message.records()) {
         reply.records.push_back(recordOf(record));
     }
@@ -136,7 +136,7 @@
 {
     wire::AnnounceRequest message;
     fill(*message.mutable_record(), announcement.record);
-    message.set_drain_ms(announcement.drain.count());
+    message.set_drain_ms(announcement.drainTimeout.count());
     return message;
 }
 
@@ -145,7 +145,7 @@
     return {recordOf(message.record()), Milliseconds{message.drain_ms()}};
 }
 
-wire::AnnounceReply encode(const HoldReply &reply)
+wire::AnnounceReply encode(const QuiesceReply &reply)
 {
     wire::AnnounceReply message;
     fill(*message.mutable_acknowledged(), reply.acknowledged);
@@ -153,9 +153,9 @@
     return message;
 }
 
-HoldReply decode(const wire::AnnounceReply &message)
+QuiesceReply decode(const wire::AnnounceReply &message)
 {
-    return {markOf(message.acknowledged()), Milliseconds{message.uptime_ms()}};
+    return {positionOf(message.acknowledged()), Milliseconds{message.uptime_ms()}};
 }
 
 } // namespace cardamomstep::fleet::impl
--- a/src/fleet/impl/fleetcodec.h
+++ b/src/fleet/impl/fleetcodec.h
@@ -14,7 +14,7 @@
 [[nodiscard]] RenewReply decode(const wire::RenewReply &message);
 [[nodiscard]] wire::AnnounceRequest encode(const Announcement &announcement);
 [[nodiscard]] Announcement decode(const wire::AnnounceRequest &message);
-[[nodiscard]] wire::AnnounceReply encode(const HoldReply &reply);
-[[nodiscard]] HoldReply decode(const wire::AnnounceReply &message);
+[[nodiscard]] wire::AnnounceReply encode(const QuiesceReply &reply);
+[[nodiscard]] QuiesceReply decode(const wire::AnnounceReply &message);
 
 } // namespace cardamomstep::fleet::impl
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -14,13 +14,13 @@
 /// Asks the lease holder for a renewed view.
 struct RenewRequest {
     InstanceName instance;
-    std::vector<leadership::PrimaryObservation> sightings;
+    std::vector<leadership::PrimaryObservation> observations;
     /// Time since the store last answered the sender.
-    std::optional<Milliseconds> sinceStore;
+    std::optional<Milliseconds> sinceStoreReply;
     /// Proxies that renew their views at the sender.
-    std::vector<InstanceName> clients;
+    std::vector<InstanceName> downstreamProxies;
     /// How new a catalog the sender knows or was told of.
-    CatalogMarks marks;
+    CatalogMarks catalogRevisions;
 };
 
 /// A view of the primaries, and the lease as far as the sender knows it.
@@ -31,22 +31,22 @@
     std::vector<leadership::GroupRecord> records;
     leadership::LeaseReport lease;
     /// Time since the store last answered the holder, where the holder itself replies.
-    std::optional<Milliseconds> holderSinceStore;
+    std::optional<Milliseconds> leaseHolderSinceStoreReply;
     /// How new a catalog the sender knows or was told of.
-    CatalogMarks marks;
+    CatalogMarks catalogRevisions;
     /// Fencing token of a lease that the sender held and gives up by this word; 0 for none.
-    std::uint64_t yieldedFence = 0;
+    std::uint64_t relinquishedToken = 0;
 };
 
 /// A newer record of one group.
 struct Announcement {
     leadership::GroupRecord record;
     /// Statements in flight at the old primary may end within this time.
-    Milliseconds drain{0};
+    Milliseconds drainTimeout{0};
 };
 
 /// What the receiver of an announcement has acknowledged to callers.
-struct HoldReply {
+struct QuiesceReply {
     Mark acknowledged;
     Milliseconds uptime{0};
 };
--- a/src/fleet/server.cpp
+++ b/src/fleet/server.cpp
@@ -36,7 +36,7 @@
     Announce(grpc::CallbackServerContext *context, const impl::wire::AnnounceRequest *request, impl::wire::AnnounceReply *reply) override
     {
         auto *reactor = context->DefaultReactor();
-        handlers_.announce(decode(*request), [reactor, reply](const HoldReply &answer) {
+        handlers_.announce(decode(*request), [reactor, reply](const QuiesceReply &answer) {
             *reply = encode(answer);
             reactor->Finish(grpc::Status::OK);
         });
--- a/src/fleet/server.h
+++ b/src/fleet/server.h
@@ -12,8 +12,8 @@
 
 /// What the server asks of the process; handlers run on gRPC's threads, so they hand over to the event loop.
 struct FleetHandlers {
-    std::function<void(RenewRequest request, std::function<void(RenewReply)> answer)> renew;
-    std::function<void(Announcement announcement, std::function<void(HoldReply)> answer)> announce;
+    std::function<void(RenewRequest request, std::function<void(RenewReply)> reply)> renew;
+    std::function<void(Announcement announcement, std::function<void(QuiesceReply)> reply)> announce;
 };
 
 /// Serves other proxies.
--- a/src/gateway/groupmoves.h
+++ b/src/gateway/groupmoves.h
@@ -227,7 +227,7 @@
 
     void carryOut(const GroupName &group, const leadership::QuiesceProxy &action)
     {
-        const auto took = [this, group, proxy = action.proxy](const fleet::HoldReply &reply) {
+        const auto took = [this, group, proxy = action.proxy](const fleet::QuiesceReply &reply) {
             if (auto *move = moveOf(group)) {
                 move->quiesced(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
                 stepSoon(group);
@@ -244,7 +244,7 @@
         context_.client.announce(proxy->address,
                                  fleet::Announcement{action.record, action.drainTimeout},
                                  context_.limits.announceTimeout,
-                                 [this, took](Result<fleet::HoldReply> reply) {
+                                 [this, took](Result<fleet::QuiesceReply> reply) {
                                      boost::asio::post(context_.loop, [took, reply = std::move(reply)] {
                                          if (reply) {
                                              took(*reply);
@@ -287,10 +287,11 @@
             move->promoted(action.member, false, false, now);
             return;
         }
-        context_.host.log(
-            LogLevel::Info,
-            "promote",
-            {{"group", group.text()}, {"member", action.member.text()}, {"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
+        context_.host.log(LogLevel::Info,
+                          "promote",
+                          {{"group", group.text()},
+                           {"member", action.member.text()},
+                           {"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
         promoter_.promote(group,
                           action.member,
                           context_.settings.instance,
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershell.h
@@ -265,7 +265,7 @@
         handlers.renew = [this, &loop](fleet::RenewRequest request, std::function<void(fleet::RenewReply)> answer) {
             boost::asio::post(loop, [this, request = std::move(request), answer = std::move(answer)] { answer(views_.grant(request)); });
         };
-        handlers.announce = [this, &loop](const fleet::Announcement &announcement, std::function<void(fleet::HoldReply)> answer) {
+        handlers.announce = [this, &loop](const fleet::Announcement &announcement, std::function<void(fleet::QuiesceReply)> answer) {
             boost::asio::post(loop, [this, announcement, answer = std::move(answer)] { views_.takeAnnouncement(announcement, answer); });
         };
         return handlers;
--- a/src/gateway/leasekeeper.h
+++ b/src/gateway/leasekeeper.h
@@ -111,9 +111,9 @@
     /// Notes the word of a proxy on the lease that it or its source holds.
     void heard(const fleet::RenewReply &reply, TimePoint now)
     {
-        context_.lease.onRelinquished(reply.yieldedFence, now);
+        context_.lease.onRelinquished(reply.relinquishedToken, now);
         context_.lease.onLeaseReport(reply.lease, now);
-        const bool kept = reply.lease.remaining > Milliseconds{0} && reply.yieldedFence != reply.lease.fencingToken;
+        const bool kept = reply.lease.remaining > Milliseconds{0} && reply.relinquishedToken != reply.lease.fencingToken;
         if (reply.granted && kept) {
             heardAt_ = now;
         }
@@ -123,7 +123,7 @@
     void yieldIfCutOff(const fleet::RenewRequest &request, TimePoint now)
     {
         const bool cutOff = now - context_.storeAnsweredAt >= context_.limits.storeSilence;
-        const bool answersSender = request.sinceStore && *request.sinceStore < context_.limits.storeSilence / 2;
+        const bool answersSender = request.sinceStoreReply && *request.sinceStoreReply < context_.limits.storeSilence / 2;
         if (!context_.lease.holds(now) || !cutOff || !answersSender) {
             return;
         }
--- a/src/gateway/primarywatch.h
+++ b/src/gateway/primarywatch.h
@@ -60,7 +60,7 @@
     /// Takes in what another proxy sees.
     void sighted(const fleet::RenewRequest &request, TimePoint now)
     {
-        for (const auto &seen : request.sightings) {
+        for (const auto &seen : request.observations) {
             const auto watched = watched_.find(seen.group);
             if (watched != watched_.end()) {
                 watched->second.suspicion.recordObservation(request.instance, seen, now);
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/viewkeeper.h
@@ -58,14 +58,14 @@
         lease_.yieldIfCutOff(request, now);
         fleet::RenewReply reply;
         reply.lease = context_.lease.report(now);
-        reply.yieldedFence = lease_.yieldedFence();
+        reply.relinquishedToken = lease_.yieldedFence();
         clients_[request.instance] = now;
-        for (const auto &sighting : request.sightings) {
+        for (const auto &sighting : request.observations) {
             auto &told = acknowledged_[sighting.group];
             told = std::max(told, sighting.acknowledged);
         }
-        context_.host.marksHeard(request.marks);
-        reply.marks = context_.host.marks();
+        context_.host.marksHeard(request.catalogRevisions);
+        reply.catalogRevisions = context_.host.marks();
         handlers_.sighted(request, now);
         if (!context_.lease.holds(now)) {
             // A view is passed on with its age, so it ends for the asker when it ends here.
@@ -79,9 +79,9 @@
         // The view that is granted must end before another proxy can take the lease.
         reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && lease_.recordsCurrent()
             && registry_.find(request.instance) != nullptr;
-        reply.holderSinceStore = wholeMilliseconds(now - context_.storeAnsweredAt);
+        reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
         registry_.heard(request.instance, now);
-        for (const auto &client : request.clients) {
+        for (const auto &client : request.downstreamProxies) {
             registry_.heard(client, now);
         }
         reply.records = context_.views.all();
@@ -89,15 +89,15 @@
     }
 
     /// Takes in a record that the holder announces; \a answer is called once the announcement is heeded.
-    void takeAnnouncement(const fleet::Announcement &announcement, const std::function<void(fleet::HoldReply)> &answer)
+    void takeAnnouncement(const fleet::Announcement &announcement, const std::function<void(fleet::QuiesceReply)> &answer)
     {
         context_.views.accept(announcement.record);
         context_.viewsChanged(evloop::bootTimeNow());
-        holdThenAnswer(announcement.record, evloop::bootTimeNow() + announcement.drain, answer);
+        holdThenAnswer(announcement.record, evloop::bootTimeNow() + announcement.drainTimeout, answer);
     }
 
     /// Answers once nothing with lasting effects is in flight at the group's primary, at the latest at \a until.
-    void holdThenAnswer(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::HoldReply)> &answer)
+    void holdThenAnswer(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::QuiesceReply)> &answer)
     {
         constexpr Milliseconds step{10};
         const auto now = evloop::bootTimeNow();
@@ -111,7 +111,7 @@
             context_.host.engine.seal(record.group, now);
             context_.host.perform();
         }
-        answer(fleet::HoldReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
+        answer(fleet::QuiesceReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
     }
 
     /// Highest position in \a group that this process acknowledged, or that others told here that they did.
@@ -158,17 +158,17 @@
         fleet::RenewRequest asked;
         asked.instance = context_.settings.instance;
         if (context_.storeAnsweredAt != TimePoint{}) {
-            asked.sinceStore = wholeMilliseconds(now - context_.storeAnsweredAt);
+            asked.sinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
         }
-        asked.marks = context_.host.marks();
+        asked.catalogRevisions = context_.host.marks();
         for (const auto &[instance, heardAt] : clients_) {
             if (now - heardAt <= clientLife) {
-                asked.clients.push_back(instance);
+                asked.downstreamProxies.push_back(instance);
             }
         }
         for (const auto &record : context_.views.all()) {
-            asked.sightings.push_back(sightingOf(context_.host.engine, record, now));
-            asked.sightings.back().acknowledged = acknowledged(record.group);
+            asked.observations.push_back(sightingOf(context_.host.engine, record, now));
+            asked.observations.back().acknowledged = acknowledged(record.group);
         }
         return asked;
     }
@@ -185,7 +185,7 @@
             return;
         }
         renewFailures_.erase(address);
-        context_.host.marksHeard(reply->marks);
+        context_.host.marksHeard(reply->catalogRevisions);
         lease_.heard(*reply, now);
         if (!reply->granted) {
             ++renewAttempt_;
@@ -195,7 +195,7 @@
         context_.views.renew(reply->records, askedAt - reply->age);
         context_.viewsChanged(now);
         // A holder that the store does not answer yields to one that it does; so this process finds out whether it does.
-        if (reply->holderSinceStore && *reply->holderSinceStore >= context_.limits.storeSilence && !storeRenewing_) {
+        if (reply->leaseHolderSinceStoreReply && *reply->leaseHolderSinceStoreReply >= context_.limits.storeSilence && !storeRenewing_) {
             askStore(now);
         }
     }
