--- a/src/gateway/callerlink.h
+++ b/src/gateway/callerconnection.h
@@ -15,7 +15,7 @@
 namespace cardamomstep::gateway {
 
 /// What a caller's connection reports.
-struct CallerLinkHandlers {
+struct CallerConnectionHandlers {
     /// Opens the session; an error ends it.
     std::function<Result<Success>(const relay::DatabaseName &database)> opened;
     std::function<void(const relay::SessionStatement &statement)> statement;
@@ -26,7 +26,7 @@
     /// A proxy could not be reached, or did not answer.
     std::function<void(const Address &proxy)> forwardFailed;
     /// A session served here ended at rest, so that the caller's next one goes to \a proxy.
-    std::function<void(const Address &proxy)> endedForTarget;
+    std::function<void(const Address &proxy)> redirected;
     /// Goes on here with a session whose proxy is lost; false when that is not possible.
     std::function<bool(const relay::CallerSession &session)> adopted;
 };
@@ -35,12 +35,12 @@
 ///
 /// A session that another proxy serves is passed on line by line; the answers come back unchanged.
 template<relay::WireCodec Wire>
-class CallerLink : public std::enable_shared_from_this<CallerLink<Wire>>
+class CallerConnection : public std::enable_shared_from_this<CallerConnection<Wire>>
 {
 public:
-    CallerLink(boost::asio::io_context &loop, boost::asio::ip::tcp::socket socket, CallerLinkHandlers handlers)
+    CallerConnection(boost::asio::io_context &loop, boost::asio::ip::tcp::socket socket, CallerConnectionHandlers handlers)
         : loop_(loop)
-        , silence_(loop)
+        , timer_(loop)
         , connection_(std::make_shared<evloop::LineConnection>(std::move(socket), evloop::LineLimits{Wire::maxMessage}))
         , handlers_(std::move(handlers))
     {
@@ -48,7 +48,7 @@
 
     void start()
     {
-        connection_->start([self = this->shared_from_this()](std::string_view line) { self->take(line); },
+        connection_->start([self = this->shared_from_this()](std::string_view line) { self->onLine(line); },
                            [self = this->shared_from_this()](evloop::LineEnd reason) { self->ended(reason); });
     }
 
@@ -60,10 +60,10 @@
         std::string text;
         Wire::appendReply(text, reply);
         connection_->send(text);
-        const bool rests = reply.state == relay::SessionState::Idle && !setUp_;
-        const auto target = rests && handlers_.forward ? handlers_.forward(database_) : std::nullopt;
+        const bool isIdle = reply.state == relay::SessionState::Idle && !inSetup_;
+        const auto target = isIdle && handlers_.forward ? handlers_.forward(database_) : std::nullopt;
         if (target) {
-            handlers_.endedForTarget(target->proxy);
+            handlers_.redirected(target->proxy);
             finish();
             return;
         }
@@ -85,37 +85,37 @@
     }
 
     /// Ends a forwarded session as soon as it rests; true when it rests now.
-    [[nodiscard]] bool endWhenResting()
+    [[nodiscard]] bool endWhenIdle()
     {
-        ending_ = true;
-        const bool resting = !outstanding_ && state_ == relay::SessionState::Idle;
-        if (resting && setUp_) {
-            endSoon();
+        endsWhenIdle_ = true;
+        const bool isIdle = !replyPending_ && state_ == relay::SessionState::Idle;
+        if (isIdle && inSetup_) {
+            startSetupIdleTimer();
             return false;
         }
-        return resting;
+        return isIdle;
     }
 
 private:
     /// Longest time to reach another proxy.
-    static constexpr Milliseconds forwardConnect{300};
+    static constexpr Milliseconds forwardConnectTimeout{300};
     /// Time for an answer to come back from the proxy that serves a session, beyond the statement's own timeout.
-    static constexpr Milliseconds forwardMargin{150};
+    static constexpr Milliseconds forwardReplyMargin{150};
     /// Time for the statement that a session was just set up for, before the session ends.
-    static constexpr Milliseconds setUpRest{400};
+    static constexpr Milliseconds setupIdleTimeout{400};
 
-    void take(std::string_view line)
+    void onLine(std::string_view line)
     {
         if (upstream_) {
-            passOn(line);
+            forwardLine(line);
             return;
         }
         const auto message = Wire::parseCaller(line);
         if (const auto *start = std::get_if<relay::StartSession>(&message)) {
             open(*start, std::string(line));
-        } else if (const auto *statement = std::get_if<relay::SessionStatement>(&message); statement != nullptr && started_) {
+        } else if (const auto *statement = std::get_if<relay::SessionStatement>(&message); statement != nullptr && sessionStarted_) {
             connection_->pause();
-            setUp_ = relay::setsUpSession(statement->kind);
+            inSetup_ = relay::setsUpSession(statement->kind);
             if (handlers_.statement) {
                 handlers_.statement(*statement);
             }
@@ -128,25 +128,25 @@
 
     void open(const relay::StartSession &start, const std::string &line)
     {
-        if (std::exchange(started_, true)) {
+        if (std::exchange(sessionStarted_, true)) {
             refuse(Error{ErrorKind::MalformedRequest, "the session is open already"});
             return;
         }
         database_ = start.database;
         const auto target = handlers_.forward ? handlers_.forward(database_) : std::nullopt;
         if (!target) {
-            openHere();
+            openLocally();
             return;
         }
         target_ = *target;
         session_.emplace(database_);
         connection_->pause();
-        evloop::connect(loop_, target_.proxy, forwardConnect, [self = this->shared_from_this(), line](auto socket) {
-            self->reached(std::move(socket), line);
+        evloop::connect(loop_, target_.proxy, forwardConnectTimeout, [self = this->shared_from_this(), line](auto socket) {
+            self->onUpstreamConnected(std::move(socket), line);
         });
     }
 
-    void openHere()
+    void openLocally()
     {
         const auto opened = handlers_.opened ? handlers_.opened(database_) : Result<Success>(Error{});
         if (!opened) {
@@ -159,22 +159,22 @@
     }
 
     /// The other proxy was reached, or not; then the session is served here.
-    void reached(std::unique_ptr<boost::asio::ip::tcp::socket> socket, const std::string &line)
+    void onUpstreamConnected(std::unique_ptr<boost::asio::ip::tcp::socket> socket, const std::string &line)
     {
         if (!handlers_.closed) {
             return;
         }
         if (!socket) {
-            serveHere();
+            serveLocally();
             return;
         }
         upstream_ = std::make_shared<evloop::LineConnection>(std::move(*socket), evloop::LineLimits{Wire::maxMessage});
-        upstream_->start([self = this->shared_from_this()](std::string_view answer) { self->passBack(answer); },
+        upstream_->start([self = this->shared_from_this()](std::string_view answer) { self->returnLine(answer); },
                          [self = this->shared_from_this()](evloop::LineEnd) { self->upstreamEnded(); });
         sendUpstream(line);
     }
 
-    void passOn(std::string_view line)
+    void forwardLine(std::string_view line)
     {
         const auto message = Wire::parseCaller(line);
         if (std::holds_alternative<relay::EndSession>(message)) {
@@ -183,74 +183,74 @@
         }
         connection_->pause();
         const auto *statement = std::get_if<relay::SessionStatement>(&message);
-        setUp_ = statement != nullptr && relay::setsUpSession(statement->kind);
+        inSetup_ = statement != nullptr && relay::setsUpSession(statement->kind);
         session_->sent(statement == nullptr ? relay::SessionStatement{} : *statement);
         sendUpstream(line);
     }
 
     void sendUpstream(std::string_view line)
     {
-        outstanding_ = true;
+        replyPending_ = true;
         upstream_->send(std::string(line) + "\r\n");
-        silence_.expires_after(target_.statementTimeout + forwardMargin);
-        silence_.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
-            if (!error && self->outstanding_ && self->upstream_) {
+        timer_.expires_after(target_.statementTimeout + forwardReplyMargin);
+        timer_.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
+            if (!error && self->replyPending_ && self->upstream_) {
                 self->upstreamEnded();
             }
         });
     }
 
-    void passBack(std::string_view line)
+    void returnLine(std::string_view line)
     {
         const auto message = Wire::parseMember(line);
         const auto *ready = std::get_if<relay::MemberReady>(&message);
-        if (!accepted_ && ready == nullptr) {
+        if (!sessionAccepted_ && ready == nullptr) {
             // The other proxy may know an older configuration than this one, or be stopping.
-            serveHere();
+            serveLocally();
             return;
         }
         connection_->send(std::string(line) + "\r\n");
         if (ready == nullptr) {
-            succeeded_ = std::holds_alternative<relay::MemberSuccess>(message);
+            replySucceeded_ = std::holds_alternative<relay::MemberSuccess>(message);
             session_->partPassed();
             return;
         }
-        if (std::exchange(accepted_, true)) {
-            session_->answered(std::exchange(succeeded_, false), ready->state, ready->position);
+        if (std::exchange(sessionAccepted_, true)) {
+            session_->answered(std::exchange(replySucceeded_, false), ready->state, ready->position);
         }
-        outstanding_ = false;
+        replyPending_ = false;
         state_ = ready->state;
-        silence_.cancel();
-        if (ending_ && state_ == relay::SessionState::Idle && !setUp_) {
+        timer_.cancel();
+        if (endsWhenIdle_ && state_ == relay::SessionState::Idle && !inSetup_) {
             finish();
             return;
         }
-        if (ending_ && state_ == relay::SessionState::Idle) {
-            endSoon();
+        if (endsWhenIdle_ && state_ == relay::SessionState::Idle) {
+            startSetupIdleTimer();
         }
         connection_->resume();
     }
 
     /// Ends the session unless the statement that it was set up for comes in time.
-    void endSoon()
+    void startSetupIdleTimer()
     {
-        silence_.expires_after(setUpRest);
-        silence_.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
-            if (!error && !self->outstanding_) {
+        timer_.expires_after(setupIdleTimeout);
+        timer_.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
+            if (!error && !self->replyPending_) {
                 self->finish();
             }
         });
     }
 
     /// Serves a session that the other proxy did not take.
-    void serveHere()
+    void serveLocally()
     {
         if (handlers_.forwardFailed) {
             handlers_.forwardFailed(target_.proxy);
         }
-        outstanding_ = false;
+        replyPending_ = false;
         dropUpstream();
-        openHere();
+        openLocally();
         connection_->resume();
     }
 
@@ -260,22 +260,22 @@
         if (!handlers_.closed) {
             return;
         }
-        if (!accepted_) {
-            serveHere();
+        if (!sessionAccepted_) {
+            serveLocally();
             return;
         }
-        if (!outstanding_) {
+        if (!replyPending_) {
             finish();
             return;
         }
         handlers_.forwardFailed(target_.proxy);
-        goOnHere();
+        resumeLocally();
     }
 
     /// Answers the statement whose answer is lost, or runs it again here, and serves the session from here on.
-    void goOnHere()
+    void resumeLocally()
     {
-        outstanding_ = false;
+        replyPending_ = false;
         dropUpstream();
         if (!session_->known()) {
             finish();
@@ -295,7 +295,7 @@
 
     void dropUpstream()
     {
-        silence_.cancel();
+        timer_.cancel();
         if (upstream_) {
             std::exchange(upstream_, nullptr)->abort();
         }
@@ -337,10 +337,10 @@
     }
 
     boost::asio::io_context &loop_;
-    boost::asio::steady_timer silence_;
+    boost::asio::steady_timer timer_;
     std::shared_ptr<evloop::LineConnection> connection_;
-    CallerLinkHandlers handlers_;
-    bool started_ = false;
+    CallerConnectionHandlers handlers_;
+    bool sessionStarted_ = false;
     relay::DatabaseName database_;
     /// The connection to the proxy that serves the session; null when this process does.
     std::shared_ptr<evloop::LineConnection> upstream_;
@@ -348,15 +348,15 @@
     /// What is known of the session while another proxy serves it.
     std::optional<relay::ForwardedSession> session_;
     /// The other proxy took the session.
-    bool accepted_ = false;
+    bool sessionAccepted_ = false;
     /// The answer to the forwarded line told success so far.
-    bool succeeded_ = false;
+    bool replySucceeded_ = false;
     /// A forwarded line is not answered yet.
-    bool outstanding_ = false;
+    bool replyPending_ = false;
     relay::SessionState state_ = relay::SessionState::Idle;
     /// The last statement only set the session up: the one that it is for follows.
-    bool setUp_ = false;
-    bool ending_ = false;
+    bool inSetup_ = false;
+    bool endsWhenIdle_ = false;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/fwd.h
+++ b/src/gateway/fwd.h
@@ -3,6 +3,6 @@
 
 namespace cardamomstep::gateway {
 
-struct MemberLinkHandlers;
+struct MemberConnectionHandlers;
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/groupmoves.h
+++ b/src/gateway/groupmoves.h
@@ -3,7 +3,7 @@
 
 #include "evloop/clock.h"
 #include "gateway/leadercontext.h"
-#include "gateway/membercontrols.h"
+#include "gateway/membercontrolconnections.h"
 #include "gateway/primarywatch.h"
 #include "gateway/proxyregistry.h"
 #include "gateway/viewkeeper.h"
@@ -26,7 +26,7 @@
     GroupMoves(LeaderContext<Store> &context,
                ProxyRegistry<Store> &registry,
                ViewKeeper<Store> &views,
-               MemberControls<Wire, Store> &controls,
+               MemberControlConnections<Wire, Store> &controls,
                PrimaryWatch<Wire, Store> &watch)
         : context_(context)
         , registry_(registry)
@@ -102,7 +102,7 @@
     void step(const GroupName &group, leadership::PrimaryChange &move, TimePoint now)
     {
         for (auto &action : move.next(now)) {
-            std::visit([this, &group](const auto &what) { carryOut(group, what); }, action);
+            std::visit([this, &group](const auto &what) { perform(group, what); }, action);
         }
     }
 
@@ -128,7 +128,7 @@
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::StoreRecord &action)
+    void perform(const GroupName &group, const leadership::StoreRecord &action)
     {
         const auto wanted = action.record;
         context_.store.replace(leadership::recordKey(group),
@@ -211,7 +211,7 @@
         }
     }
 
-    void carryOut(const GroupName &group, const leadership::ListProxies &)
+    void perform(const GroupName &group, const leadership::ListProxies &)
     {
         context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, group](const Result<StoreListing> &listing) {
             auto *move = moveOf(group);
@@ -225,7 +225,7 @@
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::QuiesceProxy &action)
+    void perform(const GroupName &group, const leadership::QuiesceProxy &action)
     {
         const auto took = [this, group, proxy = action.proxy](const fleet::QuiesceReply &reply) {
             if (auto *move = moveOf(group)) {
@@ -253,29 +253,29 @@
                                  });
     }
 
-    void carryOut(const GroupName &group, const leadership::StopReplication &action)
+    void perform(const GroupName &group, const leadership::StopReplication &action)
     {
-        controls_.ask(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlAnswer &answer) {
+        controls_.send(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlReply &reply) {
             auto *move = moveOf(group);
-            if (move != nullptr && answer.account) {
-                move->replicationStopped({action.member, *answer.account}, action.term);
+            if (move != nullptr && reply.account) {
+                move->replicationStopped({action.member, *reply.account}, action.term);
                 stepSoon(group);
             }
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::QueryMember &action)
+    void perform(const GroupName &group, const leadership::QueryMember &action)
     {
-        controls_.ask(action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlAnswer &answer) {
+        controls_.send(action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlReply &reply) {
             auto *move = moveOf(group);
-            if (move != nullptr && answer.account) {
-                move->memberStatus({name, *answer.account});
+            if (move != nullptr && reply.account) {
+                move->memberStatus({name, *reply.account});
                 stepSoon(group);
             }
         });
     }
 
-    void carryOut(const GroupName &group, const leadership::PromoteMember &action)
+    void perform(const GroupName &group, const leadership::PromoteMember &action)
     {
         const auto now = evloop::bootTimeNow();
         auto *move = moveOf(group);
@@ -314,19 +314,19 @@
                           });
     }
 
-    void carryOut(const GroupName &, const leadership::DemoteMember &action)
+    void perform(const GroupName &, const leadership::DemoteMember &action)
     {
-        controls_.ask(action.member, relay::MemberVerb::Demote, action.term, [](const ControlAnswer &) {});
+        controls_.send(action.member, relay::MemberVerb::Demote, action.term, [](const ControlReply &) {});
     }
 
-    void carryOut(const GroupName &, const leadership::ResumeReplication &action)
+    void perform(const GroupName &, const leadership::ResumeReplication &action)
     {
-        controls_.ask(action.member, relay::MemberVerb::Resume, 0, [](const ControlAnswer &) {});
+        controls_.send(action.member, relay::MemberVerb::Resume, 0, [](const ControlReply &) {});
     }
     LeaderContext<Store> &context_;
     ProxyRegistry<Store> &registry_;
     ViewKeeper<Store> &views_;
-    MemberControls<Wire, Store> &controls_;
+    MemberControlConnections<Wire, Store> &controls_;
     PrimaryWatch<Wire, Store> &watch_;
     Promoter promoter_;
     std::map<GroupName, leadership::PrimaryChange> moves_;
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershell.h
@@ -7,7 +7,7 @@
 #include "gateway/groupmoves.h"
 #include "gateway/leadercontext.h"
 #include "gateway/leasekeeper.h"
-#include "gateway/membercontrols.h"
+#include "gateway/membercontrolconnections.h"
 #include "gateway/primarywatch.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/proxyregistry.h"
@@ -310,7 +310,7 @@
             }
         }
         moves_.stepAll(now);
-        controls_.keepOpen(now);
+        controls_.maintainConnections(now);
         registry_.removeDead(now);
     }
 
@@ -350,7 +350,7 @@
     ProxyRegistry<Store> registry_;
     LeaseKeeper<Store> lease_;
     ViewKeeper<Store> views_;
-    MemberControls<Wire, Store> controls_;
+    MemberControlConnections<Wire, Store> controls_;
     PrimaryWatch<Wire, Store> watch_;
     GroupMoves<Wire, Store, Promoter> moves_;
     boost::asio::steady_timer timer_;
--- a/src/gateway/memberlink.h
+++ b/src/gateway/memberconnection.h
@@ -14,7 +14,7 @@
 namespace cardamomstep::gateway {
 
 /// What a member's connection reports.
-struct MemberLinkHandlers {
+struct MemberConnectionHandlers {
     std::function<void(const std::optional<Mark> &position)> opened;
     std::function<void(const relay::MemberReply &reply)> replied;
     /// The connection ended or was refused; called once, and not after close().
@@ -23,10 +23,10 @@
 
 /// One connection to a member; it keeps itself alive until it is closed.
 template<relay::WireCodec Wire>
-class MemberLink : public std::enable_shared_from_this<MemberLink<Wire>>
+class MemberConnection : public std::enable_shared_from_this<MemberConnection<Wire>>
 {
 public:
-    explicit MemberLink(MemberLinkHandlers handlers)
+    explicit MemberConnection(MemberConnectionHandlers handlers)
         : handlers_(std::move(handlers))
     {
     }
@@ -42,7 +42,7 @@
                 self->end(std::nullopt);
                 return;
             }
-            self->introduce(std::move(*socket), group, member);
+            self->startHandshake(std::move(*socket), group, member);
         });
     }
 
@@ -73,44 +73,44 @@
     /// An answer of more rows counts as damaged.
     static constexpr std::size_t maxRows = 100'000;
 
-    void introduce(boost::asio::ip::tcp::socket socket, const GroupName &group, const MemberName &member)
+    void startHandshake(boost::asio::ip::tcp::socket socket, const GroupName &group, const MemberName &member)
     {
         connection_ = std::make_shared<evloop::LineConnection>(std::move(socket), evloop::LineLimits{Wire::maxMessage});
-        connection_->start([self = this->shared_from_this()](std::string_view line) { self->take(line); },
+        connection_->start([self = this->shared_from_this()](std::string_view line) { self->onLine(line); },
                            [self = this->shared_from_this()](evloop::LineEnd) { self->end(std::nullopt); });
         std::string text;
         Wire::appendMemberStart(text, group, member);
         connection_->send(text);
     }
 
-    void take(std::string_view line)
+    void onLine(std::string_view line)
     {
         auto message = Wire::parseMember(line);
         if (auto *row = std::get_if<relay::MemberRow>(&message); row != nullptr && reply_.rows.size() < maxRows) {
             reply_.rows.push_back(std::move(row->data));
         } else if (auto *success = std::get_if<relay::MemberSuccess>(&message)) {
             reply_.signature = std::move(success->signature);
-            answered_ = true;
+            replyComplete_ = true;
         } else if (const auto *error = std::get_if<relay::MemberError>(&message)) {
-            takeError(error->fault);
+            handleError(error->fault);
         } else if (const auto *ready = std::get_if<relay::MemberReady>(&message)) {
-            takeReady(*ready);
+            handleReady(*ready);
         } else {
             end(std::nullopt);
         }
     }
 
-    void takeError(relay::MemberFault fault)
+    void handleError(relay::MemberFault fault)
     {
         if (!open_) {
             end(fault);
             return;
         }
         reply_.fault = fault;
-        answered_ = true;
+        replyComplete_ = true;
     }
 
-    void takeReady(const relay::MemberReady &ready)
+    void handleReady(const relay::MemberReady &ready)
     {
         if (!std::exchange(open_, true)) {
             if (handlers_.opened) {
@@ -118,7 +118,7 @@
             }
             return;
         }
-        if (!std::exchange(answered_, false)) {
+        if (!std::exchange(replyComplete_, false)) {
             end(std::nullopt);
             return;
         }
@@ -144,11 +144,11 @@
         }
     }
 
-    MemberLinkHandlers handlers_;
+    MemberConnectionHandlers handlers_;
     std::shared_ptr<evloop::LineConnection> connection_;
     /// The answer being read.
     relay::MemberReply reply_;
-    bool answered_ = false;
+    bool replyComplete_ = false;
     /// The member accepted the connection.
     bool open_ = false;
     bool ended_ = false;
--- a/src/gateway/membercontrol.h
+++ b/src/gateway/membercontrolconnection.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/memberlink.h"
+#include "gateway/memberconnection.h"
 #include "relay/directory.h"
 
 #include <deque>
@@ -14,7 +14,7 @@
 namespace cardamomstep::gateway {
 
 /// What a member answered to an order or a question.
-struct ControlAnswer {
+struct ControlReply {
     /// False when no answer came in time.
     bool answered = false;
     /// Nothing when the member was too busy to tell.
@@ -23,12 +23,12 @@
 
 /// Sends orders to one member, one answer after the other.
 template<relay::WireCodec Wire>
-class MemberControl : public std::enable_shared_from_this<MemberControl<Wire>>
+class MemberControlConnection : public std::enable_shared_from_this<MemberControlConnection<Wire>>
 {
 public:
-    using Handler = std::function<void(const ControlAnswer &answer)>;
+    using Handler = std::function<void(const ControlReply &answer)>;
 
-    MemberControl(boost::asio::io_context &loop, relay::MemberEntry member)
+    MemberControlConnection(boost::asio::io_context &loop, relay::MemberEntry member)
         : loop_(loop)
         , member_(std::move(member))
     {
@@ -42,33 +42,33 @@
     /// True while a connection stands or is being opened.
     [[nodiscard]] bool connected() const noexcept
     {
-        return link_ != nullptr;
+        return connection_ != nullptr;
     }
 
     /// Requests that are not answered yet.
     [[nodiscard]] std::size_t pending() const noexcept
     {
-        return waiting_.size();
+        return pending_.size();
     }
 
     /// Sends \a request; \a done is called once, within about the time that expire() allows.
-    void ask(relay::MemberRequest request, Handler done)
+    void send(relay::MemberRequest request, Handler done)
     {
-        waiting_.push_back({evloop::bootTimeNow(), std::move(done)});
-        if (!link_) {
+        pending_.push_back({evloop::bootTimeNow(), std::move(done)});
+        if (!connection_) {
             open();
         }
         if (open_) {
-            link_->send({request});
+            connection_->send({request});
         } else {
             unsent_.push_back(std::move(request));
         }
     }
 
     /// Gives up the connection when its oldest request has waited for \a patience.
-    void expire(TimePoint now, Milliseconds patience)
+    void expire(TimePoint now, Milliseconds timeout)
     {
-        if (!waiting_.empty() && now - waiting_.front().first >= patience) {
+        if (!pending_.empty() && now - pending_.front().first >= timeout) {
             close();
         }
     }
@@ -76,8 +76,8 @@
     /// Closes the connection; what waits is told that no answer came.
     void close()
     {
-        if (link_) {
-            std::exchange(link_, nullptr)->close();
+        if (connection_) {
+            std::exchange(connection_, nullptr)->close();
         }
         failAll(false);
     }
@@ -85,32 +85,32 @@
 private:
     void open()
     {
-        MemberLinkHandlers handlers;
+        MemberConnectionHandlers handlers;
         handlers.opened = [self = this->shared_from_this()](const std::optional<Mark> &) {
             self->open_ = true;
-            self->link_->send(std::exchange(self->unsent_, {}));
+            self->connection_->send(std::exchange(self->unsent_, {}));
         };
         handlers.replied = [self = this->shared_from_this()](const relay::MemberReply &reply) {
-            self->replied(reply);
+            self->onReply(reply);
         };
         handlers.closed = [self = this->shared_from_this()](std::optional<relay::MemberFault> refusal) {
-            self->link_ = nullptr;
+            self->connection_ = nullptr;
             // A member that refuses a connection because it has too many is alive.
             self->failAll(refusal == relay::MemberFault::TooManyConnections);
         };
-        link_ = std::make_shared<MemberLink<Wire>>(std::move(handlers));
-        link_->open(loop_, member_.address, member_.group, member_.name);
+        connection_ = std::make_shared<MemberConnection<Wire>>(std::move(handlers));
+        connection_->open(loop_, member_.address, member_.group, member_.name);
     }
 
-    void replied(const relay::MemberReply &reply)
+    void onReply(const relay::MemberReply &reply)
     {
-        if (waiting_.empty()) {
+        if (pending_.empty()) {
             close();
             return;
         }
-        const auto done = std::move(waiting_.front().second);
-        waiting_.pop_front();
-        ControlAnswer answer{true, std::nullopt};
+        const auto done = std::move(pending_.front().second);
+        pending_.pop_front();
+        ControlReply answer{true, std::nullopt};
         if (!reply.fault && !reply.rows.empty()) {
             answer.account = Wire::parseAccount(reply.rows.front());
         }
@@ -121,17 +121,17 @@
     {
         open_ = false;
         unsent_.clear();
-        for (auto &[since, done] : std::exchange(waiting_, {})) {
-            done(ControlAnswer{alive, std::nullopt});
+        for (auto &[since, done] : std::exchange(pending_, {})) {
+            done(ControlReply{alive, std::nullopt});
         }
     }
 
     boost::asio::io_context &loop_;
     relay::MemberEntry member_;
-    std::shared_ptr<MemberLink<Wire>> link_;
+    std::shared_ptr<MemberConnection<Wire>> connection_;
     bool open_ = false;
     std::vector<relay::MemberRequest> unsent_;
-    std::deque<std::pair<TimePoint, Handler>> waiting_;
+    std::deque<std::pair<TimePoint, Handler>> pending_;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/membercontrols.h
+++ b/src/gateway/membercontrolconnections.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "gateway/leadercontext.h"
-#include "gateway/membercontrol.h"
+#include "gateway/membercontrolconnection.h"
 
 #include <map>
 #include <memory>
@@ -13,18 +13,18 @@
 
 /// Opens, keeps and closes control connections.
 template<relay::WireCodec Wire, typename Store>
-class MemberControls
+class MemberControlConnections
 {
 public:
-    using Control = MemberControl<Wire>;
+    using Control = MemberControlConnection<Wire>;
 
-    explicit MemberControls(LeaderContext<Store> &context)
+    explicit MemberControlConnections(LeaderContext<Store> &context)
         : context_(context)
     {
     }
 
     /// Sends one request to \a member, with a term where it is not 0.
-    void ask(const relay::MemberEntry &member, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
+    void send(const relay::MemberEntry &member, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
     {
         auto &control = controls_[member.name];
         if (!control || control->member().address != member.address) {
@@ -36,15 +36,15 @@
         relay::MemberRequest request;
         request.verb = verb;
         request.text = term == 0 ? std::string() : std::to_string(term);
-        control->ask(std::move(request), std::move(done));
+        control->send(std::move(request), std::move(done));
     }
 
     /// Sends one request to the member named \a name; false when it is not known.
-    bool ask(const MemberName &name, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
+    bool send(const MemberName &name, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
     {
         const auto *member = context_.host.directory.find(name);
         if (member != nullptr) {
-            ask(*member, verb, term, std::move(done));
+            send(*member, verb, term, std::move(done));
         }
         return member != nullptr;
     }
@@ -58,24 +58,24 @@
     }
 
     /// Keeps a connection to each member, so that a move does not begin with opening them.
-    void keepOpen(TimePoint now)
+    void maintainConnections(TimePoint now)
     {
-        if (now - keptAt_ < context_.limits.probeInterval) {
+        if (now - maintainedAt_ < context_.limits.probeInterval) {
             return;
         }
-        keptAt_ = now;
+        maintainedAt_ = now;
         for (const auto &[name, member] : context_.host.directory.all()) {
             const auto control = controls_.find(name);
             if (control == controls_.end() || !control->second->connected()) {
-                ask(member, relay::MemberVerb::Status, 0, [](const ControlAnswer &) {});
+                send(member, relay::MemberVerb::Status, 0, [](const ControlReply &) {});
             }
         }
         std::erase_if(controls_, [this](const auto &control) {
-            const bool gone = context_.host.directory.find(control.first) == nullptr && control.second->pending() == 0;
-            if (gone) {
+            const bool removed = context_.host.directory.find(control.first) == nullptr && control.second->pending() == 0;
+            if (removed) {
                 control.second->close();
             }
-            return gone;
+            return removed;
         });
     }
 
@@ -90,7 +90,7 @@
 private:
     LeaderContext<Store> &context_;
     std::map<MemberName, std::shared_ptr<Control>> controls_;
-    TimePoint keptAt_;
+    TimePoint maintainedAt_;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/primarywatch.h
+++ b/src/gateway/primarywatch.h
@@ -4,7 +4,7 @@
 #include "evloop/clock.h"
 #include "fleet/messages.h"
 #include "gateway/leadercontext.h"
-#include "gateway/membercontrols.h"
+#include "gateway/membercontrolconnections.h"
 #include "gateway/sighting.h"
 #include "leadership/primaryfailuredetector.h"
 
@@ -18,7 +18,7 @@
 class PrimaryWatch
 {
 public:
-    PrimaryWatch(LeaderContext<Store> &context, MemberControls<Wire, Store> &controls)
+    PrimaryWatch(LeaderContext<Store> &context, MemberControlConnections<Wire, Store> &controls)
         : context_(context)
         , controls_(controls)
     {
@@ -48,12 +48,12 @@
         }
         watched.probedAt = now;
         const auto generation = record.generation;
-        controls_.ask(record.primary, relay::MemberVerb::Status, 0, [this, group = record.group, generation](const ControlAnswer &answer) {
+        controls_.send(record.primary, relay::MemberVerb::Status, 0, [this, group = record.group, generation](const ControlReply &reply) {
             const auto found = watched_.find(group);
-            if (!answer.answered || found == watched_.end() || found->second.generation != generation) {
+            if (!reply.answered || found == watched_.end() || found->second.generation != generation) {
                 return;
             }
-            found->second.suspicion.onProbeReply(!answer.account || answer.account->primary, evloop::bootTimeNow());
+            found->second.suspicion.onProbeReply(!reply.account || reply.account->primary, evloop::bootTimeNow());
         });
     }
 
@@ -96,7 +96,7 @@
     };
 
     LeaderContext<Store> &context_;
-    MemberControls<Wire, Store> &controls_;
+    MemberControlConnections<Wire, Store> &controls_;
     std::map<GroupName, Watched> watched_;
 };
 
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -4,10 +4,10 @@
 #include "base/hash.h"
 #include "evloop/clock.h"
 #include "evloop/httpserver.h"
-#include "gateway/callerlink.h"
+#include "gateway/callerconnection.h"
 #include "gateway/catalogfollower.h"
 #include "gateway/leadershell.h"
-#include "gateway/memberlink.h"
+#include "gateway/memberconnection.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/sessionplacement.h"
 #include "gateway/statuspage.h"
@@ -120,8 +120,8 @@
     }
 
 private:
-    using Caller = CallerLink<Wire>;
-    using Member = MemberLink<Wire>;
+    using Caller = CallerConnection<Wire>;
+    using Member = MemberConnection<Wire>;
 
     static std::uint64_t seedOf(const SessionSettings &settings)
     {
@@ -181,24 +181,24 @@
     }
 
     /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
-    void accept(boost::asio::ip::tcp::acceptor &acceptor, bool passedOn)
+    void accept(boost::asio::ip::tcp::acceptor &acceptor, bool fromProxy)
     {
-        acceptor.async_accept([this, &acceptor, passedOn](const boost::system::error_code &error, boost::asio::ip::tcp::socket socket) {
+        acceptor.async_accept([this, &acceptor, fromProxy](const boost::system::error_code &error, boost::asio::ip::tcp::socket socket) {
             if (error == boost::asio::error::operation_aborted) {
                 return;
             }
             if (!error) {
-                addCaller(std::move(socket), passedOn);
+                addCaller(std::move(socket), fromProxy);
             }
-            accept(acceptor, passedOn);
+            accept(acceptor, fromProxy);
         });
     }
 
-    void addCaller(boost::asio::ip::tcp::socket socket, bool passedOn)
+    void addCaller(boost::asio::ip::tcp::socket socket, bool fromProxy)
     {
         const auto key = nextCaller_++;
-        CallerLinkHandlers handlers;
-        if (!passedOn) {
+        CallerConnectionHandlers handlers;
+        if (!fromProxy) {
             handlers.forward = [this, key](const relay::DatabaseName &database) {
                 return placement_.targetOf(database, key);
             };
@@ -207,7 +207,7 @@
             log(LogLevel::Warning, "forward_failed", {{"proxy", proxy.text()}});
             placement_.failed(proxy);
         };
-        handlers.endedForTarget = [this](const Address &proxy) {
+        handlers.redirected = [this](const Address &proxy) {
             log(LogLevel::Info, "session_sent_on", {{"proxy", proxy.text()}});
             metrics_.sessionMoved("sent_on");
         };
@@ -292,41 +292,41 @@
         performing_ = true;
         for (auto actions = engine_.takeActions(); !actions.empty(); actions = engine_.takeActions()) {
             for (auto &action : actions) {
-                std::visit([this](auto &what) { carryOut(what); }, action);
+                std::visit([this](auto &what) { perform(what); }, action);
             }
         }
         performing_ = false;
         scheduleWake();
     }
 
-    void carryOut(relay::ReplyToCaller &action)
+    void perform(relay::ReplyToCaller &action)
     {
         const auto caller = callers_.find(action.caller);
         metrics_.answered(action);
         if (caller != callers_.end()) {
             // The reply may bring the caller's next statement, and with it the end of the session.
-            const auto link = caller->second;
-            link->reply(action.reply);
+            const auto connection = caller->second;
+            connection->reply(action.reply);
         }
     }
 
-    void carryOut(relay::CloseCaller &action)
+    void perform(relay::CloseCaller &action)
     {
         const auto caller = callers_.find(action.caller);
         if (caller == callers_.end()) {
             return;
         }
-        const auto link = caller->second;
+        const auto connection = caller->second;
         callers_.erase(caller);
-        link->close();
+        connection->close();
         engine_.callerClosed(action.caller, evloop::bootTimeNow());
         checkStopped();
     }
 
-    void carryOut(relay::OpenLink &action)
+    void perform(relay::OpenLink &action)
     {
         const auto key = action.link;
-        MemberLinkHandlers handlers;
+        MemberConnectionHandlers handlers;
         handlers.opened = [this, key](const std::optional<Mark> &position) {
             engine_.linkOpened(key, position, evloop::bootTimeNow());
             perform();
@@ -336,36 +336,36 @@
             perform();
         };
         handlers.closed = [this, key](std::optional<relay::MemberFault> refusal) {
-            memberLinks_.erase(key);
+            memberConnections_.erase(key);
             engine_.linkClosed(key, refusal, evloop::bootTimeNow());
             perform();
         };
-        const auto link = std::make_shared<Member>(std::move(handlers));
-        memberLinks_.emplace(key, link);
+        const auto connection = std::make_shared<Member>(std::move(handlers));
+        memberConnections_.emplace(key, connection);
         metrics_.memberConnectionOpened();
-        link->open(loop_, action.address, action.group, action.member);
+        connection->open(loop_, action.address, action.group, action.member);
     }
 
-    void carryOut(relay::SendToMember &action)
+    void perform(relay::SendToMember &action)
     {
-        const auto link = memberLinks_.find(action.link);
-        if (link != memberLinks_.end()) {
-            link->second->send(action.requests);
+        const auto connection = memberConnections_.find(action.link);
+        if (connection != memberConnections_.end()) {
+            connection->second->send(action.requests);
         }
     }
 
-    void carryOut(relay::CloseLink &action)
+    void perform(relay::CloseLink &action)
     {
-        const auto link = memberLinks_.find(action.link);
-        if (link == memberLinks_.end()) {
+        const auto connection = memberConnections_.find(action.link);
+        if (connection == memberConnections_.end()) {
             return;
         }
-        const auto closing = link->second;
-        memberLinks_.erase(link);
+        const auto closing = connection->second;
+        memberConnections_.erase(connection);
         closing->close();
     }
 
-    void carryOut(relay::LogDecision &action)
+    void perform(relay::LogDecision &action)
     {
         log(action.level, action.event, action.fields);
     }
@@ -373,16 +373,16 @@
     /// Ends the sessions that are passed on, each as it comes to rest.
     void endForwarded()
     {
-        std::vector<std::shared_ptr<Caller>> resting;
+        std::vector<std::shared_ptr<Caller>> idle;
         for (auto caller = callers_.begin(); caller != callers_.end();) {
-            if (caller->second->forwarded() && caller->second->endWhenResting()) {
-                resting.push_back(caller->second);
+            if (caller->second->forwarded() && caller->second->endWhenIdle()) {
+                idle.push_back(caller->second);
                 caller = callers_.erase(caller);
             } else {
                 ++caller;
             }
         }
-        for (const auto &caller : resting) {
+        for (const auto &caller : idle) {
             caller->close();
         }
     }
@@ -463,7 +463,7 @@
     std::shared_ptr<evloop::HttpServer> readiness_;
     std::shared_ptr<evloop::HttpServer> metricsServer_;
     std::unordered_map<relay::CallerKey, std::shared_ptr<Caller>> callers_;
-    std::unordered_map<relay::LinkKey, std::shared_ptr<Member>> memberLinks_;
+    std::unordered_map<relay::LinkKey, std::shared_ptr<Member>> memberConnections_;
     relay::CallerKey nextCaller_ = 1;
     boost::asio::steady_timer wakeTimer_;
     boost::asio::steady_timer logTimer_;
--- a/tests/platform/test_callerlink.cpp
+++ b/tests/platform/test_callerconnection.cpp
@@ -1,5 +1,5 @@
 // Tests of sessions that are passed on to another proxy, over loopback sockets.
-#include "gateway/callerlink.h"
+#include "gateway/callerconnection.h"
 #include "platform/lineprotocol.h"
 
 #include <criterion/criterion.h>
@@ -14,7 +14,7 @@
 
 constexpr Milliseconds statementTimeout{40};
 
-using Link = gateway::CallerLink<platform::LineProtocol>;
+using Connection = gateway::CallerConnection<platform::LineProtocol>;
 
 /// A caller's link whose sessions are passed on to a proxy that is played by the test.
 struct Forwarding {
@@ -28,7 +28,7 @@
         tcp::socket accepted(loop);
         callers.accept(accepted);
         const Address address{"127.0.0.1:" + std::to_string(proxy.local_endpoint().port())};
-        gateway::CallerLinkHandlers handlers;
+        gateway::CallerConnectionHandlers handlers;
         handlers.opened = [this](const relay::DatabaseName &) {
             ++openedHere;
             return Result<Success>(Success{});
@@ -48,11 +48,11 @@
         handlers.forwardFailed = [this](const Address &) {
             ++failures;
         };
-        handlers.endedForTarget = [this](const Address &) {
+        handlers.redirected = [this](const Address &) {
             ++sentOn;
         };
-        link = std::make_shared<Link>(loop, std::move(accepted), std::move(handlers));
-        link->start();
+        connection = std::make_shared<Connection>(loop, std::move(accepted), std::move(handlers));
+        connection->start();
     }
 
     /// Opens a session that the other proxy takes.
@@ -89,7 +89,7 @@
     int failures = 0;
     int sentOn = 0;
     bool reachable = true;
-    std::shared_ptr<Link> link;
+    std::shared_ptr<Connection> connection;
     std::optional<relay::CallerSession> adopted;
     std::vector<std::string> runHere;
 };
@@ -173,14 +173,14 @@
     (void)Forwarding::readLine(forwarding.caller);
     cr_assert(forwarding.openedHere == 1);
     relay::CallerReply reply;
-    forwarding.link->reply(reply);
+    forwarding.connection->reply(reply);
     cr_assert(forwarding.sentOn == 0, "nowhere to go yet");
     forwarding.reachable = true;
     reply.state = relay::SessionState::InTransaction;
-    forwarding.link->reply(reply);
+    forwarding.connection->reply(reply);
     cr_assert(forwarding.sentOn == 0, "not inside a transaction");
     reply.state = relay::SessionState::Idle;
-    forwarding.link->reply(reply);
+    forwarding.connection->reply(reply);
     cr_assert(forwarding.sentOn == 1);
 }
 
@@ -196,12 +196,12 @@
     forwarding.turn();
     forwarding.reachable = true;
     const relay::CallerReply reply;
-    forwarding.link->reply(reply);
+    forwarding.connection->reply(reply);
     cr_assert(forwarding.sentOn == 0, "its statement is on its way");
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY r1 READ a\r\n")));
     forwarding.turn();
     cr_assert(forwarding.runHere == (std::vector<std::string>{"s1", "r1"}));
-    forwarding.link->reply(reply);
+    forwarding.connection->reply(reply);
     cr_assert(forwarding.sentOn == 1);
 }
 
@@ -214,7 +214,7 @@
     (void)Forwarding::readLine(forwarding.upstream);
     asio::write(forwarding.upstream, asio::buffer(std::string("COMPLETE -\r\nREADY I -\r\n")));
     forwarding.turn();
-    cr_assert(!forwarding.link->endWhenResting(), "its statement is on its way");
+    cr_assert(!forwarding.connection->endWhenIdle(), "its statement is on its way");
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY r1 READ a\r\n")));
     forwarding.turn();
     cr_assert(Forwarding::readLine(forwarding.upstream) == "QUERY r1 READ a\r\n");
