--- a/src/gateway/catalogfollower.h
+++ b/src/gateway/catalogwatcher.h
@@ -3,7 +3,7 @@
 
 #include "base/hash.h"
 #include "evloop/clock.h"
-#include "gateway/follower.h"
+#include "gateway/storewatcher.h"
 #include "logging/log.h"
 #include "relay/directory.h"
 #include "relay/routebook.h"
@@ -30,11 +30,11 @@
     /// Longest wait of one watch for members. Watches may miss changes until the next call.
     Milliseconds memberWait{4000};
     /// Longest wait of both while other processes tell how new their catalogs are.
-    Milliseconds guardedWait{25'000};
+    Milliseconds peerNotifiedWait{25'000};
     /// Without word from others for this long, this process is on its own again.
-    Milliseconds guardedFor{1500};
+    Milliseconds peerNotifiedFor{1500};
     /// Pause after news from the store.
-    Milliseconds watchSettle{250};
+    Milliseconds watchSettleDelay{250};
     BackoffOptions watchBackoff{Milliseconds{60}, Milliseconds{800}};
 };
 
@@ -49,13 +49,13 @@
 
 /// Keeps the directory of members and reports configurations; \a Store is the platform's object store.
 template<typename Store>
-class CatalogFollower
+class CatalogWatcher
 {
 public:
-    CatalogFollower(boost::asio::io_context &loop,
-                    const SessionSettings &settings,
-                    relay::MemberDirectory &directory,
-                    CatalogHandlers handlers)
+    CatalogWatcher(boost::asio::io_context &loop,
+                   const SessionSettings &settings,
+                   relay::MemberDirectory &directory,
+                   CatalogHandlers handlers)
         : loop_(loop)
         , settings_(settings)
         , directory_(directory)
@@ -65,52 +65,53 @@
 
     void start()
     {
-        followConfiguration();
-        followMembers();
+        watchConfiguration();
+        watchMembers();
     }
 
     /// How new a catalog is known here or was told of.
-    [[nodiscard]] CatalogMarks marks() const
+    [[nodiscard]] CatalogMarks revisions() const
     {
-        CatalogMarks marks{configuration_->newest(), members_->newest()};
-        marks.raise(told_);
-        return marks;
+        CatalogMarks revisions{configuration_->newest(), members_->newest()};
+        revisions.raise(peerRevisions_);
+        return revisions;
     }
 
     /// Takes in how new a catalog another process knows; a watch that missed that is made anew.
-    void heardOf(const CatalogMarks &marks)
+    void onPeerRevisions(const CatalogMarks &revisions)
     {
         const auto now = evloop::bootTimeNow();
-        told_.raise(marks);
-        heardAt_ = now;
-        if (configuration_->heardOf(told_.configuration, now)) {
-            watchMissed("configuration", told_.configuration);
+        peerRevisions_.raise(revisions);
+        lastContactAt_ = now;
+        if (configuration_->onPeerRevision(peerRevisions_.configuration, now)) {
+            logMissedChange("configuration", peerRevisions_.configuration);
         }
-        if (members_->heardOf(told_.members, now)) {
-            watchMissed("members", told_.members);
+        if (members_->onPeerRevision(peerRevisions_.members, now)) {
+            logMissedChange("members", peerRevisions_.members);
         }
     }
 
     /// Does what is due: drops members whose removal is trusted by now, and chooses how long watches wait. Waits are long where others
     /// would tell of missed news; some processes watch \a often for all.
-    void tick(bool often)
+    void tick(bool shortWaits)
     {
         if (directory_.expire(evloop::bootTimeNow())) {
             handlers_.membersChanged();
         }
-        const bool guarded = !often && heardAt_ != TimePoint{} && evloop::bootTimeNow() - heardAt_ < limits_.guardedFor;
-        if (guarded == guarded_) {
+        const bool peerNotified =
+            !shortWaits && lastContactAt_ != TimePoint{} && evloop::bootTimeNow() - lastContactAt_ < limits_.peerNotifiedFor;
+        if (peerNotified == peerNotified_) {
             return;
         }
-        guarded_ = guarded;
-        configuration_->setWait(guarded ? limits_.guardedWait : configurationWait());
-        members_->setWait(guarded ? limits_.guardedWait : limits_.memberWait);
+        peerNotified_ = peerNotified;
+        configuration_->setWait(peerNotified ? limits_.peerNotifiedWait : configurationWait());
+        members_->setWait(peerNotified ? limits_.peerNotifiedWait : limits_.memberWait);
     }
 
     /// True once the members were listed.
-    [[nodiscard]] bool membersKnown() const noexcept
+    [[nodiscard]] bool membersListed() const noexcept
     {
-        return membersKnown_;
+        return membersListed_;
     }
 
 private:
@@ -119,7 +120,7 @@
         return std::min(limits_.configurationWait, settings_.configurationDeadline * 2 / 3);
     }
 
-    void watchMissed(std::string_view dependency, Revision newest)
+    void logMissedChange(std::string_view dependency, Revision newest)
     {
         handlers_.log(
             LogLevel::Warning, "watch_missed_news", {{"dependency", dependency}, {"newest", static_cast<std::int64_t>(newest.value)}});
@@ -130,39 +131,39 @@
         return {wait, limits_.watchBackoff};
     }
 
-    void followConfiguration()
+    void watchConfiguration()
     {
-        FollowerHandlers handlers;
+        StoreWatcherHandlers handlers;
         handlers.listed = [this](const StoreListing &listing) {
-            takeConfigurations(listing.objects);
+            applyConfigurations(listing.objects);
         };
         handlers.changed = [this](const StoreChanges &changes) {
-            takeConfigurations(changes.changes);
+            applyConfigurations(changes.changes);
         };
         handlers.failed = [this](const Error &error) {
             storeFailed("configuration", error);
         };
-        configuration_ = std::make_shared<Follower<Store>>(loop_,
-                                                           Store(loop_, settings_.store),
-                                                           ObjectKind{Store::configurationKind},
-                                                           watchOptions(configurationWait()),
-                                                           limits_.watchSettle,
-                                                           stableHash(settings_.instance.text()),
-                                                           std::move(handlers));
+        configuration_ = std::make_shared<StoreWatcher<Store>>(loop_,
+                                                               Store(loop_, settings_.store),
+                                                               ObjectKind{Store::configurationKind},
+                                                               watchOptions(configurationWait()),
+                                                               limits_.watchSettleDelay,
+                                                               stableHash(settings_.instance.text()),
+                                                               std::move(handlers));
         configuration_->step();
     }
 
-    void takeConfigurations(const std::vector<StoredObject> &objects)
+    void applyConfigurations(const std::vector<StoredObject> &objects)
     {
         for (const auto &object : objects) {
             if (object.name.text() == Store::configurationName && !object.deleted) {
-                takeConfiguration(object);
+                applyConfiguration(object);
             }
         }
         storeAnswered("configuration");
     }
 
-    void takeConfiguration(const StoredObject &object)
+    void applyConfiguration(const StoredObject &object)
     {
         const auto configuration = Store::decodeConfiguration(object);
         if (!configuration) {
@@ -172,9 +173,9 @@
         handlers_.configured(*configuration, object.version);
     }
 
-    void followMembers()
+    void watchMembers()
     {
-        FollowerHandlers handlers;
+        StoreWatcherHandlers handlers;
         handlers.listed = [this](const StoreListing &listing) {
             std::vector<relay::MemberEntry> entries;
             for (const auto &object : listing.objects) {
@@ -183,13 +184,13 @@
                 }
             }
             directory_.replaceAll(entries, evloop::bootTimeNow());
-            membersKnown_ = true;
+            membersListed_ = true;
             storeAnswered("members");
             handlers_.membersChanged();
         };
         handlers.changed = [this](const StoreChanges &changes) {
             for (const auto &object : changes.changes) {
-                takeMember(object);
+                applyMember(object);
             }
             storeAnswered("members");
             if (!changes.changes.empty()) {
@@ -200,22 +201,22 @@
             directory_.storeFailed(evloop::bootTimeNow());
             storeFailed("members", error);
         };
-        members_ = std::make_shared<Follower<Store>>(loop_,
-                                                     Store(loop_, settings_.store),
-                                                     ObjectKind{Store::memberKind},
-                                                     watchOptions(limits_.memberWait),
-                                                     limits_.watchSettle,
-                                                     stableHash(settings_.instance.text(), 1),
-                                                     std::move(handlers));
+        members_ = std::make_shared<StoreWatcher<Store>>(loop_,
+                                                         Store(loop_, settings_.store),
+                                                         ObjectKind{Store::memberKind},
+                                                         watchOptions(limits_.memberWait),
+                                                         limits_.watchSettleDelay,
+                                                         stableHash(settings_.instance.text(), 1),
+                                                         std::move(handlers));
         members_->step();
     }
 
-    void takeMember(const StoredObject &object)
+    void applyMember(const StoredObject &object)
     {
         const MemberName name{object.name.text()};
         const auto entry = object.deleted ? std::nullopt : Store::decodeMember(object);
         if (object.deleted) {
-            if (guarded_) {
+            if (peerNotified_) {
                 // A long watch does not show an outage, in which the entries of living members lapse.
                 directory_.storeFailed(evloop::bootTimeNow());
             }
@@ -259,14 +260,14 @@
     CatalogLimits limits_;
     relay::MemberDirectory &directory_;
     CatalogHandlers handlers_;
-    bool membersKnown_ = false;
+    bool membersListed_ = false;
     /// How new a catalog others told of, and when they last told.
-    CatalogMarks told_;
-    TimePoint heardAt_;
+    CatalogMarks peerRevisions_;
+    TimePoint lastContactAt_;
     /// Others would tell of news that this process' watches missed.
-    bool guarded_ = false;
-    std::shared_ptr<Follower<Store>> configuration_;
-    std::shared_ptr<Follower<Store>> members_;
+    bool peerNotified_ = false;
+    std::shared_ptr<StoreWatcher<Store>> configuration_;
+    std::shared_ptr<StoreWatcher<Store>> members_;
     std::unordered_map<std::string, bool> lostDependencies_;
 };
 
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershell.h
@@ -3,7 +3,6 @@
 
 #include "evloop/clock.h"
 #include "fleet/server.h"
-#include "gateway/follower.h"
 #include "gateway/groupmoves.h"
 #include "gateway/leadercontext.h"
 #include "gateway/leasekeeper.h"
@@ -11,6 +10,7 @@
 #include "gateway/primarywatch.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/proxyregistry.h"
+#include "gateway/storewatcher.h"
 #include "gateway/viewkeeper.h"
 #include "leadership/recordjson.h"
 
@@ -71,7 +71,7 @@
             return listening;
         }
         registry_.enroll();
-        follow();
+        watchFleet();
         lastTick_ = evloop::bootTimeNow();
         schedule();
         return Success{};
@@ -115,8 +115,8 @@
     {
         stopped_ = true;
         timer_.cancel();
-        if (follower_) {
-            follower_->stop();
+        if (storeWatcher_) {
+            storeWatcher_->stop();
         }
         server_->stop();
     }
@@ -130,9 +130,9 @@
 private:
     // The fleet's objects
 
-    void follow()
+    void watchFleet()
     {
-        FollowerHandlers handlers;
+        StoreWatcherHandlers handlers;
         handlers.listed = [this](const StoreListing &listing) {
             takeListing(listing, evloop::bootTimeNow());
         };
@@ -147,14 +147,14 @@
         };
         handlers.failed = [](const Error &) {
         };
-        follower_ = std::make_shared<Follower<Store>>(context_.loop,
-                                                      Store(context_.loop, context_.settings.store),
-                                                      leadership::fleetKind(),
-                                                      context_.limits.watch,
-                                                      context_.limits.watchSettle,
-                                                      context_.random(),
-                                                      std::move(handlers));
-        follower_->step();
+        storeWatcher_ = std::make_shared<StoreWatcher<Store>>(context_.loop,
+                                                              Store(context_.loop, context_.settings.store),
+                                                              leadership::fleetKind(),
+                                                              context_.limits.watch,
+                                                              context_.limits.watchSettle,
+                                                              context_.random(),
+                                                              std::move(handlers));
+        storeWatcher_->step();
     }
 
     void takeListing(const StoreListing &listing, TimePoint now)
@@ -356,7 +356,7 @@
     boost::asio::steady_timer timer_;
     TimePoint lastTick_;
     std::unique_ptr<fleet::FleetServer> server_;
-    std::shared_ptr<Follower<Store>> follower_;
+    std::shared_ptr<StoreWatcher<Store>> storeWatcher_;
     /// What the engine was told of each group.
     std::map<GroupName, relay::PrimaryBelief> told_;
     std::map<GroupName, TimePoint> bootstrapTried_;
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -5,7 +5,7 @@
 #include "evloop/clock.h"
 #include "evloop/httpserver.h"
 #include "gateway/callerconnection.h"
-#include "gateway/catalogfollower.h"
+#include "gateway/catalogwatcher.h"
 #include "gateway/leadershell.h"
 #include "gateway/memberconnection.h"
 #include "gateway/proxymetrics.h"
@@ -140,10 +140,10 @@
             placement_.setProxies(leadership_.sessionTargets());
         };
         const auto marks = [this] {
-            return catalog_.marks();
+            return catalog_.revisions();
         };
-        const auto marksHeard = [this](const CatalogMarks &heard) {
-            catalog_.heardOf(heard);
+        const auto marksHeard = [this](const CatalogMarks &revisions) {
+            catalog_.onPeerRevisions(revisions);
         };
         return LeaderHost{engine_, directory_, write, perform, proxiesChanged, marks, marksHeard};
     }
@@ -177,7 +177,7 @@
 
     [[nodiscard]] bool ready() const
     {
-        return !engine_.draining() && engine_.routes().known() && catalog_.membersKnown() && leadership_.viewCurrent(evloop::bootTimeNow());
+        return !engine_.draining() && engine_.routes().known() && catalog_.membersListed() && leadership_.viewCurrent(evloop::bootTimeNow());
     }
 
     /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
@@ -246,7 +246,7 @@
     {
         CatalogHandlers handlers;
         handlers.configured = [this](const relay::Configuration &configuration, Revision revision) {
-            takeConfiguration(configuration, revision);
+            applyConfiguration(configuration, revision);
         };
         handlers.membersChanged = [this] {
             membersChanged();
@@ -260,7 +260,7 @@
         return handlers;
     }
 
-    void takeConfiguration(const relay::Configuration &configuration, Revision revision)
+    void applyConfiguration(const relay::Configuration &configuration, Revision revision)
     {
         const auto before = engine_.routes().version();
         engine_.configure(configuration, evloop::bootTimeNow());
@@ -456,7 +456,7 @@
     relay::Engine engine_;
     relay::MemberDirectory directory_;
     SessionPlacement placement_;
-    CatalogFollower<Store> catalog_;
+    CatalogWatcher<Store> catalog_;
     LeaderShell<Wire, Store, Promoter> leadership_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::ip::tcp::acceptor sessionAcceptor_;
--- a/src/gateway/follower.h
+++ b/src/gateway/storewatcher.h
@@ -19,7 +19,7 @@
 namespace cardamomstep::gateway {
 
 /// What a follower reports.
-struct FollowerHandlers {
+struct StoreWatcherHandlers {
     std::function<void(const StoreListing &listing)> listed;
     std::function<void(const StoreChanges &changes)> changed;
     /// The store did not answer, or answered from an old state.
@@ -28,22 +28,22 @@
 
 /// Follows one kind; \a Store offers list(), watch() and abandon().
 template<typename Store>
-class Follower : public std::enable_shared_from_this<Follower<Store>>
+class StoreWatcher : public std::enable_shared_from_this<StoreWatcher<Store>>
 {
 public:
     /// After news, the next call waits for \a settle, so that changes in quick succession cost few calls.
-    Follower(boost::asio::io_context &loop,
-             Store store,
-             ObjectKind kind,
-             WatchResumeOptions options,
-             Milliseconds settle,
-             std::uint64_t seed,
-             FollowerHandlers handlers)
+    StoreWatcher(boost::asio::io_context &loop,
+                 Store store,
+                 ObjectKind kind,
+                 WatchResumeOptions options,
+                 Milliseconds settleDelay,
+                 std::uint64_t seed,
+                 StoreWatcherHandlers handlers)
         : timer_(loop)
         , store_(std::move(store))
         , kind_(std::move(kind))
         , resume_(options, seed)
-        , settle_(settle)
+        , settleDelay_(settleDelay)
         , handlers_(std::move(handlers))
         , wait_(options.wait)
     {
@@ -56,7 +56,7 @@
             return;
         }
         const auto now = evloop::bootTimeNow();
-        const auto next = resume_.next(complete_, now);
+        const auto next = resume_.next(completeUpTo_, now);
         const auto self = this->shared_from_this();
         if (std::holds_alternative<ListAll>(next)) {
             store_.list(kind_, listTimeout, [self](const Result<StoreListing> &listing) { self->onListing(listing); });
@@ -81,14 +81,14 @@
         wait_ = wait;
         resume_.setWait(wait);
         if (shorter) {
-            watchAnew();
+            restartWatch();
         }
     }
 
     /// Takes in that another process knows a change at \a newest; true when the watch was made anew because it missed that.
-    bool heardOf(Revision newest, TimePoint now)
+    bool onPeerRevision(Revision newest, TimePoint now)
     {
-        return missed_.told(newest, complete_, now) && watchAnew();
+        return missedChanges_.told(newest, completeUpTo_, now) && restartWatch();
     }
 
     void stop()
@@ -100,14 +100,14 @@
 private:
     static constexpr Milliseconds listTimeout{1000};
     /// A change that another process knows of arrives here within this time, or the watch is silent.
-    static constexpr Milliseconds newsGrace{500};
+    static constexpr Milliseconds changeGrace{500};
 
-    bool watchAnew()
+    bool restartWatch()
     {
         if (!watching_) {
             return false;
         }
-        replaced_ = true;
+        watchAbandoned_ = true;
         store_.abandon();
         return true;
     }
@@ -126,13 +126,13 @@
     {
         const auto now = evloop::bootTimeNow();
         if (!listing) {
-            fail(listing.error(), now);
+            onFailure(listing.error(), now);
             return;
         }
         // A listing starts over: nothing that was known before bounds its revision but what was taken over.
-        if (resume_.onListing(*listing, complete_, now) == StoreAnswer::Current) {
-            complete_ = listing->revision;
-            note(listing->objects);
+        if (resume_.onListing(*listing, completeUpTo_, now) == StoreAnswer::Current) {
+            completeUpTo_ = listing->revision;
+            updateNewest(listing->objects);
             handlers_.listed(*listing);
         }
         step();
@@ -142,34 +142,34 @@
     {
         const auto now = evloop::bootTimeNow();
         watching_ = false;
-        if (std::exchange(replaced_, false) && !changes) {
+        if (std::exchange(watchAbandoned_, false) && !changes) {
             step();
             return;
         }
         if (!changes) {
-            fail(changes.error(), now);
+            onFailure(changes.error(), now);
             return;
         }
-        if (resume_.onChanges(*changes, complete_, now) == StoreAnswer::Current) {
-            complete_ = changes->revision;
-            note(changes->changes);
+        if (resume_.onChanges(*changes, completeUpTo_, now) == StoreAnswer::Current) {
+            completeUpTo_ = changes->revision;
+            updateNewest(changes->changes);
             handlers_.changed(*changes);
         }
         if (changes->changes.empty()) {
             step();
         } else {
-            stepAfter(settle_);
+            stepAfter(settleDelay_);
         }
     }
 
-    void note(const std::vector<StoredObject> &objects)
+    void updateNewest(const std::vector<StoredObject> &objects)
     {
         for (const auto &object : objects) {
             newest_ = std::max(newest_, object.version);
         }
     }
 
-    void fail(const Error &error, TimePoint now)
+    void onFailure(const Error &error, TimePoint now)
     {
         resume_.onFailure(now);
         handlers_.failed(error);
@@ -180,17 +180,17 @@
     Store store_;
     ObjectKind kind_;
     WatchResume resume_;
-    Milliseconds settle_;
-    FollowerHandlers handlers_;
+    Milliseconds settleDelay_;
+    StoreWatcherHandlers handlers_;
     /// All changes up to here are known.
-    Revision complete_;
+    Revision completeUpTo_;
     Revision newest_;
-    MissedNews missed_{newsGrace};
+    MissedNews missedChanges_{changeGrace};
     Milliseconds wait_;
     /// A watch is under way.
     bool watching_ = false;
     /// It was given up to be made anew.
-    bool replaced_ = false;
+    bool watchAbandoned_ = false;
     bool stopped_ = false;
 };
 
