--- a/src/gateway/leadercontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -19,8 +19,8 @@
 namespace cardamomstep::gateway {
 
 /// Bounds of the leadership shell.
-struct LeaderShellLimits {
-    Milliseconds tick{50};
+struct LeadershipLimits {
+    Milliseconds tickInterval{50};
     /// Time between two renewals of this proxy's view.
     Milliseconds renewInterval{150};
     Milliseconds renewTimeout{250};
@@ -35,25 +35,25 @@
     unsigned leaseReadOdds{8};
     Milliseconds storeTimeout{900};
     /// A store that did not answer for this long is out of this process' reach.
-    Milliseconds storeSilence{2400};
+    Milliseconds storeSilenceTimeout{2400};
     Milliseconds announceTimeout{600};
     Milliseconds promoteTimeout{1000};
     /// A primary that was not heard of for this long is probed.
     Milliseconds probeAfter{150};
     /// Each primary is asked at least this often whether it leads.
     Milliseconds probeInterval{1000};
-    Milliseconds controlPatience{400};
+    Milliseconds controlTimeout{400};
     /// A process that started more recently may lack members whose entries lapsed in an outage of the store.
-    Milliseconds membersSettle{2500};
+    Milliseconds membersSettleTime{2500};
     /// A tick that comes this late means that this process stood still.
-    Milliseconds standstill{500};
+    Milliseconds processPauseThreshold{500};
     WatchResumeOptions watch{Milliseconds{25'000}, BackoffOptions{Milliseconds{100}, Milliseconds{1000}}};
     /// Pause after news of the fleet's objects; what is urgent is announced by the holder.
-    Milliseconds watchSettle{400};
+    Milliseconds watchSettleDelay{400};
 };
 
 /// What the shell needs of its process.
-struct LeaderHost {
+struct LeadershipHost {
     relay::Engine &engine;
     const relay::MemberDirectory &directory;
     std::function<void(LogLevel level, std::string_view event, const std::vector<LogField> &fields)> log;
@@ -62,35 +62,35 @@
     /// The registered proxies changed.
     std::function<void()> proxiesChanged;
     /// How new a catalog this process knows or was told of.
-    std::function<CatalogMarks()> marks;
+    std::function<CatalogMarks()> catalogRevisions;
     /// Another process told how new a catalog it knows.
-    std::function<void(const CatalogMarks &marks)> marksHeard;
+    std::function<void(const CatalogMarks &catalogRevisions)> onPeerRevisions;
 };
 
 /// Shared by the parts of one process' leadership, which all run on one event loop; outlives them.
 template<typename Store>
-struct LeaderContext {
+struct LeadershipContext {
     boost::asio::io_context &loop;
     SessionSettings settings;
-    LeaderHost host;
-    LeaderShellLimits limits;
+    LeadershipHost host;
+    LeadershipLimits limits;
     Store store;
     /// Reads that must not wait behind a write.
     Store renewStore;
     Random random;
     leadership::FleetLease lease;
-    leadership::PrimaryTable views;
-    leadership::RenewalTree tree;
+    leadership::PrimaryTable primaryTable;
+    leadership::RenewalTree renewalTree;
     fleet::FleetClient client;
     TimePoint startedAt;
     /// Last answer of the store to this process.
     TimePoint storeAnsweredAt;
     /// Takes in all objects of the fleet.
-    std::function<void(const StoreListing &listing, TimePoint now)> takeListing;
+    std::function<void(const StoreListing &listing, TimePoint now)> applyListing;
     /// Takes in one object of the fleet.
-    std::function<void(const StoredObject &object, TimePoint now)> takeObject;
+    std::function<void(const StoredObject &object, TimePoint now)> applyObject;
     /// Tells the engine what is believed of primaries now.
-    std::function<void(TimePoint now)> viewsChanged;
+    std::function<void(TimePoint now)> primaryTableChanged;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershipservice.h
@@ -3,15 +3,15 @@
 
 #include "evloop/clock.h"
 #include "fleet/server.h"
-#include "gateway/groupmoves.h"
-#include "gateway/leadercontext.h"
-#include "gateway/leasekeeper.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/leasemanager.h"
 #include "gateway/membercontrolconnections.h"
-#include "gateway/primarywatch.h"
+#include "gateway/primarychanges.h"
+#include "gateway/primarymonitor.h"
+#include "gateway/primarytablesync.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/proxyregistry.h"
 #include "gateway/storewatcher.h"
-#include "gateway/viewkeeper.h"
 #include "leadership/recordjson.h"
 
 #include <map>
@@ -25,10 +25,10 @@
 
 /// The leadership of one process; \a Store and \a Promoter are the platform's services.
 template<relay::WireCodec Wire, typename Store, typename Promoter>
-class LeaderShell
+class LeadershipService
 {
 public:
-    LeaderShell(boost::asio::io_context &loop, const SessionSettings &settings, std::uint64_t seed, const LeaderHost &host)
+    LeadershipService(boost::asio::io_context &loop, const SessionSettings &settings, std::uint64_t seed, const LeadershipHost &host)
         : context_{.loop = loop,
                    .settings = settings,
                    .host = host,
@@ -40,26 +40,26 @@
                    .startedAt = evloop::bootTimeNow()}
         , registry_(context_)
         , lease_(context_,
-                 {[this] { tookLease(); },
+                 {[this] { onLeaseAcquired(); },
                   [this] {
-                      lostLease();
+                      onLeaseLost();
                   }})
-        , views_(context_, lease_, registry_, {[this](const fleet::RenewRequest &request, TimePoint now) {
-                     watch_.sighted(request, now);
-                 }})
-        , controls_(context_)
-        , watch_(context_, controls_)
-        , moves_(context_, registry_, views_, controls_, watch_)
+        , primaryTableSync_(context_, lease_, registry_, {[this](const fleet::RenewRequest &request, TimePoint now) {
+                                monitor_.onObservations(request, now);
+                            }})
+        , controlConnections_(context_)
+        , monitor_(context_, controlConnections_)
+        , changes_(context_, registry_, primaryTableSync_, controlConnections_, monitor_)
         , timer_(loop)
     {
-        context_.takeListing = [this](const StoreListing &listing, TimePoint now) {
-            takeListing(listing, now);
+        context_.applyListing = [this](const StoreListing &listing, TimePoint now) {
+            applyListing(listing, now);
         };
-        context_.takeObject = [this](const StoredObject &object, TimePoint now) {
-            takeObject(object, now);
+        context_.applyObject = [this](const StoredObject &object, TimePoint now) {
+            applyObject(object, now);
         };
-        context_.viewsChanged = [this](TimePoint now) {
-            viewsChanged(now);
+        context_.primaryTableChanged = [this](TimePoint now) {
+            primaryTableChanged(now);
         };
     }
 
@@ -70,7 +70,7 @@
         if (!listening) {
             return listening;
         }
-        registry_.enroll();
+        registry_.registerSelf();
         watchFleet();
         lastTick_ = evloop::bootTimeNow();
         schedule();
@@ -78,15 +78,15 @@
     }
 
     /// True when this proxy may act on what it believes of primaries.
-    [[nodiscard]] bool viewCurrent(TimePoint now) const noexcept
+    [[nodiscard]] bool primaryTableCurrent(TimePoint now) const noexcept
     {
-        return now < context_.views.validUntil() + Milliseconds{500};
+        return now < context_.primaryTable.validUntil() + Milliseconds{500};
     }
 
     /// True when this proxy watches the catalog closely so that others need not.
     [[nodiscard]] bool watchesCatalogForOthers() const
     {
-        return context_.lease.holds(evloop::bootTimeNow()) || context_.tree.watchesCatalog(context_.settings.instance);
+        return context_.lease.holds(evloop::bootTimeNow()) || context_.renewalTree.watchesCatalog(context_.settings.instance);
     }
 
     /// What the metrics page shows.
@@ -94,7 +94,7 @@
     {
         return {context_.lease.holds(now),
                 context_.lease.holder(),
-                wholeMilliseconds(context_.views.validUntil() - now),
+                wholeMilliseconds(context_.primaryTable.validUntil() - now),
                 static_cast<std::uint32_t>(registry_.all().size())};
     }
 
@@ -124,7 +124,7 @@
     /// Takes in that the directory of members changed.
     void membersChanged()
     {
-        moves_.membersChanged();
+        changes_.membersChanged();
     }
 
 private:
@@ -134,16 +134,16 @@
     {
         StoreWatcherHandlers handlers;
         handlers.listed = [this](const StoreListing &listing) {
-            takeListing(listing, evloop::bootTimeNow());
+            applyListing(listing, evloop::bootTimeNow());
         };
         handlers.changed = [this](const StoreChanges &changes) {
             const auto now = evloop::bootTimeNow();
             context_.storeAnsweredAt = now;
             for (const auto &object : changes.changes) {
-                takeObject(object, now);
+                applyObject(object, now);
             }
             proxiesChanged();
-            viewsChanged(now);
+            primaryTableChanged(now);
         };
         handlers.failed = [](const Error &) {
         };
@@ -151,69 +151,70 @@
                                                               Store(context_.loop, context_.settings.store),
                                                               leadership::fleetKind(),
                                                               context_.limits.watch,
-                                                              context_.limits.watchSettle,
+                                                              context_.limits.watchSettleDelay,
                                                               context_.random(),
                                                               std::move(handlers));
         storeWatcher_->step();
     }
 
-    void takeListing(const StoreListing &listing, TimePoint now)
+    void applyListing(const StoreListing &listing, TimePoint now)
     {
         context_.storeAnsweredAt = now;
         registry_.clear();
         for (const auto &object : listing.objects) {
-            takeObject(object, now);
+            applyObject(object, now);
         }
-        listed_ = true;
+        fleetListed_ = true;
         proxiesChanged();
-        viewsChanged(now);
+        primaryTableChanged(now);
     }
 
     void proxiesChanged()
     {
-        context_.tree.setProxies(registry_.names());
+        context_.renewalTree.setProxies(registry_.names());
         context_.host.proxiesChanged();
     }
 
-    void takeObject(const StoredObject &object, TimePoint now)
+    void applyObject(const StoredObject &object, TimePoint now)
     {
         auto decoded = leadership::decodeFleetObject(object);
         if (const auto *lease = std::get_if<leadership::LeaseState>(&decoded)) {
-            lease_.observe(object.deleted ? std::nullopt : std::optional(*lease), now);
+            lease_.onStoredLease(object.deleted ? std::nullopt : std::optional(*lease), now);
         } else if (const auto *record = std::get_if<leadership::GroupRecord>(&decoded); record != nullptr && !object.deleted) {
-            context_.views.accept(*record);
+            context_.primaryTable.accept(*record);
         } else if (const auto *proxy = std::get_if<leadership::ProxyEntry>(&decoded)) {
-            takeProxy(*proxy, object, now);
+            applyProxy(*proxy, object, now);
         }
     }
 
-    void takeProxy(const leadership::ProxyEntry &proxy, const StoredObject &object, TimePoint now)
+    void applyProxy(const leadership::ProxyEntry &proxy, const StoredObject &object, TimePoint now)
     {
         if (object.deleted) {
             registry_.remove(proxy.instance);
-            views_.forget(proxy.instance);
+            primaryTableSync_.forget(proxy.instance);
         } else {
             registry_.put(proxy, object.version, now);
         }
     }
 
     /// Tells the engine what is believed now.
-    void viewsChanged(TimePoint now)
+    void primaryTableChanged(TimePoint now)
     {
-        for (const auto &record : context_.views.all()) {
-            const auto belief = context_.views.primaryOf(record.group);
-            auto &told = told_[record.group];
-            if (told.member != belief.member || told.generation != belief.generation || told.held != belief.held) {
+        for (const auto &record : context_.primaryTable.all()) {
+            const auto primary = context_.primaryTable.primaryOf(record.group);
+            auto &lastPublished = lastPublished_[record.group];
+            if (lastPublished.member != primary.member || lastPublished.generation != primary.generation
+                || lastPublished.held != primary.held) {
                 context_.host.log(LogLevel::Info,
                                   "primary",
                                   {{"group", record.group.text()},
-                                   {"member", belief.member.text()},
-                                   {"generation", static_cast<std::int64_t>(belief.generation)},
-                                   {"held", static_cast<std::int64_t>(belief.held ? 1 : 0)},
+                                   {"member", primary.member.text()},
+                                   {"generation", static_cast<std::int64_t>(primary.generation)},
+                                   {"held", static_cast<std::int64_t>(primary.held ? 1 : 0)},
                                    {"revision", static_cast<std::int64_t>(record.revision.value)}});
             }
-            told = belief;
-            context_.host.engine.setPrimary(record.group, belief, now);
+            lastPublished = primary;
+            context_.host.engine.setPrimary(record.group, primary, now);
         }
         context_.host.perform();
     }
@@ -222,7 +223,7 @@
 
     void schedule()
     {
-        timer_.expires_after(context_.limits.tick);
+        timer_.expires_after(context_.limits.tickInterval);
         timer_.async_wait([this](const boost::system::error_code &error) {
             if (error || stopped_) {
                 return;
@@ -234,25 +235,25 @@
 
     void tick(TimePoint now)
     {
-        if (now - lastTick_ >= context_.limits.standstill) {
-            const auto stood = wholeMilliseconds(now - lastTick_);
-            context_.host.log(LogLevel::Warning, "standstill", {{"ms", static_cast<std::int64_t>(stood.count())}});
-            watch_.restart(now);
+        if (now - lastTick_ >= context_.limits.processPauseThreshold) {
+            const auto paused = wholeMilliseconds(now - lastTick_);
+            context_.host.log(LogLevel::Warning, "standstill", {{"ms", static_cast<std::int64_t>(paused.count())}});
+            monitor_.restart(now);
         }
         lastTick_ = now;
         if (!leaving_) {
-            registry_.retry();
+            registry_.retryRegistration();
         }
-        controls_.expire(now);
-        lease_.keep(now);
+        controlConnections_.expire(now);
+        lease_.tick(now);
         const auto &lease = context_.lease;
         if (lease.holds(now)) {
             lead(now);
         } else {
-            views_.renew(now, listed_);
+            primaryTableSync_.renew(now, fleetListed_);
         }
         if (!lease.holds(now) || lease.needsRead()) {
-            lease_.read(now, listed_);
+            lease_.read(now, fleetListed_);
         }
     }
 
@@ -262,28 +263,32 @@
     {
         auto &loop = context_.loop;
         fleet::FleetHandlers handlers;
-        handlers.renew = [this, &loop](fleet::RenewRequest request, std::function<void(fleet::RenewReply)> answer) {
-            boost::asio::post(loop, [this, request = std::move(request), answer = std::move(answer)] { answer(views_.grant(request)); });
+        handlers.renew = [this, &loop](fleet::RenewRequest request, std::function<void(fleet::RenewReply)> sendReply) {
+            boost::asio::post(loop, [this, request = std::move(request), sendReply = std::move(sendReply)] {
+                sendReply(primaryTableSync_.grant(request));
+            });
         };
-        handlers.announce = [this, &loop](const fleet::Announcement &announcement, std::function<void(fleet::QuiesceReply)> answer) {
-            boost::asio::post(loop, [this, announcement, answer = std::move(answer)] { views_.takeAnnouncement(announcement, answer); });
+        handlers.announce = [this, &loop](const fleet::Announcement &announcement, std::function<void(fleet::QuiesceReply)> sendReply) {
+            boost::asio::post(loop, [this, announcement, sendReply = std::move(sendReply)] {
+                primaryTableSync_.onAnnouncement(announcement, sendReply);
+            });
         };
         return handlers;
     }
 
     // The holder's work
 
-    void tookLease()
+    void onLeaseAcquired()
     {
         registry_.restart(evloop::bootTimeNow());
-        watch_.clear();
-        moves_.clear();
+        monitor_.clear();
+        changes_.clear();
     }
 
-    void lostLease()
+    void onLeaseLost()
     {
-        moves_.clear();
-        controls_.closeAll();
+        changes_.clear();
+        controlConnections_.closeAll();
     }
 
     void lead(TimePoint now)
@@ -292,33 +297,33 @@
         if (!lease_.recordsCurrent() || now < lease.acquiredAt()) {
             return;
         }
-        auto &views = context_.views;
-        views.renew(views.all(), std::min(now, lease.validUntil() - leadership::primaryTableLease));
-        viewsChanged(now);
+        auto &primaryTable = context_.primaryTable;
+        primaryTable.renew(primaryTable.all(), std::min(now, lease.validUntil() - leadership::primaryTableLease));
+        primaryTableChanged(now);
         // Views that an earlier holder granted have ended by then.
-        const bool viewsEnded = now - std::max(lease.acquiredAt(), registry_.removedAt()) >= leadership::primaryTableLease;
-        const bool mayMove = viewsEnded && now - context_.startedAt >= context_.limits.membersSettle;
+        const bool tablesExpired = now - std::max(lease.acquiredAt(), registry_.removedAt()) >= leadership::primaryTableLease;
+        const bool mayChange = tablesExpired && now - context_.startedAt >= context_.limits.membersSettleTime;
         for (const auto &[group, config] : context_.host.engine.routes().groups()) {
-            const auto *record = views.find(group);
+            const auto *record = primaryTable.find(group);
             if (record == nullptr) {
                 bootstrap(group, now);
                 continue;
             }
-            watch_.watch(*record, now);
-            if (mayMove && !moves_.contains(group)) {
-                moves_.consider(*record, now);
+            monitor_.check(*record, now);
+            if (mayChange && !changes_.contains(group)) {
+                changes_.startIfNeeded(*record, now);
             }
         }
-        moves_.stepAll(now);
-        controls_.maintainConnections(now);
-        registry_.removeDead(now);
+        changes_.stepAll(now);
+        controlConnections_.maintainConnections(now);
+        registry_.removeExpired(now);
     }
 
     /// Records the primary of a group for the first time: the one member that registered as such. Nobody was ever promoted before.
     void bootstrap(const GroupName &group, TimePoint now)
     {
         auto &triedAt = bootstrapTried_[group];
-        if (now - triedAt < context_.limits.controlPatience) {
+        if (now - triedAt < context_.limits.controlTimeout) {
             return;
         }
         std::vector<MemberName> claimants;
@@ -337,7 +342,7 @@
         record.generation = 1;
         const auto done = [this](const Result<StoredObject> &created) {
             if (created) {
-                takeObject(*created, evloop::bootTimeNow());
+                applyObject(*created, evloop::bootTimeNow());
             } else {
                 // It may exist although the answer was lost.
                 lease_.readRecords();
@@ -346,22 +351,22 @@
         context_.store.create(leadership::recordKey(group), leadership::encode(record), context_.limits.storeTimeout, done);
     }
 
-    LeaderContext<Store> context_;
+    LeadershipContext<Store> context_;
     ProxyRegistry<Store> registry_;
-    LeaseKeeper<Store> lease_;
-    ViewKeeper<Store> views_;
-    MemberControlConnections<Wire, Store> controls_;
-    PrimaryWatch<Wire, Store> watch_;
-    GroupMoves<Wire, Store, Promoter> moves_;
+    LeaseManager<Store> lease_;
+    PrimaryTableSync<Store> primaryTableSync_;
+    MemberControlConnections<Wire, Store> controlConnections_;
+    PrimaryMonitor<Wire, Store> monitor_;
+    PrimaryChanges<Wire, Store, Promoter> changes_;
     boost::asio::steady_timer timer_;
     TimePoint lastTick_;
     std::unique_ptr<fleet::FleetServer> server_;
     std::shared_ptr<StoreWatcher<Store>> storeWatcher_;
     /// What the engine was told of each group.
-    std::map<GroupName, relay::PrimaryBelief> told_;
+    std::map<GroupName, relay::PrimaryBelief> lastPublished_;
     std::map<GroupName, TimePoint> bootstrapTried_;
     /// The fleet was listed at least once.
-    bool listed_ = false;
+    bool fleetListed_ = false;
     bool leaving_ = false;
     bool stopped_ = false;
 };
--- a/src/gateway/leasekeeper.h
+++ b/src/gateway/leasemanager.h
@@ -3,7 +3,7 @@
 
 #include "evloop/clock.h"
 #include "fleet/messages.h"
-#include "gateway/leadercontext.h"
+#include "gateway/leadershipcontext.h"
 #include "leadership/recordjson.h"
 
 #include <functional>
@@ -13,27 +13,27 @@
 
 /// Called when this process takes or loses the lease.
 struct LeaseHandlers {
-    std::function<void()> taken;
+    std::function<void()> acquired;
     std::function<void()> lost;
 };
 
 /// Carries out what the lease's decisions ask of the store.
 template<typename Store>
-class LeaseKeeper
+class LeaseManager
 {
 public:
-    LeaseKeeper(LeaderContext<Store> &context, LeaseHandlers handlers)
+    LeaseManager(LeadershipContext<Store> &context, LeaseHandlers handlers)
         : context_(context)
         , handlers_(std::move(handlers))
     {
     }
 
     /// Renews or tries to take the lease, when it is time to.
-    void keep(TimePoint now)
+    void tick(TimePoint now)
     {
         const bool wasHeld = std::exchange(heldAtTick_, context_.lease.holds(now));
         if (wasHeld && !heldAtTick_) {
-            lost();
+            onLost();
         }
         const auto write = context_.lease.next(now);
         if (!write) {
@@ -47,10 +47,10 @@
                 return;
             }
             context_.storeAnsweredAt = later;
-            const bool taken = !context_.lease.holds(later) || write.fencingToken == 0;
+            const bool acquired = !context_.lease.holds(later) || write.fencingToken == 0;
             context_.lease.written(stored->version, now, later);
-            if (taken) {
-                took();
+            if (acquired) {
+                onAcquired();
             }
         };
         if (write->expected.value == 0) {
@@ -61,11 +61,11 @@
     }
 
     /// Reads the stored lease, which few proxies need and only while no holder is heard of.
-    void read(TimePoint now, bool everListed)
+    void read(TimePoint now, bool fleetListed)
     {
-        const bool reads = context_.tree.readsStore(context_.settings.instance) || !everListed
+        const bool reads = context_.renewalTree.readsStore(context_.settings.instance) || !fleetListed
             || context_.random.below(context_.limits.leaseReadOdds) == 0;
-        const bool needed = context_.lease.needsRead() || now - heardAt_ >= context_.limits.leaseReadAfter;
+        const bool needed = context_.lease.needsRead() || now - lastContactAt_ >= context_.limits.leaseReadAfter;
         if (reading_ || !needed || now - readAt_ < context_.limits.leaseReadInterval) {
             return;
         }
@@ -85,13 +85,13 @@
                 context_.lease.onStoredLease(std::nullopt, later);
             }
             for (const auto &object : listing->objects) {
-                context_.takeObject(object, later);
+                context_.applyObject(object, later);
             }
         });
     }
 
     /// Takes in the lease as the store holds it; nothing when it holds none.
-    void observe(const std::optional<leadership::LeaseState> &lease, TimePoint now)
+    void onStoredLease(const std::optional<leadership::LeaseState> &lease, TimePoint now)
     {
         const bool held = context_.lease.holds(now);
         const auto before = context_.lease.holder();
@@ -104,33 +104,33 @@
                                {"fence", static_cast<std::int64_t>(lease->fencingToken)}});
         }
         if (held && !context_.lease.holds(now)) {
-            lost();
+            onLost();
         }
     }
 
     /// Notes the word of a proxy on the lease that it or its source holds.
-    void heard(const fleet::RenewReply &reply, TimePoint now)
+    void onRenewReply(const fleet::RenewReply &reply, TimePoint now)
     {
         context_.lease.onRelinquished(reply.relinquishedToken, now);
         context_.lease.onLeaseReport(reply.lease, now);
         const bool kept = reply.lease.remaining > Milliseconds{0} && reply.relinquishedToken != reply.lease.fencingToken;
         if (reply.granted && kept) {
-            heardAt_ = now;
+            lastContactAt_ = now;
         }
     }
 
     /// Gives the lease up where the store answers others but not this holder, which could order nothing.
-    void yieldIfCutOff(const fleet::RenewRequest &request, TimePoint now)
+    void relinquishIfIsolated(const fleet::RenewRequest &request, TimePoint now)
     {
-        const bool cutOff = now - context_.storeAnsweredAt >= context_.limits.storeSilence;
-        const bool answersSender = request.sinceStoreReply && *request.sinceStoreReply < context_.limits.storeSilence / 2;
-        if (!context_.lease.holds(now) || !cutOff || !answersSender) {
+        const bool isolated = now - context_.storeAnsweredAt >= context_.limits.storeSilenceTimeout;
+        const bool answersSender = request.sinceStoreReply && *request.sinceStoreReply < context_.limits.storeSilenceTimeout / 2;
+        if (!context_.lease.holds(now) || !isolated || !answersSender) {
             return;
         }
-        yieldedFence_ = context_.lease.relinquish(now);
+        relinquishedToken_ = context_.lease.relinquish(now);
         context_.host.log(LogLevel::Warning,
                           "lease_yielded",
-                          {{"fence", static_cast<std::int64_t>(yieldedFence_)}, {"store_answers", request.instance.text()}});
+                          {{"fence", static_cast<std::int64_t>(relinquishedToken_)}, {"store_answers", request.instance.text()}});
     }
 
     /// Gives the lease back. The entry in the store stays: an instance that stops most often starts again.
@@ -139,11 +139,11 @@
         const auto now = evloop::bootTimeNow();
         if (context_.lease.holds(now)) {
             const auto revision = context_.lease.revision();
-            yieldedFence_ = context_.lease.relinquish(now);
-            const auto released = leadership::encodeLease(InstanceName{}, yieldedFence_, 0);
+            relinquishedToken_ = context_.lease.relinquish(now);
+            const auto released = leadership::encodeLease(InstanceName{}, relinquishedToken_, 0);
             context_.store.replace(
                 leadership::leaseKey(), revision, released, context_.limits.storeTimeout, [](const Result<StoredObject> &) {});
-            context_.host.log(LogLevel::Info, "lease_returned", {{"fence", static_cast<std::int64_t>(yieldedFence_)}});
+            context_.host.log(LogLevel::Info, "lease_returned", {{"fence", static_cast<std::int64_t>(relinquishedToken_)}});
         }
         context_.lease.resign();
     }
@@ -155,54 +155,55 @@
     }
 
     /// Fencing token of the lease that this process gave up by word; 0 for none.
-    [[nodiscard]] std::uint64_t yieldedFence() const noexcept
+    [[nodiscard]] std::uint64_t relinquishedToken() const noexcept
     {
-        return yieldedFence_;
+        return relinquishedToken_;
     }
 
     /// Reads all records anew after the lease was taken.
     void readRecords()
     {
-        const auto fence = context_.lease.fencingToken();
-        context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, fence](const Result<StoreListing> &listing) {
-            const auto now = evloop::bootTimeNow();
-            if (!context_.lease.holds(now) || context_.lease.fencingToken() != fence) {
-                return;
-            }
-            if (!listing) {
-                readRecords();
-                return;
-            }
-            context_.takeListing(*listing, now);
-            recordsCurrent_ = true;
-        });
+        const auto fencingToken = context_.lease.fencingToken();
+        context_.renewStore.list(
+            leadership::fleetKind(), context_.limits.storeTimeout, [this, fencingToken](const Result<StoreListing> &listing) {
+                const auto now = evloop::bootTimeNow();
+                if (!context_.lease.holds(now) || context_.lease.fencingToken() != fencingToken) {
+                    return;
+                }
+                if (!listing) {
+                    readRecords();
+                    return;
+                }
+                context_.applyListing(*listing, now);
+                recordsCurrent_ = true;
+            });
     }
 
 private:
-    void took()
+    void onAcquired()
     {
         context_.host.log(LogLevel::Info, "lease_taken", {{"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
         recordsCurrent_ = false;
-        handlers_.taken();
+        handlers_.acquired();
         readRecords();
     }
 
-    void lost()
+    void onLost()
     {
         context_.host.log(LogLevel::Warning, "lease_lost", {{"holder", context_.lease.holder().text()}});
         recordsCurrent_ = false;
         handlers_.lost();
     }
 
-    LeaderContext<Store> &context_;
+    LeadershipContext<Store> &context_;
     LeaseHandlers handlers_;
     bool recordsCurrent_ = false;
     bool heldAtTick_ = false;
     /// Last word of a holder that keeps its lease.
-    TimePoint heardAt_;
+    TimePoint lastContactAt_;
     TimePoint readAt_;
     bool reading_ = false;
-    std::uint64_t yieldedFence_ = 0;
+    std::uint64_t relinquishedToken_ = 0;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/membercontrolconnections.h
+++ b/src/gateway/membercontrolconnections.h
@@ -1,7 +1,7 @@
 // The control connections of the lease's holder, one to each member.
 #pragma once
 
-#include "gateway/leadercontext.h"
+#include "gateway/leadershipcontext.h"
 #include "gateway/membercontrolconnection.h"
 
 #include <map>
@@ -18,7 +18,7 @@
 public:
     using Control = MemberControlConnection<Wire>;
 
-    explicit MemberControlConnections(LeaderContext<Store> &context)
+    explicit MemberControlConnections(LeadershipContext<Store> &context)
         : context_(context)
     {
     }
@@ -26,7 +26,7 @@
     /// Sends one request to \a member, with a term where it is not 0.
     void send(const relay::MemberEntry &member, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
     {
-        auto &control = controls_[member.name];
+        auto &control = controlConnections_[member.name];
         if (!control || control->member().address != member.address) {
             if (control) {
                 control->close();
@@ -52,8 +52,8 @@
     /// Gives up requests that were not answered in time.
     void expire(TimePoint now)
     {
-        for (auto &[member, control] : controls_) {
-            control->expire(now, context_.limits.controlPatience);
+        for (auto &[member, control] : controlConnections_) {
+            control->expire(now, context_.limits.controlTimeout);
         }
     }
 
@@ -65,12 +65,12 @@
         }
         maintainedAt_ = now;
         for (const auto &[name, member] : context_.host.directory.all()) {
-            const auto control = controls_.find(name);
-            if (control == controls_.end() || !control->second->connected()) {
+            const auto control = controlConnections_.find(name);
+            if (control == controlConnections_.end() || !control->second->connected()) {
                 send(member, relay::MemberVerb::Status, 0, [](const ControlReply &) {});
             }
         }
-        std::erase_if(controls_, [this](const auto &control) {
+        std::erase_if(controlConnections_, [this](const auto &control) {
             const bool removed = context_.host.directory.find(control.first) == nullptr && control.second->pending() == 0;
             if (removed) {
                 control.second->close();
@@ -81,15 +81,15 @@
 
     void closeAll()
     {
-        for (auto &[member, control] : controls_) {
+        for (auto &[member, control] : controlConnections_) {
             control->close();
         }
-        controls_.clear();
+        controlConnections_.clear();
     }
 
 private:
-    LeaderContext<Store> &context_;
-    std::map<MemberName, std::shared_ptr<Control>> controls_;
+    LeadershipContext<Store> &context_;
+    std::map<MemberName, std::shared_ptr<Control>> controlConnections_;
     TimePoint maintainedAt_;
 };
 
--- a/src/gateway/groupmoves.h
+++ b/src/gateway/primarychanges.h
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/leadercontext.h"
+#include "gateway/leadershipcontext.h"
 #include "gateway/membercontrolconnections.h"
-#include "gateway/primarywatch.h"
+#include "gateway/primarymonitor.h"
+#include "gateway/primarytablesync.h"
 #include "gateway/proxyregistry.h"
-#include "gateway/viewkeeper.h"
 #include "leadership/primarychange.h"
 #include "leadership/recordjson.h"
 
@@ -20,30 +20,30 @@
 
 /// The moves of all groups; \a Promoter is the platform's service for promotions.
 template<relay::WireCodec Wire, typename Store, typename Promoter>
-class GroupMoves
+class PrimaryChanges
 {
 public:
-    GroupMoves(LeaderContext<Store> &context,
-               ProxyRegistry<Store> &registry,
-               ViewKeeper<Store> &views,
-               MemberControlConnections<Wire, Store> &controls,
-               PrimaryWatch<Wire, Store> &watch)
+    PrimaryChanges(LeadershipContext<Store> &context,
+                   ProxyRegistry<Store> &registry,
+                   PrimaryTableSync<Store> &primaryTableSync,
+                   MemberControlConnections<Wire, Store> &controlConnections,
+                   PrimaryMonitor<Wire, Store> &monitor)
         : context_(context)
         , registry_(registry)
-        , views_(views)
-        , controls_(controls)
-        , watch_(watch)
+        , primaryTableSync_(primaryTableSync)
+        , controlConnections_(controlConnections)
+        , monitor_(monitor)
         , promoter_(context.loop, context.settings.promotions)
     {
     }
 
     [[nodiscard]] bool contains(const GroupName &group) const
     {
-        return moves_.contains(group);
+        return changes_.contains(group);
     }
 
     /// Begins a move of the group's leadership where there is a reason to.
-    void consider(const leadership::GroupRecord &record, TimePoint now)
+    void startIfNeeded(const leadership::GroupRecord &record, TimePoint now)
     {
         std::optional<leadership::PrimaryChangeReason> reason;
         const auto *member = context_.host.directory.find(record.primary);
@@ -52,7 +52,7 @@
         } else if (member != nullptr && member->draining && hasSuccessor(record)) {
             reason = leadership::PrimaryChangeReason::Leaving;
         } else {
-            reason = watch_.judge(record.group, now);
+            reason = monitor_.evaluate(record.group, now);
         }
         if (!reason) {
             return;
@@ -64,31 +64,31 @@
                            {"reason", leadership::toText(*reason)},
                            {"generation", static_cast<std::int64_t>(record.generation)},
                            {"fence", static_cast<std::int64_t>(context_.lease.fencingToken())}});
-        auto &move = moves_.emplace(record.group, leadership::PrimaryChange(record, *reason, now)).first->second;
-        move.onAcknowledged(views_.acknowledged(record.group));
-        move.setMembers(context_.host.directory.membersOf(record.group));
+        auto &change = changes_.emplace(record.group, leadership::PrimaryChange(record, *reason, now)).first->second;
+        change.onAcknowledged(primaryTableSync_.acknowledged(record.group));
+        change.setMembers(context_.host.directory.membersOf(record.group));
     }
 
     /// Goes on with all moves.
     void stepAll(TimePoint now)
     {
-        for (auto move = moves_.begin(); move != moves_.end();) {
-            step(move->first, move->second, now);
-            move = move->second.finished() ? moves_.erase(move) : std::next(move);
+        for (auto change = changes_.begin(); change != changes_.end();) {
+            step(change->first, change->second, now);
+            change = change->second.finished() ? changes_.erase(change) : std::next(change);
         }
     }
 
     /// Takes in that the directory of members changed.
     void membersChanged()
     {
-        for (auto &[group, move] : moves_) {
-            move.setMembers(context_.host.directory.membersOf(group));
+        for (auto &[group, change] : changes_) {
+            change.setMembers(context_.host.directory.membersOf(group));
         }
     }
 
     void clear()
     {
-        moves_.clear();
+        changes_.clear();
     }
 
 private:
@@ -99,31 +99,31 @@
             members.begin(), members.end(), [&record](const auto &member) { return member.name != record.primary && !member.draining; });
     }
 
-    void step(const GroupName &group, leadership::PrimaryChange &move, TimePoint now)
+    void step(const GroupName &group, leadership::PrimaryChange &change, TimePoint now)
     {
-        for (auto &action : move.next(now)) {
+        for (auto &action : change.next(now)) {
             std::visit([this, &group](const auto &what) { perform(group, what); }, action);
         }
     }
 
     /// The group's move, if it is still under way; answers of earlier ones are ignored.
-    leadership::PrimaryChange *moveOf(const GroupName &group)
+    leadership::PrimaryChange *changeOf(const GroupName &group)
     {
-        const auto found = moves_.find(group);
-        return found == moves_.end() ? nullptr : &found->second;
+        const auto found = changes_.find(group);
+        return found == changes_.end() ? nullptr : &found->second;
     }
 
     void stepSoon(const GroupName &group)
     {
         boost::asio::post(context_.loop, [this, group] {
             const auto now = evloop::bootTimeNow();
-            auto *move = moveOf(group);
-            if (move == nullptr || !context_.lease.holds(now)) {
+            auto *change = changeOf(group);
+            if (change == nullptr || !context_.lease.holds(now)) {
                 return;
             }
-            step(group, *move, now);
-            if (move->finished()) {
-                moves_.erase(group);
+            step(group, *change, now);
+            if (change->finished()) {
+                changes_.erase(group);
             }
         });
     }
@@ -150,12 +150,12 @@
         context_.renewStore.list(
             leadership::fleetKind(), context_.limits.storeTimeout, [this, group, wanted](const Result<StoreListing> &listing) {
                 const auto now = evloop::bootTimeNow();
-                auto *move = moveOf(group);
-                if (move == nullptr) {
+                auto *change = changeOf(group);
+                if (change == nullptr) {
                     return;
                 }
                 if (!listing) {
-                    move->recordFailed(false, now);
+                    change->recordFailed(false, now);
                     return;
                 }
                 for (const auto &object : listing->objects) {
@@ -170,10 +170,10 @@
                         recordStored(group, wanted, record->revision);
                         return;
                     }
-                    move->recordFailed(record->revision != wanted.revision, now);
+                    change->recordFailed(record->revision != wanted.revision, now);
                     return;
                 }
-                move->recordFailed(false, now);
+                change->recordFailed(false, now);
             });
     }
 
@@ -181,14 +181,14 @@
     {
         const auto now = evloop::bootTimeNow();
         record.revision = revision;
-        auto *move = moveOf(group);
-        if (move == nullptr) {
+        auto *change = changeOf(group);
+        if (change == nullptr) {
             return;
         }
-        move->recorded(revision, now);
-        context_.views.accept(record);
+        change->recorded(revision, now);
+        context_.primaryTable.accept(record);
         if (record.changeInProgress) {
-            context_.viewsChanged(now);
+            context_.primaryTableChanged(now);
             stepSoon(group);
             return;
         }
@@ -197,10 +197,10 @@
                           {{"group", group.text()},
                            {"primary", record.primary.text()},
                            {"generation", static_cast<std::int64_t>(record.generation)},
-                           {"took_ms", static_cast<std::int64_t>(wholeMilliseconds(now - move->startedAt()).count())}});
-        moves_.erase(group);
-        context_.views.renew({record}, std::min(now, context_.lease.validUntil() - leadership::primaryTableLease));
-        context_.viewsChanged(now);
+                           {"took_ms", static_cast<std::int64_t>(wholeMilliseconds(now - change->startedAt()).count())}});
+        changes_.erase(group);
+        context_.primaryTable.renew({record}, std::min(now, context_.lease.validUntil() - leadership::primaryTableLease));
+        context_.primaryTableChanged(now);
         for (const auto &[instance, proxy] : registry_.all()) {
             if (instance != context_.settings.instance) {
                 context_.client.announce(proxy.entry.address,
@@ -214,27 +214,27 @@
     void perform(const GroupName &group, const leadership::ListProxies &)
     {
         context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, group](const Result<StoreListing> &listing) {
-            auto *move = moveOf(group);
-            if (!listing || move == nullptr) {
+            auto *change = changeOf(group);
+            if (!listing || change == nullptr) {
                 return;
             }
             const auto now = evloop::bootTimeNow();
-            context_.takeListing(*listing, now);
-            move->proxiesListed(registry_.names(), now);
+            context_.applyListing(*listing, now);
+            change->proxiesListed(registry_.names(), now);
             stepSoon(group);
         });
     }
 
     void perform(const GroupName &group, const leadership::QuiesceProxy &action)
     {
-        const auto took = [this, group, proxy = action.proxy](const fleet::QuiesceReply &reply) {
-            if (auto *move = moveOf(group)) {
-                move->quiesced(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
+        const auto onQuiesced = [this, group, proxy = action.proxy](const fleet::QuiesceReply &reply) {
+            if (auto *change = changeOf(group)) {
+                change->quiesced(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
                 stepSoon(group);
             }
         };
         if (action.proxy == context_.settings.instance) {
-            views_.holdThenAnswer(action.record, evloop::bootTimeNow() + action.drainTimeout, took);
+            primaryTableSync_.quiesceThenReply(action.record, evloop::bootTimeNow() + action.drainTimeout, onQuiesced);
             return;
         }
         const auto *proxy = registry_.find(action.proxy);
@@ -244,10 +244,10 @@
         context_.client.announce(proxy->address,
                                  fleet::Announcement{action.record, action.drainTimeout},
                                  context_.limits.announceTimeout,
-                                 [this, took](Result<fleet::QuiesceReply> reply) {
-                                     boost::asio::post(context_.loop, [took, reply = std::move(reply)] {
+                                 [this, onQuiesced](Result<fleet::QuiesceReply> reply) {
+                                     boost::asio::post(context_.loop, [onQuiesced, reply = std::move(reply)] {
                                          if (reply) {
-                                             took(*reply);
+                                             onQuiesced(*reply);
                                          }
                                      });
                                  });
@@ -255,10 +255,10 @@
 
     void perform(const GroupName &group, const leadership::StopReplication &action)
     {
-        controls_.send(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlReply &reply) {
-            auto *move = moveOf(group);
-            if (move != nullptr && reply.account) {
-                move->replicationStopped({action.member, *reply.account}, action.term);
+        controlConnections_.send(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlReply &reply) {
+            auto *change = changeOf(group);
+            if (change != nullptr && reply.account) {
+                change->replicationStopped({action.member, *reply.account}, action.term);
                 stepSoon(group);
             }
         });
@@ -266,25 +266,26 @@
 
     void perform(const GroupName &group, const leadership::QueryMember &action)
     {
-        controls_.send(action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlReply &reply) {
-            auto *move = moveOf(group);
-            if (move != nullptr && reply.account) {
-                move->memberStatus({name, *reply.account});
-                stepSoon(group);
-            }
-        });
+        controlConnections_.send(
+            action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlReply &reply) {
+                auto *change = changeOf(group);
+                if (change != nullptr && reply.account) {
+                    change->memberStatus({name, *reply.account});
+                    stepSoon(group);
+                }
+            });
     }
 
     void perform(const GroupName &group, const leadership::PromoteMember &action)
     {
         const auto now = evloop::bootTimeNow();
-        auto *move = moveOf(group);
-        if (move == nullptr) {
+        auto *change = changeOf(group);
+        if (change == nullptr) {
             return;
         }
         // The call must end before another proxy can hold the lease.
         if (!context_.lease.holds(now + context_.limits.promoteTimeout)) {
-            move->promoted(action.member, false, false, now);
+            change->promoted(action.member, false, false, now);
             return;
         }
         context_.host.log(LogLevel::Info,
@@ -298,7 +299,7 @@
                           context_.lease.fencingToken(),
                           context_.limits.promoteTimeout,
                           [this, group, name = action.member](const Result<Success> &result) {
-                              auto *pending = moveOf(group);
+                              auto *pending = changeOf(group);
                               if (pending == nullptr) {
                                   return;
                               }
@@ -316,20 +317,20 @@
 
     void perform(const GroupName &, const leadership::DemoteMember &action)
     {
-        controls_.send(action.member, relay::MemberVerb::Demote, action.term, [](const ControlReply &) {});
+        controlConnections_.send(action.member, relay::MemberVerb::Demote, action.term, [](const ControlReply &) {});
     }
 
     void perform(const GroupName &, const leadership::ResumeReplication &action)
     {
-        controls_.send(action.member, relay::MemberVerb::Resume, 0, [](const ControlReply &) {});
+        controlConnections_.send(action.member, relay::MemberVerb::Resume, 0, [](const ControlReply &) {});
     }
-    LeaderContext<Store> &context_;
+    LeadershipContext<Store> &context_;
     ProxyRegistry<Store> &registry_;
-    ViewKeeper<Store> &views_;
-    MemberControlConnections<Wire, Store> &controls_;
-    PrimaryWatch<Wire, Store> &watch_;
+    PrimaryTableSync<Store> &primaryTableSync_;
+    MemberControlConnections<Wire, Store> &controlConnections_;
+    PrimaryMonitor<Wire, Store> &monitor_;
     Promoter promoter_;
-    std::map<GroupName, leadership::PrimaryChange> moves_;
+    std::map<GroupName, leadership::PrimaryChange> changes_;
 };
 
 } // namespace cardamomstep::gateway
--- a/src/gateway/sighting.h
+++ b/src/gateway/primaryobservation.h
@@ -9,19 +9,19 @@
 
 /// Answers, stalled writes and acknowledged positions of \a record's primary, as seen by \a engine.
 [[nodiscard]] inline leadership::PrimaryObservation
-sightingOf(const relay::Engine &engine, const leadership::GroupRecord &record, TimePoint now)
+observationOf(const relay::Engine &engine, const leadership::GroupRecord &record, TimePoint now)
 {
-    leadership::PrimaryObservation seen;
-    seen.group = record.group;
-    seen.generation = record.generation;
+    leadership::PrimaryObservation observation;
+    observation.group = record.group;
+    observation.generation = record.generation;
     const auto answered = engine.lastAnswer(record.group, record.primary);
     if (answered != TimePoint{}) {
-        seen.sinceAnswer = wholeMilliseconds(now - answered);
+        observation.sinceAnswer = wholeMilliseconds(now - answered);
     }
     if (const auto stalled = engine.writesStalledSince(record.group)) {
-        seen.writesStalledFor = wholeMilliseconds(now - *stalled);
+        observation.writesStalledFor = wholeMilliseconds(now - *stalled);
     }
-    seen.acknowledged = engine.acknowledged(record.group);
-    return seen;
+    observation.acknowledged = engine.acknowledged(record.group);
+    return observation;
 }
 } // namespace cardamomstep::gateway
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/primarytablesync.h
@@ -3,10 +3,10 @@
 
 #include "evloop/clock.h"
 #include "fleet/messages.h"
-#include "gateway/leadercontext.h"
-#include "gateway/leasekeeper.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/leasemanager.h"
+#include "gateway/primaryobservation.h"
 #include "gateway/proxyregistry.h"
-#include "gateway/sighting.h"
 #include "leadership/recordjson.h"
 
 #include <algorithm>
@@ -19,17 +19,20 @@
 namespace cardamomstep::gateway {
 
 /// What a view keeper reports.
-struct ViewHandlers {
+struct PrimaryTableSyncHandlers {
     /// A proxy told what it sees of primaries.
-    std::function<void(const fleet::RenewRequest &request, TimePoint now)> sighted;
+    std::function<void(const fleet::RenewRequest &request, TimePoint now)> onObservations;
 };
 
 /// Renews the view from the holder, a proxy that asks the holder, or the store; grants views to others.
 template<typename Store>
-class ViewKeeper
+class PrimaryTableSync
 {
 public:
-    ViewKeeper(LeaderContext<Store> &context, LeaseKeeper<Store> &lease, ProxyRegistry<Store> &registry, ViewHandlers handlers)
+    PrimaryTableSync(LeadershipContext<Store> &context,
+                     LeaseManager<Store> &lease,
+                     ProxyRegistry<Store> &registry,
+                     PrimaryTableSyncHandlers handlers)
         : context_(context)
         , lease_(lease)
         , registry_(registry)
@@ -38,16 +41,17 @@
     }
 
     /// Asks for a view where it is time to; the store is asked only once it has listed the fleet.
-    void renew(TimePoint now, bool everListed)
+    void renew(TimePoint now, bool fleetListed)
     {
-        if (!renewing_ && now - renewedAt_ >= context_.limits.renewInterval) {
-            askProxy(now);
+        if (!renewPending_ && now - renewedAt_ >= context_.limits.renewInterval) {
+            queryProxy(now);
         }
-        const auto patience =
-            context_.tree.readsStore(context_.settings.instance) ? context_.limits.readerRenewAfter : context_.limits.storeRenewAfter;
-        const bool old = now - context_.views.asOf() >= patience;
-        if (old && everListed && registry_.registered() && !storeRenewing_ && now - storeRenewedAt_ >= context_.limits.storeRenewInterval) {
-            askStore(now);
+        const auto renewAfter = context_.renewalTree.readsStore(context_.settings.instance) ? context_.limits.readerRenewAfter
+                                                                                            : context_.limits.storeRenewAfter;
+        const bool old = now - context_.primaryTable.asOf() >= renewAfter;
+        if (old && fleetListed && registry_.registered() && !storeRenewing_
+            && now - storeRenewedAt_ >= context_.limits.storeRenewInterval) {
+            queryStore(now);
         }
     }
 
@@ -55,152 +59,154 @@
     fleet::RenewReply grant(const fleet::RenewRequest &request)
     {
         const auto now = evloop::bootTimeNow();
-        lease_.yieldIfCutOff(request, now);
+        lease_.relinquishIfIsolated(request, now);
         fleet::RenewReply reply;
         reply.lease = context_.lease.report(now);
-        reply.relinquishedToken = lease_.yieldedFence();
-        clients_[request.instance] = now;
-        for (const auto &sighting : request.observations) {
-            auto &told = acknowledged_[sighting.group];
-            told = std::max(told, sighting.acknowledged);
-        }
-        context_.host.marksHeard(request.catalogRevisions);
-        reply.catalogRevisions = context_.host.marks();
-        handlers_.sighted(request, now);
+        reply.relinquishedToken = lease_.relinquishedToken();
+        downstreamProxies_[request.instance] = now;
+        for (const auto &observation : request.observations) {
+            auto &reported = acknowledged_[observation.group];
+            reported = std::max(reported, observation.acknowledged);
+        }
+        context_.host.onPeerRevisions(request.catalogRevisions);
+        reply.catalogRevisions = context_.host.catalogRevisions();
+        handlers_.onObservations(request, now);
         if (!context_.lease.holds(now)) {
             // A view is passed on with its age, so it ends for the asker when it ends here.
             // Moves wait for the views of registered proxies only.
             reply.granted =
-                now - context_.views.asOf() < leadership::primaryTableLease * 3 / 4 && registry_.find(request.instance) != nullptr;
-            reply.age = std::chrono::ceil<Milliseconds>(now - context_.views.asOf());
-            reply.records = context_.views.current();
+                now - context_.primaryTable.asOf() < leadership::primaryTableLease * 3 / 4 && registry_.find(request.instance) != nullptr;
+            reply.age = std::chrono::ceil<Milliseconds>(now - context_.primaryTable.asOf());
+            reply.records = context_.primaryTable.current();
             return reply;
         }
         // The view that is granted must end before another proxy can take the lease.
         reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && lease_.recordsCurrent()
             && registry_.find(request.instance) != nullptr;
         reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
-        registry_.heard(request.instance, now);
+        registry_.onContact(request.instance, now);
         for (const auto &client : request.downstreamProxies) {
-            registry_.heard(client, now);
+            registry_.onContact(client, now);
         }
-        reply.records = context_.views.all();
+        reply.records = context_.primaryTable.all();
         return reply;
     }
 
     /// Takes in a record that the holder announces; \a answer is called once the announcement is heeded.
-    void takeAnnouncement(const fleet::Announcement &announcement, const std::function<void(fleet::QuiesceReply)> &answer)
+    void onAnnouncement(const fleet::Announcement &announcement, const std::function<void(fleet::QuiesceReply)> &sendReply)
     {
-        context_.views.accept(announcement.record);
-        context_.viewsChanged(evloop::bootTimeNow());
-        holdThenAnswer(announcement.record, evloop::bootTimeNow() + announcement.drainTimeout, answer);
+        context_.primaryTable.accept(announcement.record);
+        context_.primaryTableChanged(evloop::bootTimeNow());
+        quiesceThenReply(announcement.record, evloop::bootTimeNow() + announcement.drainTimeout, sendReply);
     }
 
     /// Answers once nothing with lasting effects is in flight at the group's primary, at the latest at \a until.
-    void holdThenAnswer(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::QuiesceReply)> &answer)
+    void quiesceThenReply(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::QuiesceReply)> &sendReply)
     {
         constexpr Milliseconds step{10};
         const auto now = evloop::bootTimeNow();
         if (record.changeInProgress && now < until && context_.host.engine.lastingInFlight(record.group) > 0) {
             const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop, step);
             timer->async_wait(
-                [this, record, until, answer, timer](const boost::system::error_code &) { holdThenAnswer(record, until, answer); });
+                [this, record, until, sendReply, timer](const boost::system::error_code &) { quiesceThenReply(record, until, sendReply); });
             return;
         }
         if (record.changeInProgress) {
             context_.host.engine.seal(record.group, now);
             context_.host.perform();
         }
-        answer(fleet::QuiesceReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
+        sendReply(fleet::QuiesceReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
     }
 
     /// Highest position in \a group that this process acknowledged, or that others told here that they did.
     [[nodiscard]] Mark acknowledged(const GroupName &group) const
     {
-        const auto told = acknowledged_.find(group);
+        const auto reported = acknowledged_.find(group);
         const auto own = context_.host.engine.acknowledged(group);
-        return told == acknowledged_.end() ? own : std::max(own, told->second);
+        return reported == acknowledged_.end() ? own : std::max(own, reported->second);
     }
 
     /// Forgets a proxy that is not registered any more.
     void forget(const InstanceName &proxy)
     {
-        clients_.erase(proxy);
+        downstreamProxies_.erase(proxy);
     }
 
 private:
     /// Calls to a proxy that fail in a row before its connection is made anew.
-    static constexpr unsigned failuresToForget = 2;
+    static constexpr unsigned maxRenewFailures = 2;
     /// A proxy that did not ask here for this long is not spoken for.
-    static constexpr Milliseconds clientLife{3000};
+    static constexpr Milliseconds downstreamTimeout{3000};
 
     /// Asks the holder, or a proxy that asks it, for its view.
-    void askProxy(TimePoint now)
+    void queryProxy(TimePoint now)
     {
-        const auto *source = registry_.find(context_.tree.source(context_.settings.instance, context_.lease.holder(), renewAttempt_));
+        const auto *source =
+            registry_.find(context_.renewalTree.source(context_.settings.instance, context_.lease.holder(), renewAttempt_));
         if (source == nullptr) {
             ++renewAttempt_;
             return;
         }
-        renewing_ = true;
+        renewPending_ = true;
         renewedAt_ = now;
         const auto address = source->address;
         context_.client.renew(address, request(now), context_.limits.renewTimeout, [this, now, address](Result<fleet::RenewReply> reply) {
             boost::asio::post(context_.loop, [this, now, address, reply = std::move(reply)] {
-                renewing_ = false;
-                takeRenewal(now, address, reply);
+                renewPending_ = false;
+                onRenewReply(now, address, reply);
             });
         });
     }
 
     fleet::RenewRequest request(TimePoint now)
     {
-        fleet::RenewRequest asked;
-        asked.instance = context_.settings.instance;
+        fleet::RenewRequest renewRequest;
+        renewRequest.instance = context_.settings.instance;
         if (context_.storeAnsweredAt != TimePoint{}) {
-            asked.sinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
+            renewRequest.sinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
         }
-        asked.catalogRevisions = context_.host.marks();
-        for (const auto &[instance, heardAt] : clients_) {
-            if (now - heardAt <= clientLife) {
-                asked.downstreamProxies.push_back(instance);
+        renewRequest.catalogRevisions = context_.host.catalogRevisions();
+        for (const auto &[instance, lastContactAt] : downstreamProxies_) {
+            if (now - lastContactAt <= downstreamTimeout) {
+                renewRequest.downstreamProxies.push_back(instance);
             }
         }
-        for (const auto &record : context_.views.all()) {
-            asked.observations.push_back(sightingOf(context_.host.engine, record, now));
-            asked.observations.back().acknowledged = acknowledged(record.group);
+        for (const auto &record : context_.primaryTable.all()) {
+            renewRequest.observations.push_back(observationOf(context_.host.engine, record, now));
+            renewRequest.observations.back().acknowledged = acknowledged(record.group);
         }
-        return asked;
+        return renewRequest;
     }
 
-    void takeRenewal(TimePoint askedAt, const Address &address, const Result<fleet::RenewReply> &reply)
+    void onRenewReply(TimePoint requestedAt, const Address &address, const Result<fleet::RenewReply> &reply)
     {
         const auto now = evloop::bootTimeNow();
         if (!reply) {
             ++renewAttempt_;
-            if (++renewFailures_[address] >= failuresToForget) {
+            if (++renewFailures_[address] >= maxRenewFailures) {
                 context_.client.forget(address);
                 renewFailures_.erase(address);
             }
             return;
         }
         renewFailures_.erase(address);
-        context_.host.marksHeard(reply->catalogRevisions);
-        lease_.heard(*reply, now);
+        context_.host.onPeerRevisions(reply->catalogRevisions);
+        lease_.onRenewReply(*reply, now);
         if (!reply->granted) {
             ++renewAttempt_;
             return;
         }
         renewAttempt_ = 0;
-        context_.views.renew(reply->records, askedAt - reply->age);
-        context_.viewsChanged(now);
+        context_.primaryTable.renew(reply->records, requestedAt - reply->age);
+        context_.primaryTableChanged(now);
         // A holder that the store does not answer yields to one that it does; so this process finds out whether it does.
-        if (reply->leaseHolderSinceStoreReply && *reply->leaseHolderSinceStoreReply >= context_.limits.storeSilence && !storeRenewing_) {
-            askStore(now);
+        if (reply->leaseHolderSinceStoreReply && *reply->leaseHolderSinceStoreReply >= context_.limits.storeSilenceTimeout
+            && !storeRenewing_) {
+            queryStore(now);
         }
     }
 
-    void askStore(TimePoint now)
+    void queryStore(TimePoint now)
     {
         storeRenewing_ = true;
         storeRenewedAt_ = now;
@@ -209,12 +215,12 @@
             if (!listing) {
                 return;
             }
-            takeStoredView(*listing, now);
+            applyStoredTable(*listing, now);
         });
     }
 
     /// Takes the view that the store held at \a askedAt; only a registered proxy is waited for by moves, so only it may use one.
-    void takeStoredView(const StoreListing &listing, TimePoint askedAt)
+    void applyStoredTable(const StoreListing &listing, TimePoint requestedAt)
     {
         bool registered = false;
         std::vector<leadership::GroupRecord> records;
@@ -227,25 +233,25 @@
             }
         }
         if (registered) {
-            context_.views.renew(records, askedAt);
+            context_.primaryTable.renew(records, requestedAt);
         } else {
-            registry_.missed();
+            registry_.onEntryMissing();
         }
-        context_.takeListing(listing, evloop::bootTimeNow());
+        context_.applyListing(listing, evloop::bootTimeNow());
     }
 
-    LeaderContext<Store> &context_;
-    LeaseKeeper<Store> &lease_;
+    LeadershipContext<Store> &context_;
+    LeaseManager<Store> &lease_;
     ProxyRegistry<Store> &registry_;
-    ViewHandlers handlers_;
-    bool renewing_ = false;
+    PrimaryTableSyncHandlers handlers_;
+    bool renewPending_ = false;
     TimePoint renewedAt_;
     /// Renewals in a row that failed, by proxy.
     std::map<Address, unsigned> renewFailures_;
     /// Renewals in a row that brought no view.
     std::size_t renewAttempt_ = 0;
     /// Proxies that renew their views here, and when they last did.
-    std::map<InstanceName, TimePoint> clients_;
+    std::map<InstanceName, TimePoint> downstreamProxies_;
     /// What others told here that they acknowledged to callers.
     std::map<GroupName, Mark> acknowledged_;
     bool storeRenewing_ = false;
--- a/src/gateway/proxymetrics.h
+++ b/src/gateway/proxymetrics.h
@@ -17,7 +17,7 @@
     /// Empty while no holder is known.
     InstanceName leaseHolder;
     /// Time for which the view of primaries is still good; negative when it has ended.
-    Milliseconds viewLeft{0};
+    Milliseconds primaryTableTimeLeft{0};
     std::uint32_t proxies = 0;
 };
 
@@ -57,7 +57,7 @@
         metrics_.set("sessions", static_cast<double>(engine.callers()));
         metrics_.set("configuration_version", static_cast<double>(engine.routes().version()));
         metrics_.set("lease_held", leadership.holdsLease ? 1 : 0);
-        metrics_.set("view_left_ms", static_cast<double>(leadership.viewLeft.count()));
+        metrics_.set("view_left_ms", static_cast<double>(leadership.primaryTableTimeLeft.count()));
         metrics_.set("proxies_registered", static_cast<double>(leadership.proxies));
         metrics_.set("log_lines_dropped", static_cast<double>(droppedLines));
         for (const auto &group : engine.status()) {
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/leadercontext.h"
+#include "gateway/leadershipcontext.h"
 #include "leadership/proxyliveness.h"
 #include "leadership/recordjson.h"
 #include "membership/rendezvous.h"
@@ -23,12 +23,12 @@
 class ProxyRegistry
 {
 public:
-    explicit ProxyRegistry(LeaderContext<Store> &context)
+    explicit ProxyRegistry(LeadershipContext<Store> &context)
         : context_(context)
     {
     }
 
-    void enroll()
+    void registerSelf()
     {
         const auto value = leadership::encode(leadership::ProxyEntry{context_.settings.instance,
                                                                      context_.settings.listen.peers,
@@ -37,60 +37,60 @@
         const auto key = leadership::proxyKey(context_.settings.instance);
         context_.store.create(key, value, context_.limits.storeTimeout, [this, key, value](const Result<StoredObject> &created) {
             if (created) {
-                registered_ = created->version;
+                ownRevision_ = created->version;
                 return;
             }
             if (created.error().kind == ErrorKind::Conflict) {
                 // Left by an earlier process of this instance; its address may be another one.
                 context_.store.replace(key, Revision{}, value, context_.limits.storeTimeout, [this](const Result<StoredObject> &replaced) {
                     if (replaced) {
-                        registered_ = replaced->version;
+                        ownRevision_ = replaced->version;
                     } else {
-                        failed_ = true;
+                        registrationFailed_ = true;
                     }
                 });
                 return;
             }
-            failed_ = true;
+            registrationFailed_ = true;
         });
     }
 
     /// Registers again where the store refused or did not answer.
-    void retry()
+    void retryRegistration()
     {
-        if (std::exchange(failed_, false)) {
-            enroll();
+        if (std::exchange(registrationFailed_, false)) {
+            registerSelf();
         }
     }
 
     /// Takes in that the store holds no entry of this proxy, though it should.
-    void missed()
+    void onEntryMissing()
     {
         if (registered()) {
-            registered_ = Revision{};
-            failed_ = true;
+            ownRevision_ = Revision{};
+            registrationFailed_ = true;
             context_.host.log(LogLevel::Warning, "entry_missed", {});
         }
     }
 
     [[nodiscard]] bool registered() const noexcept
     {
-        return registered_.value != 0;
+        return ownRevision_.value != 0;
     }
 
     /// Takes in the entry of a proxy.
     void put(const leadership::ProxyEntry &entry, Revision revision, TimePoint now)
     {
         proxies_[entry.instance] = {entry, revision};
-        attendance_.onRegistered(entry.instance, now);
+        liveness_.onRegistered(entry.instance, now);
     }
 
     void remove(const InstanceName &instance)
     {
         proxies_.erase(instance);
-        attendance_.forget(instance);
+        liveness_.forget(instance);
         if (instance == context_.settings.instance) {
-            missed();
+            onEntryMissing();
         }
     }
 
@@ -132,25 +132,25 @@
     }
 
     /// Notes that \a instance renewed its view here or through a proxy that did.
-    void heard(const InstanceName &instance, TimePoint now)
+    void onContact(const InstanceName &instance, TimePoint now)
     {
-        attendance_.onContact(instance, now);
+        liveness_.onContact(instance, now);
     }
 
     /// Gives every proxy time to be heard of, when this process takes the lease.
     void restart(TimePoint now)
     {
-        attendance_.restart(now);
+        liveness_.restart(now);
     }
 
     /// Removes proxies from the store that are gone for good.
-    void removeDead(TimePoint now)
+    void removeExpired(TimePoint now)
     {
         for (const auto &[instance, proxy] : proxies_) {
-            if (instance == context_.settings.instance || !attendance_.isExpired(instance, now)) {
+            if (instance == context_.settings.instance || !liveness_.isExpired(instance, now)) {
                 continue;
             }
-            attendance_.onContact(instance, now);
+            liveness_.onContact(instance, now);
             removedAt_ = now;
             context_.store.remove(
                 leadership::proxyKey(instance), proxy.revision, context_.limits.storeTimeout, [](const Result<Success> &) {});
@@ -165,12 +165,12 @@
     }
 
 private:
-    LeaderContext<Store> &context_;
+    LeadershipContext<Store> &context_;
     std::map<InstanceName, RegisteredProxy> proxies_;
-    leadership::ProxyLiveness attendance_;
+    leadership::ProxyLiveness liveness_;
     /// Revision of this proxy's own entry; 0 until it is registered.
-    Revision registered_;
-    bool failed_ = false;
+    Revision ownRevision_;
+    bool registrationFailed_ = false;
     TimePoint removedAt_;
 };
 
--- a/src/gateway/sessionplacement.h
+++ b/src/gateway/sessionplacement.h
@@ -19,7 +19,7 @@
 {
 public:
     /// A proxy that could not be reached gets no sessions for this long.
-    static constexpr Milliseconds targetPause{3000};
+    static constexpr Milliseconds failedTargetBackoff{3000};
 
     /// \a self has no address where this proxy takes no sessions of others.
     SessionPlacement(relay::Engine &engine, LiveInstance self)
@@ -46,9 +46,9 @@
         });
         targets_ = InstanceSet(std::move(targets));
         for (const auto &[group, config] : engine_.routes().groups()) {
-            const auto holders = holdersOf(config);
-            const bool holds = !relay::forwardTo(targets_, holders, group, self_, 0);
-            engine_.setSharers(group, holds ? holders.sharers : 0);
+            const auto holders = poolPlacementOf(config);
+            const bool hasPool = !relay::forwardTo(targets_, holders, group, self_, 0);
+            engine_.setSharers(group, hasPool ? holders.sharers : 0);
         }
     }
 
@@ -64,18 +64,18 @@
         if (std::erase_if(failedTargets_, [now](const auto &failed) { return now >= failed.second; }) > 0) {
             place();
         }
-        const auto target = relay::forwardTo(targets_, holdersOf(*config), route->group, self_, caller);
+        const auto target = relay::forwardTo(targets_, poolPlacementOf(*config), route->group, self_, caller);
         return target ? std::optional(ForwardTarget{target->address, route->statementTimeout}) : std::nullopt;
     }
 
-    void failed(const Address &proxy)
+    void onTargetFailed(const Address &proxy)
     {
-        failedTargets_[proxy] = evloop::bootTimeNow() + targetPause;
+        failedTargets_[proxy] = evloop::bootTimeNow() + failedTargetBackoff;
         place();
     }
 
 private:
-    [[nodiscard]] relay::Holders holdersOf(const relay::GroupConfig &config) const
+    [[nodiscard]] relay::Holders poolPlacementOf(const relay::GroupConfig &config) const
     {
         const auto reserve = relay::EngineLimits{}.reservedConnections;
         const auto connections = config.memberConnections > reserve ? config.memberConnections - reserve : config.memberConnections;
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -6,7 +6,7 @@
 #include "evloop/httpserver.h"
 #include "gateway/callerconnection.h"
 #include "gateway/catalogwatcher.h"
-#include "gateway/leadershell.h"
+#include "gateway/leadershipservice.h"
 #include "gateway/memberconnection.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/sessionplacement.h"
@@ -32,7 +32,7 @@
     /// Time that a stopping proxy goes on taking new connections.
     Milliseconds acceptAfterStop{2500};
     /// Time after that for connections that were accepted last.
-    Milliseconds lastConnections{250};
+    Milliseconds lastConnectionsGrace{250};
 };
 
 /// One process on the platform; \a Wire is the line format, \a Store and \a Promoter the platform's services.
@@ -48,7 +48,7 @@
         , engine_(settings.failureDomain, seedOf(settings))
         , placement_(engine_, {settings.instance, settings.failureDomain, settings.listen.sessions})
         , catalog_(loop, settings_, directory_, catalogHandlers())
-        , leadership_(loop, settings, seedOf(settings), leaderHost())
+        , leadership_(loop, settings, seedOf(settings), leadershipHost())
         , acceptor_(loop)
         , sessionAcceptor_(loop)
         , wakeTimer_(loop)
@@ -128,7 +128,7 @@
         return stableHash(settings.instance.text(), static_cast<std::uint64_t>(evloop::bootTimeNow().time_since_epoch().count()));
     }
 
-    LeaderHost leaderHost()
+    LeadershipHost leadershipHost()
     {
         const auto write = [this](LogLevel level, std::string_view event, const std::vector<LogField> &fields) {
             log(level, event, fields);
@@ -139,13 +139,13 @@
         const auto proxiesChanged = [this] {
             placement_.setProxies(leadership_.sessionTargets());
         };
-        const auto marks = [this] {
+        const auto catalogRevisions = [this] {
             return catalog_.revisions();
         };
-        const auto marksHeard = [this](const CatalogMarks &revisions) {
+        const auto onPeerRevisions = [this](const CatalogMarks &revisions) {
             catalog_.onPeerRevisions(revisions);
         };
-        return LeaderHost{engine_, directory_, write, perform, proxiesChanged, marks, marksHeard};
+        return LeadershipHost{engine_, directory_, write, perform, proxiesChanged, catalogRevisions, onPeerRevisions};
     }
 
     void log(LogLevel level, std::string_view event, const std::vector<LogField> &fields)
@@ -177,7 +177,8 @@
 
     [[nodiscard]] bool ready() const
     {
-        return !engine_.draining() && engine_.routes().known() && catalog_.membersListed() && leadership_.viewCurrent(evloop::bootTimeNow());
+        return !engine_.draining() && engine_.routes().known() && catalog_.membersListed()
+            && leadership_.primaryTableCurrent(evloop::bootTimeNow());
     }
 
     /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
@@ -205,7 +206,7 @@
         }
         handlers.forwardFailed = [this](const Address &proxy) {
             log(LogLevel::Warning, "forward_failed", {{"proxy", proxy.text()}});
-            placement_.failed(proxy);
+            placement_.onTargetFailed(proxy);
         };
         handlers.redirected = [this](const Address &proxy) {
             log(LogLevel::Info, "session_sent_on", {{"proxy", proxy.text()}});
@@ -434,7 +435,7 @@
             sessionAcceptor_.close(ignored);
         }
         const bool outOfTime = since >= settings_.stopGrace * 9 / 10;
-        const bool done = callers_.empty() && since >= limits_.acceptAfterStop + limits_.lastConnections;
+        const bool done = callers_.empty() && since >= limits_.acceptAfterStop + limits_.lastConnectionsGrace;
         if (!done && !outOfTime) {
             return;
         }
@@ -457,7 +458,7 @@
     relay::MemberDirectory directory_;
     SessionPlacement placement_;
     CatalogWatcher<Store> catalog_;
-    LeaderShell<Wire, Store, Promoter> leadership_;
+    LeadershipService<Wire, Store, Promoter> leadership_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::ip::tcp::acceptor sessionAcceptor_;
     std::shared_ptr<evloop::HttpServer> readiness_;
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -38,7 +38,7 @@
                               {"draining", engine.draining()},
                               {"holdsLease", leadership.holdsLease},
                               {"leaseHolder", leadership.leaseHolder.text()},
-                              {"viewLeftMs", leadership.viewLeft.count()},
+                              {"viewLeftMs", leadership.primaryTableTimeLeft.count()},
                               {"proxies", leadership.proxies},
                               {"groups", groups}};
     return page.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n";
