--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -62,7 +62,7 @@
         auto &entry = *message.add_sightings();
         entry.set_group(observation.group.text());
         entry.set_generation(observation.generation);
-        entry.set_since_answer_ms(observation.sinceAnswer ? observation.sinceAnswer->count() : -1);
+        entry.set_since_answer_ms(observation.sinceLastReply ? observation.sinceLastReply->count() : -1);
         entry.set_writes_stalled_ms(observation.writesStalledFor.count());
         fill(*entry.mutable_acknowledged(), observation.acknowledged);
     }
@@ -85,7 +85,7 @@
         observation.group = GroupName{entry.group()};
         observation.generation = entry.generation();
         if (entry.since_answer_ms() >= 0) {
-            observation.sinceAnswer = Milliseconds{entry.since_answer_ms()};
+            observation.sinceLastReply = Milliseconds{entry.since_answer_ms()};
         }
         observation.writesStalledFor = Milliseconds{entry.writes_stalled_ms()};
         observation.acknowledged = positionOf(entry.acknowledged());
--- a/src/gateway/leadershipcontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -84,7 +84,7 @@
     fleet::FleetClient client;
     TimePoint startedAt;
     /// Last answer of the store to this process.
-    TimePoint storeAnsweredAt;
+    TimePoint lastStoreReplyAt;
     /// Takes in all objects of the fleet.
     std::function<void(const StoreListing &listing, TimePoint now)> applyListing;
     /// Takes in one object of the fleet.
--- a/src/gateway/leadershipservice.h
+++ b/src/gateway/leadershipservice.h
@@ -138,7 +138,7 @@
         };
         handlers.changed = [this](const StoreChanges &changes) {
             const auto now = evloop::bootTimeNow();
-            context_.storeAnsweredAt = now;
+            context_.lastStoreReplyAt = now;
             for (const auto &object : changes.changes) {
                 applyObject(object, now);
             }
@@ -159,7 +159,7 @@
 
     void applyListing(const StoreListing &listing, TimePoint now)
     {
-        context_.storeAnsweredAt = now;
+        context_.lastStoreReplyAt = now;
         registry_.clear();
         for (const auto &object : listing.objects) {
             applyObject(object, now);
@@ -248,7 +248,7 @@
         lease_.tick(now);
         const auto &lease = context_.lease;
         if (lease.holds(now)) {
-            lead(now);
+            runLeaseHolderDuties(now);
         } else {
             primaryTableSync_.renew(now, fleetListed_);
         }
@@ -291,7 +291,7 @@
         controlConnections_.closeAll();
     }
 
-    void lead(TimePoint now)
+    void runLeaseHolderDuties(TimePoint now)
     {
         const auto &lease = context_.lease;
         if (!lease_.recordsCurrent() || now < lease.acquiredAt()) {
--- a/src/gateway/leasemanager.h
+++ b/src/gateway/leasemanager.h
@@ -46,7 +46,7 @@
                 context_.lease.writeFailed(stored.error().kind == ErrorKind::Conflict, later);
                 return;
             }
-            context_.storeAnsweredAt = later;
+            context_.lastStoreReplyAt = later;
             const bool acquired = !context_.lease.holds(later) || write.fencingToken == 0;
             context_.lease.written(stored->version, now, later);
             if (acquired) {
@@ -80,7 +80,7 @@
                 return;
             }
             const auto later = evloop::bootTimeNow();
-            context_.storeAnsweredAt = later;
+            context_.lastStoreReplyAt = later;
             if (listing->objects.empty()) {
                 context_.lease.onStoredLease(std::nullopt, later);
             }
@@ -122,9 +122,9 @@
     /// Gives the lease up where the store answers others but not this holder, which could order nothing.
     void relinquishIfIsolated(const fleet::RenewRequest &request, TimePoint now)
     {
-        const bool isolated = now - context_.storeAnsweredAt >= context_.limits.storeSilenceTimeout;
-        const bool answersSender = request.sinceStoreReply && *request.sinceStoreReply < context_.limits.storeSilenceTimeout / 2;
-        if (!context_.lease.holds(now) || !isolated || !answersSender) {
+        const bool isolated = now - context_.lastStoreReplyAt >= context_.limits.storeSilenceTimeout;
+        const bool repliesToSender = request.sinceStoreReply && *request.sinceStoreReply < context_.limits.storeSilenceTimeout / 2;
+        if (!context_.lease.holds(now) || !isolated || !repliesToSender) {
             return;
         }
         relinquishedToken_ = context_.lease.relinquish(now);
--- a/src/gateway/membercontrolconnection.h
+++ b/src/gateway/membercontrolconnection.h
@@ -16,7 +16,7 @@
 /// What a member answered to an order or a question.
 struct ControlReply {
     /// False when no answer came in time.
-    bool answered = false;
+    bool received = false;
     /// Nothing when the member was too busy to tell.
     std::optional<relay::MemberAccount> account;
 };
--- a/src/gateway/primarymonitor.h
+++ b/src/gateway/primarymonitor.h
@@ -38,8 +38,8 @@
             monitored.failureDetector.onRegistered();
         }
         monitored.failureDetector.recordObservation(context_.settings.instance, observationOf(context_.host.engine, record, now), now);
-        const auto answered = context_.host.engine.lastAnswer(record.group, record.primary);
-        const bool silent = now - answered >= context_.limits.probeAfter && now - monitored.probedAt >= context_.limits.probeAfter;
+        const auto lastReplyAt = context_.host.engine.lastAnswer(record.group, record.primary);
+        const bool silent = now - lastReplyAt >= context_.limits.probeAfter && now - monitored.probedAt >= context_.limits.probeAfter;
         if (!silent && now - monitored.probedAt < context_.limits.probeInterval) {
             return;
         }
@@ -51,7 +51,7 @@
         controlConnections_.send(
             record.primary, relay::MemberVerb::Status, 0, [this, group = record.group, generation](const ControlReply &reply) {
                 const auto found = monitored_.find(group);
-                if (!reply.answered || found == monitored_.end() || found->second.generation != generation) {
+                if (!reply.received || found == monitored_.end() || found->second.generation != generation) {
                     return;
                 }
                 found->second.failureDetector.onProbeReply(!reply.account || reply.account->primary, evloop::bootTimeNow());
--- a/src/gateway/primaryobservation.h
+++ b/src/gateway/primaryobservation.h
@@ -14,9 +14,9 @@
     leadership::PrimaryObservation observation;
     observation.group = record.group;
     observation.generation = record.generation;
-    const auto answered = engine.lastAnswer(record.group, record.primary);
-    if (answered != TimePoint{}) {
-        observation.sinceAnswer = wholeMilliseconds(now - answered);
+    const auto lastReplyAt = engine.lastAnswer(record.group, record.primary);
+    if (lastReplyAt != TimePoint{}) {
+        observation.sinceLastReply = wholeMilliseconds(now - lastReplyAt);
     }
     if (const auto stalled = engine.writesStalledSince(record.group)) {
         observation.writesStalledFor = wholeMilliseconds(now - *stalled);
--- a/src/gateway/primarytablesync.h
+++ b/src/gateway/primarytablesync.h
@@ -83,7 +83,7 @@
         // The view that is granted must end before another proxy can take the lease.
         reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && lease_.recordsCurrent()
             && registry_.find(request.instance) != nullptr;
-        reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
+        reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.lastStoreReplyAt);
         registry_.onContact(request.instance, now);
         for (const auto &client : request.downstreamProxies) {
             registry_.onContact(client, now);
@@ -162,8 +162,8 @@
     {
         fleet::RenewRequest renewRequest;
         renewRequest.instance = context_.settings.instance;
-        if (context_.storeAnsweredAt != TimePoint{}) {
-            renewRequest.sinceStoreReply = wholeMilliseconds(now - context_.storeAnsweredAt);
+        if (context_.lastStoreReplyAt != TimePoint{}) {
+            renewRequest.sinceStoreReply = wholeMilliseconds(now - context_.lastStoreReplyAt);
         }
         renewRequest.catalogRevisions = context_.host.catalogRevisions();
         for (const auto &[instance, lastContactAt] : downstreamProxies_) {
--- a/src/leadership/primaryfailuredetector.cpp
+++ b/src/leadership/primaryfailuredetector.cpp
@@ -26,7 +26,7 @@
 {
     generation_ = generation;
     startedAt_ = now;
-    lastAnswer_ = now;
+    lastReplyAt_ = now;
     registered_ = false;
     observations_.clear();
     notLeadingSince_.reset();
@@ -39,11 +39,11 @@
     }
     auto &observed = observations_[proxy];
     observed.at = now;
-    observed.answeredAt.reset();
+    observed.repliedAt.reset();
     observed.stalledSince.reset();
-    if (observation.sinceAnswer) {
-        observed.answeredAt = now - *observation.sinceAnswer;
-        lastAnswer_ = std::max(lastAnswer_, *observed.answeredAt);
+    if (observation.sinceLastReply) {
+        observed.repliedAt = now - *observation.sinceLastReply;
+        lastReplyAt_ = std::max(lastReplyAt_, *observed.repliedAt);
     }
     if (observation.writesStalledFor.count() > 0) {
         observed.stalledSince = now - observation.writesStalledFor;
@@ -52,7 +52,7 @@
 
 void PrimaryFailureDetector::onProbeReply(bool leads, TimePoint now)
 {
-    lastAnswer_ = std::max(lastAnswer_, now);
+    lastReplyAt_ = std::max(lastReplyAt_, now);
     if (leads) {
         notLeadingSince_.reset();
     } else {
@@ -62,7 +62,7 @@
 
 std::optional<PrimaryChangeReason> PrimaryFailureDetector::evaluate(TimePoint now) const
 {
-    if (now - lastAnswer_ >= (registered_ ? limits_.silenceTimeout : limits_.unregisteredSilenceTimeout)) {
+    if (now - lastReplyAt_ >= (registered_ ? limits_.silenceTimeout : limits_.unregisteredSilenceTimeout)) {
         return PrimaryChangeReason::Silent;
     }
     if (notLeadingSince_ && now - *notLeadingSince_ >= limits_.notLeadingTimeout) {
--- a/src/leadership/primaryfailuredetector.h
+++ b/src/leadership/primaryfailuredetector.h
@@ -68,7 +68,7 @@
 private:
     struct Observation {
         TimePoint at;
-        std::optional<TimePoint> answeredAt;
+        std::optional<TimePoint> repliedAt;
         std::optional<TimePoint> stalledSince;
     };
 
@@ -76,7 +76,7 @@
     std::uint64_t generation_ = 0;
     TimePoint startedAt_;
     std::map<InstanceName, Observation> observations_;
-    TimePoint lastAnswer_;
+    TimePoint lastReplyAt_;
     /// The primary was registered at some time since restart().
     bool registered_ = false;
     std::optional<TimePoint> notLeadingSince_;
--- a/src/leadership/record.h
+++ b/src/leadership/record.h
@@ -35,7 +35,7 @@
     GroupName group;
     std::uint64_t generation = 0;
     /// Time since the primary last answered this proxy; nothing when it never did.
-    std::optional<Milliseconds> sinceAnswer;
+    std::optional<Milliseconds> sinceLastReply;
     /// Time since which writes have gone unanswered.
     Milliseconds writesStalledFor{0};
     /// Highest position that this proxy acknowledged to a caller, or was told that others did.
--- a/src/leadership/renewaltree.cpp
+++ b/src/leadership/renewaltree.cpp
@@ -20,12 +20,12 @@
     return ranked_.size() <= fanOut ? 0 : (ranked_.size() + fanOut - 1) / fanOut;
 }
 
-InstanceName RenewalTree::source(const InstanceName &self, const InstanceName &holder, std::size_t attempt) const
+InstanceName RenewalTree::source(const InstanceName &self, const InstanceName &leaseHolder, std::size_t attempt) const
 {
     const auto rank = static_cast<std::size_t>(std::find(ranked_.begin(), ranked_.end(), self) - ranked_.begin());
     const bool asksHolder = rank < intermediates() || intermediates() == 0;
-    if (asksHolder && attempt % 2 == 0 && !holder.empty() && holder != self) {
-        return holder;
+    if (asksHolder && attempt % 2 == 0 && !leaseHolder.empty() && leaseHolder != self) {
+        return leaseHolder;
     }
     // Relays first; where a fleet has none, those that read the store while there is no holder.
     const auto sources = std::min(std::max(intermediates(), storeReaders), ranked_.size());
--- a/src/leadership/renewaltree.h
+++ b/src/leadership/renewaltree.h
@@ -26,7 +26,7 @@
     void setProxies(std::vector<InstanceName> proxies);
 
     /// Whom \a self asks at its \a attempt in a row, 0 being the first; empty when there is nobody.
-    [[nodiscard]] InstanceName source(const InstanceName &self, const InstanceName &holder, std::size_t attempt) const;
+    [[nodiscard]] InstanceName source(const InstanceName &self, const InstanceName &leaseHolder, std::size_t attempt) const;
 
     /// True when \a self reads the store for others while there is no holder.
     [[nodiscard]] bool readsStore(const InstanceName &self) const;
--- a/tests/leadership/test_leadership.cpp
+++ b/tests/leadership/test_leadership.cpp
@@ -216,7 +216,7 @@
     suspicion.onRegistered();
     PrimaryObservation seen;
     seen.generation = 1;
-    seen.sinceAnswer = Milliseconds{50};
+    seen.sinceLastReply = Milliseconds{50};
     for (std::int64_t time = 0; time <= 2000; time += 250) {
         suspicion.recordObservation(InstanceName{"other"}, seen, at(time));
         cr_assert(!suspicion.evaluate(at(time)));
