--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -11,7 +11,7 @@
     message.set_number(mark.index);
 }
 
-LogPosition markOf(const wire::Position &message)
+LogPosition positionOf(const wire::Position &message)
 {
     return LogPosition{Term{message.term(), 0}, message.number()};
 }
@@ -21,7 +21,7 @@
     message.set_group(record.group.text());
     message.set_primary(record.primary.text());
     message.set_generation(record.generation);
-    message.set_moving(record.moving);
+    message.set_moving(record.changeInProgress);
     message.set_revision(record.revision.value);
 }
 
@@ -31,18 +31,18 @@
     record.group = GroupName{message.group()};
     record.primary = MemberName{message.primary()};
     record.generation = message.generation();
-    record.moving = message.moving();
+    record.changeInProgress = message.moving();
     record.revision = Revision{message.revision()};
     return record;
 }
 
-void fill(wire::CatalogMarks &message, const CatalogRevisions &marks)
+void fill(wire::CatalogMarks &message, const CatalogRevisions &revisions)
 {
-    message.set_configuration(marks.configuration.value);
-    message.set_members(marks.members.value);
+    message.set_configuration(revisions.configuration.value);
+    message.set_members(revisions.members.value);
 }
 
-CatalogRevisions marksOf(const wire::CatalogMarks &message)
+CatalogRevisions revisionsOf(const wire::CatalogMarks &message)
 {
     return {Revision{message.configuration()}, Revision{message.members()}};
 }
@@ -53,18 +53,18 @@
 {
     wire::RenewRequest message;
     message.set_instance(request.instance.text());
-    message.set_since_store_ms(request.sinceStore ? request.sinceStore->count() : -1);
-    for (const auto &client : request.clients) {
+    message.set_since_store_ms(request.sinceStoreReply ? request.sinceStoreReply->count() : -1);
+    for (const auto &client : request.downstreamProxies) {
         message.add_clients(client.text());
     }
-    fill(*message.mutable_marks(), request.marks);
-    for (const auto &sighting : request.sightings) {
+    fill(*message.mutable_marks(), request.catalogRevisions);
+    for (const auto &observation : request.observations) {
         auto &entry = *message.add_sightings();
-        entry.set_group(sighting.group.text());
-        entry.set_generation(sighting.generation);
-        entry.set_since_answer_ms(sighting.sinceAnswer ? sighting.sinceAnswer->count() : -1);
-        entry.set_writes_stalled_ms(sighting.writesStalled.count());
-        fill(*entry.mutable_acknowledged(), sighting.acknowledged);
+        entry.set_group(observation.group.text());
+        entry.set_generation(observation.generation);
+        entry.set_since_answer_ms(observation.sinceLastReply ? observation.sinceLastReply->count() : -1);
+        entry.set_writes_stalled_ms(observation.writesStalledFor.count());
+        fill(*entry.mutable_acknowledged(), observation.acknowledged);
     }
     return message;
 }
@@ -74,22 +74,22 @@
     RenewRequest request;
     request.instance = InstanceName{message.instance()};
     if (message.since_store_ms() >= 0) {
-        request.sinceStore = Milliseconds{message.since_store_ms()};
+        request.sinceStoreReply = Milliseconds{message.since_store_ms()};
     }
     for (const auto &client : message.clients()) {
-        request.clients.emplace_back(client);
+        request.downstreamProxies.emplace_back(client);
     }
-    request.marks = marksOf(message.marks());
+    request.catalogRevisions = revisionsOf(message.marks());
     for (const auto &entry : message.sightings()) {
-        leadership::PrimarySighting sighting;
-        sighting.group = GroupName{entry.group()};
-        sighting.generation = entry.generation();
+        leadership::PrimaryObservation observation;
+        observation.group = GroupName{entry.group()};
+        observation.generation = entry.generation();
         if (entry.since_answer_ms() >= 0) {
-            sighting.sinceAnswer = Milliseconds{entry.since_answer_ms()};
+            observation.sinceLastReply = Milliseconds{entry.since_answer_ms()};
         }
-        sighting.writesStalled = Milliseconds{entry.writes_stalled_ms()};
-        sighting.acknowledged = markOf(entry.acknowledged());
-        request.sightings.push_back(std::move(sighting));
+        observation.writesStalledFor = Milliseconds{entry.writes_stalled_ms()};
+        observation.acknowledged = positionOf(entry.acknowledged());
+        request.observations.push_back(std::move(observation));
     }
     return request;
 }
@@ -100,12 +100,12 @@
     message.set_granted(reply.granted);
     message.set_age_ms(reply.age.count());
     message.set_holder(reply.lease.holder.text());
-    message.set_fence(reply.lease.fence);
+    message.set_fence(reply.lease.fencingToken);
     message.set_renewals(reply.lease.renewals);
-    message.set_lease_left_ms(reply.lease.left.count());
-    message.set_holder_since_store_ms(reply.holderSinceStore ? reply.holderSinceStore->count() : -1);
-    fill(*message.mutable_marks(), reply.marks);
-    message.set_yielded_fence(reply.yieldedFence);
+    message.set_lease_left_ms(reply.lease.remaining.count());
+    message.set_holder_since_store_ms(reply.leaseHolderSinceStoreReply ? reply.leaseHolderSinceStoreReply->count() : -1);
+    fill(*message.mutable_marks(), reply.catalogRevisions);
+    message.set_yielded_fence(reply.relinquishedToken);
     for (const auto &record : reply.records) {
         fill(*message.add_records(), record);
     }
@@ -118,14 +118,14 @@
     reply.granted = message.granted();
     reply.age = Milliseconds{message.age_ms()};
     reply.lease.holder = InstanceName{message.holder()};
-    reply.lease.fence = message.fence();
+    reply.lease.fencingToken = message.fence();
     reply.lease.renewals = message.renewals();
-    reply.lease.left = Milliseconds{message.lease_left_ms()};
+    reply.lease.remaining = Milliseconds{message.lease_left_ms()};
     if (message.holder_since_store_ms() >= 0) {
-        reply.holderSinceStore = Milliseconds{message.holder_since_store_ms()};
+        reply.leaseHolderSinceStoreReply = Milliseconds{message.holder_since_store_ms()};
     }
-    reply.marks = marksOf(message.marks());
-    reply.yieldedFence = message.yielded_fence();
+    reply.catalogRevisions = revisionsOf(message.marks());
+    reply.relinquishedToken = message.yielded_fence();
     for (const auto &record : message.records()) {
         reply.records.push_back(recordOf(record));
     }
@@ -136,7 +136,7 @@
 {
     wire::AnnounceRequest message;
     fill(*message.mutable_record(), announcement.record);
-    message.set_drain_ms(announcement.drain.count());
+    message.set_drain_ms(announcement.drainTimeout.count());
     return message;
 }
 
@@ -145,7 +145,7 @@
     return {recordOf(message.record()), Milliseconds{message.drain_ms()}};
 }
 
-wire::AnnounceReply encode(const HoldReply &reply)
+wire::AnnounceReply encode(const QuiesceReply &reply)
 {
     wire::AnnounceReply message;
     fill(*message.mutable_acknowledged(), reply.acknowledged);
@@ -153,9 +153,9 @@
     return message;
 }
 
-HoldReply decode(const wire::AnnounceReply &message)
+QuiesceReply decode(const wire::AnnounceReply &message)
 {
-    return {markOf(message.acknowledged()), Milliseconds{message.uptime_ms()}};
+    return {positionOf(message.acknowledged()), Milliseconds{message.uptime_ms()}};
 }
 
 } // namespace cardamomstep::fleet::impl
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -4,10 +4,10 @@
 #include "base/hash.h"
 #include "evloop/clock.h"
 #include "evloop/httpserver.h"
-#include "gateway/callerlink.h"
-#include "gateway/catalogfollower.h"
-#include "gateway/leadershell.h"
-#include "gateway/memberlink.h"
+#include "gateway/callerconnection.h"
+#include "gateway/catalogwatcher.h"
+#include "gateway/leadershipservice.h"
+#include "gateway/memberconnection.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/sessionplacement.h"
 #include "gateway/statuspage.h"
@@ -32,7 +32,7 @@
     /// Time that a stopping proxy goes on taking new connections.
     Milliseconds acceptAfterStop{2500};
     /// Time after that for connections that were accepted last.
-    Milliseconds lastConnections{250};
+    Milliseconds lastConnectionsGrace{250};
 };
 
 /// One process on the platform; \a Wire is the line format, \a Store and \a Promoter the platform's services.
@@ -48,7 +48,7 @@
         , engine_(settings.failureDomain, seedOf(settings))
         , placement_(engine_, {settings.instance, settings.failureDomain, settings.listen.sessions})
         , catalog_(loop, settings_, directory_, catalogHandlers())
-        , leadership_(loop, settings, seedOf(settings), leaderHost())
+        , leadership_(loop, settings, seedOf(settings), leadershipHost())
         , acceptor_(loop)
         , sessionAcceptor_(loop)
         , wakeTimer_(loop)
@@ -120,15 +120,15 @@
     }
 
 private:
-    using Caller = CallerLink<Wire>;
-    using Member = MemberLink<Wire>;
+    using Caller = CallerConnection<Wire>;
+    using Member = MemberConnection<Wire>;
 
     static std::uint64_t seedOf(const SessionSettings &settings)
     {
         return stableHash(settings.instance.text(), static_cast<std::uint64_t>(evloop::bootTimeNow().time_since_epoch().count()));
     }
 
-    LeaderHost leaderHost()
+    LeadershipHost leadershipHost()
     {
         const auto write = [this](LogLevel level, std::string_view event, const std::vector<LogField> &fields) {
             log(level, event, fields);
@@ -139,13 +139,13 @@
         const auto proxiesChanged = [this] {
             placement_.setProxies(leadership_.sessionTargets());
         };
-        const auto marks = [this] {
-            return catalog_.marks();
+        const auto catalogRevisions = [this] {
+            return catalog_.revisions();
         };
-        const auto marksHeard = [this](const CatalogRevisions &heard) {
-            catalog_.heardOf(heard);
+        const auto onPeerRevisions = [this](const CatalogRevisions &revisions) {
+            catalog_.onPeerRevisions(revisions);
         };
-        return LeaderHost{engine_, directory_, write, perform, proxiesChanged, marks, marksHeard};
+        return LeadershipHost{engine_, directory_, write, perform, proxiesChanged, catalogRevisions, onPeerRevisions};
     }
 
     void log(LogLevel level, std::string_view event, const std::vector<LogField> &fields)
@@ -177,38 +177,38 @@
 
     [[nodiscard]] bool ready() const
     {
-        return !engine_.draining() && engine_.routes().isLoaded() && catalog_.membersKnown()
-            && leadership_.viewCurrent(evloop::bootTimeNow());
+        return !engine_.draining() && engine_.routes().isLoaded() && catalog_.membersListed()
+            && leadership_.primaryTableCurrent(evloop::bootTimeNow());
     }
 
     /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
-    void accept(boost::asio::ip::tcp::acceptor &acceptor, bool passedOn)
+    void accept(boost::asio::ip::tcp::acceptor &acceptor, bool fromProxy)
     {
-        acceptor.async_accept([this, &acceptor, passedOn](const boost::system::error_code &error, boost::asio::ip::tcp::socket socket) {
+        acceptor.async_accept([this, &acceptor, fromProxy](const boost::system::error_code &error, boost::asio::ip::tcp::socket socket) {
             if (error == boost::asio::error::operation_aborted) {
                 return;
             }
             if (!error) {
-                addCaller(std::move(socket), passedOn);
+                addCaller(std::move(socket), fromProxy);
             }
-            accept(acceptor, passedOn);
+            accept(acceptor, fromProxy);
         });
     }
 
-    void addCaller(boost::asio::ip::tcp::socket socket, bool passedOn)
+    void addCaller(boost::asio::ip::tcp::socket socket, bool fromProxy)
     {
         const auto key = nextCaller_++;
-        CallerLinkHandlers handlers;
-        if (!passedOn) {
+        CallerConnectionHandlers handlers;
+        if (!fromProxy) {
             handlers.forward = [this, key](const relay::DatabaseName &database) {
                 return placement_.targetOf(database, key);
             };
         }
         handlers.forwardFailed = [this](const Address &proxy) {
             log(LogLevel::Warning, "forward_failed", {{"proxy", proxy.text()}});
-            placement_.failed(proxy);
+            placement_.onTargetFailed(proxy);
         };
-        handlers.endedForTarget = [this](const Address &proxy) {
+        handlers.redirected = [this](const Address &proxy) {
             log(LogLevel::Info, "session_sent_on", {{"proxy", proxy.text()}});
             metrics_.sessionMoved("sent_on");
         };
@@ -247,7 +247,7 @@
     {
         CatalogHandlers handlers;
         handlers.configured = [this](const relay::Configuration &configuration, Revision revision) {
-            takeConfiguration(configuration, revision);
+            applyConfiguration(configuration, revision);
         };
         handlers.membersChanged = [this] {
             membersChanged();
@@ -261,7 +261,7 @@
         return handlers;
     }
 
-    void takeConfiguration(const relay::Configuration &configuration, Revision revision)
+    void applyConfiguration(const relay::Configuration &configuration, Revision revision)
     {
         const auto before = engine_.routes().version();
         engine_.configure(configuration, evloop::bootTimeNow());
@@ -293,41 +293,41 @@
         performing_ = true;
         for (auto actions = engine_.takeActions(); !actions.empty(); actions = engine_.takeActions()) {
             for (auto &action : actions) {
-                std::visit([this](auto &what) { carryOut(what); }, action);
+                std::visit([this](auto &what) { perform(what); }, action);
             }
         }
         performing_ = false;
         scheduleWake();
     }
 
-    void carryOut(relay::ReplyToCaller &action)
+    void perform(relay::ReplyToCaller &action)
     {
         const auto caller = callers_.find(action.caller);
         metrics_.answered(action);
         if (caller != callers_.end()) {
             // The reply may bring the caller's next statement, and with it the end of the session.
-            const auto link = caller->second;
-            link->reply(action.reply);
+            const auto connection = caller->second;
+            connection->reply(action.reply);
         }
     }
 
-    void carryOut(relay::CloseCaller &action)
+    void perform(relay::CloseCaller &action)
     {
         const auto caller = callers_.find(action.caller);
         if (caller == callers_.end()) {
             return;
         }
-        const auto link = caller->second;
+        const auto connection = caller->second;
         callers_.erase(caller);
-        link->close();
+        connection->close();
         engine_.callerClosed(action.caller, evloop::bootTimeNow());
         checkStopped();
     }
 
-    void carryOut(relay::OpenMemberConnection &action)
+    void perform(relay::OpenMemberConnection &action)
     {
         const auto key = action.connection;
-        MemberLinkHandlers handlers;
+        MemberConnectionHandlers handlers;
         handlers.opened = [this, key](const std::optional<LogPosition> &position) {
             engine_.connectionOpened(key, position, evloop::bootTimeNow());
             perform();
@@ -337,36 +337,36 @@
             perform();
         };
         handlers.closed = [this, key](std::optional<relay::MemberFault> refusal) {
-            memberLinks_.erase(key);
+            memberConnections_.erase(key);
             engine_.connectionClosed(key, refusal, evloop::bootTimeNow());
             perform();
         };
-        const auto link = std::make_shared<Member>(std::move(handlers));
-        memberLinks_.emplace(key, link);
+        const auto connection = std::make_shared<Member>(std::move(handlers));
+        memberConnections_.emplace(key, connection);
         metrics_.memberConnectionOpened();
-        link->open(loop_, action.address, action.group, action.member);
+        connection->open(loop_, action.address, action.group, action.member);
     }
 
-    void carryOut(relay::SendToMember &action)
+    void perform(relay::SendToMember &action)
     {
-        const auto link = memberLinks_.find(action.connection);
-        if (link != memberLinks_.end()) {
-            link->second->send(action.requests);
+        const auto connection = memberConnections_.find(action.connection);
+        if (connection != memberConnections_.end()) {
+            connection->second->send(action.requests);
         }
     }
 
-    void carryOut(relay::CloseMemberConnection &action)
+    void perform(relay::CloseMemberConnection &action)
     {
-        const auto link = memberLinks_.find(action.connection);
-        if (link == memberLinks_.end()) {
+        const auto connection = memberConnections_.find(action.connection);
+        if (connection == memberConnections_.end()) {
             return;
         }
-        const auto closing = link->second;
-        memberLinks_.erase(link);
+        const auto closing = connection->second;
+        memberConnections_.erase(connection);
         closing->close();
     }
 
-    void carryOut(relay::LogDecision &action)
+    void perform(relay::LogDecision &action)
     {
         log(action.level, action.event, action.fields);
     }
@@ -374,16 +374,16 @@
     /// Ends the sessions that are passed on, each as it comes to rest.
     void endForwarded()
     {
-        std::vector<std::shared_ptr<Caller>> resting;
+        std::vector<std::shared_ptr<Caller>> idle;
         for (auto caller = callers_.begin(); caller != callers_.end();) {
-            if (caller->second->forwarded() && caller->second->endWhenResting()) {
-                resting.push_back(caller->second);
+            if (caller->second->forwarded() && caller->second->endWhenIdle()) {
+                idle.push_back(caller->second);
                 caller = callers_.erase(caller);
             } else {
                 ++caller;
             }
         }
-        for (const auto &caller : resting) {
+        for (const auto &caller : idle) {
             caller->close();
         }
     }
@@ -435,7 +435,7 @@
             sessionAcceptor_.close(ignored);
         }
         const bool outOfTime = since >= settings_.stopGrace * 9 / 10;
-        const bool done = callers_.empty() && since >= limits_.acceptAfterStop + limits_.lastConnections;
+        const bool done = callers_.empty() && since >= limits_.acceptAfterStop + limits_.lastConnectionsGrace;
         if (!done && !outOfTime) {
             return;
         }
@@ -457,14 +457,14 @@
     relay::Engine engine_;
     relay::MemberDirectory directory_;
     SessionPlacement placement_;
-    CatalogFollower<Store> catalog_;
-    LeaderShell<Wire, Store, Promoter> leadership_;
+    CatalogWatcher<Store> catalog_;
+    LeadershipService<Wire, Store, Promoter> leadership_;
     boost::asio::ip::tcp::acceptor acceptor_;
     boost::asio::ip::tcp::acceptor sessionAcceptor_;
     std::shared_ptr<evloop::HttpServer> readiness_;
     std::shared_ptr<evloop::HttpServer> metricsServer_;
     std::unordered_map<relay::CallerKey, std::shared_ptr<Caller>> callers_;
-    std::unordered_map<relay::MemberConnectionKey, std::shared_ptr<Member>> memberLinks_;
+    std::unordered_map<relay::MemberConnectionKey, std::shared_ptr<Member>> memberConnections_;
     relay::CallerKey nextCaller_ = 1;
     boost::asio::steady_timer wakeTimer_;
     boost::asio::steady_timer logTimer_;
--- a/src/leadership/viewtree.h
+++ b/src/leadership/renewaltree.h
@@ -12,7 +12,7 @@
 ///
 /// In a small fleet all ask the lease holder. In a larger one the first few of the order ask the holder, and the others ask them: a proxy
 /// answers about `fanOut` others, however large the fleet.
-class ViewTree
+class RenewalTree
 {
 public:
     /// Proxies that one proxy answers.
@@ -26,7 +26,7 @@
     void setProxies(std::vector<InstanceName> proxies);
 
     /// Whom \a self asks at its \a attempt in a row, 0 being the first; empty when there is nobody.
-    [[nodiscard]] InstanceName source(const InstanceName &self, const InstanceName &holder, std::size_t attempt) const;
+    [[nodiscard]] InstanceName source(const InstanceName &self, const InstanceName &leaseHolder, std::size_t attempt) const;
 
     /// True when \a self reads the store for others while there is no holder.
     [[nodiscard]] bool readsStore(const InstanceName &self) const;
@@ -40,7 +40,7 @@
     }
 
 private:
-    [[nodiscard]] std::size_t relays() const noexcept;
+    [[nodiscard]] std::size_t intermediates() const noexcept;
     [[nodiscard]] bool isAmongFirst(std::size_t count, const InstanceName &self) const;
 
     /// Invariant: ordered by a hash of the name, the same on every proxy.
