--- a/src/owner/controlworker.cpp
+++ b/src/owner/controlworker.cpp
@@ -1,4 +1,4 @@
-// A thread that carries out reports and orders on one control link.
+// A thread that sends report requests and orders on one control connection.
 #include "owner/controlworker.h"
 
 #include <utility>
--- a/src/owner/controlworker.h
+++ b/src/owner/controlworker.h
@@ -1,4 +1,4 @@
-// A thread that carries out reports and orders on one control link, one after the other.
+// A thread that sends report requests and orders on one control connection, one after the other.
 #pragma once
 
 #include "members/httpconnection.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep {
 
-/// Runs jobs on a control link in the order in which they were added.
+/// Runs jobs on a control connection in the order in which they were added.
 class ControlWorker
 {
 public:
@@ -22,10 +22,10 @@
     ControlWorker(const ControlWorker &) = delete;
     ControlWorker &operator=(const ControlWorker &) = delete;
 
-    /// Waits for the job in progress; jobs that did not begin are dropped.
+    /// Waits for the running job; jobs that have not started are dropped.
     ~ControlWorker();
 
-    /// Adds a job; beyond maxJobs waiting ones it is dropped and the result is false.
+    /// Adds a job. Returns false, and drops the job, when maxJobs jobs are waiting or the worker is stopping.
     [[nodiscard]] bool add(Job job);
 
 private:
--- a/src/owner/fwd.h
+++ b/src/owner/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the owner slice: the shell that carries out the decisions about one database group.
+// Forward declarations of the owner module: the I/O layer that performs the decisions about one database group.
 #pragma once
 
 namespace cardamomstep {
--- a/src/owner/groupowner.cpp
+++ b/src/owner/groupowner.cpp
@@ -89,9 +89,9 @@
 std::optional<MemberName> GroupOwner::leavingPrimary() const
 {
     const std::lock_guard lock(core_->mutex);
-    const auto view = core_->monitor.primary();
-    const bool leaves = view && core_->isMarkedLeaving(view->member);
-    return leaves ? std::optional<MemberName>(view->member) : std::nullopt;
+    const auto primaryInfo = core_->monitor.primary();
+    const bool isLeaving = primaryInfo && core_->isMarkedLeaving(primaryInfo->member);
+    return isLeaving ? std::optional<MemberName>(primaryInfo->member) : std::nullopt;
 }
 
 void GroupOwner::replaceLeavingPrimary()
@@ -126,13 +126,13 @@
 std::vector<MemberName> GroupOwner::busyMembers() const
 {
     const std::lock_guard lock(core_->mutex);
-    std::vector<MemberName> busy;
+    std::vector<MemberName> names;
     for (const auto &[name, member] : core_->members) {
         if (member->connections.inUse() > 0) {
-            busy.push_back(name);
+            names.push_back(name);
         }
     }
-    return busy;
+    return names;
 }
 
 GroupSnapshot GroupOwner::snapshot() const
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -1,4 +1,4 @@
-// The owner of one database group on this proxy: carries its statements and looks after its primary.
+// The owner of one database group on this proxy: runs its statements and monitors its primary.
 #pragma once
 
 #include "groups/peerobservation.h"
@@ -17,7 +17,7 @@
 class GroupCore;
 }
 
-/// What the metrics and status pages show of a group.
+/// The state of a group that metrics and status pages show.
 struct GroupSnapshot {
     GroupName group;
     std::optional<PrimaryInfo> primary;
@@ -31,48 +31,48 @@
 class GroupOwner
 {
 public:
-    /// Begins to watch the group. \a transactions outlives this owner.
+    /// Starts to monitor the group. \a transactions must outlive this owner.
     GroupOwner(GroupOwnerOptions options, GroupOwnerHandlers handlers, Transactions &transactions);
     GroupOwner(const GroupOwner &) = delete;
     GroupOwner &operator=(const GroupOwner &) = delete;
 
-    /// Stops; statements in flight finish first.
+    /// Stops monitoring and closes the connections. No run() may be in progress.
     ~GroupOwner();
 
-    /// Runs \a statement and answers by \a deadline; blocks meanwhile.
+    /// Runs \a statement and returns its answer by \a deadline; blocks until then.
     [[nodiscard]] Answer run(const Statement &statement, TimePoint deadline);
 
-    /// Takes in the current owners of the group, with this proxy's place among them.
+    /// Sets the current owners of the group and this proxy's rank among them; rank 0 acts first.
     void setOwners(const std::vector<InstanceName> &owners, unsigned rank);
 
-    /// Takes in how often to report.
+    /// Sets the intervals and timeouts that the group's monitor uses.
     void setPolicy(const GroupPolicy &policy);
 
-    /// Takes in what another owner knows.
+    /// Applies what another owner of the group observed.
     void onPeerObservation(const InstanceName &peer, const PeerObservation &observation);
 
-    /// Takes in that another owner holds writes for \a span; zero releases them.
+    /// Pauses writes for \a span because another owner does; zero resumes them.
     void pauseWrites(Milliseconds span);
 
-    /// Takes in the members that are to get no new work; see moveLeavingPrimary() for a primary.
+    /// Sets the members that get no new work. A primary among them is replaced by replaceLeavingPrimary().
     void setLeaving(const std::vector<MemberName> &leaving);
 
-    /// The primary, when it was told to leave.
+    /// Returns the primary if setLeaving() named it.
     [[nodiscard]] std::optional<MemberName> leavingPrimary() const;
 
-    /// Has the leaving primary replaced; to be called once no transaction of the group is open at any of its owners.
+    /// Requests a switchover away from the leaving primary; call it once none of the group's owners has an open transaction of the group.
     void replaceLeavingPrimary();
 
-    /// Closes the connection of a transaction that expired.
+    /// Closes the connection of an expired or evicted transaction.
     void closeConnection(const Transactions::Use &use);
 
-    /// True while a request waits for one of the connections that transactions hold.
+    /// Returns true while a request waits for a connection to a member.
     [[nodiscard]] bool waitsForConnection() const;
 
-    /// What to tell the other owners.
+    /// Returns the observation to publish to the other owners.
     [[nodiscard]] PeerObservation observation() const;
 
-    /// Members at which this proxy has statements or transactions.
+    /// Returns the members at which this proxy has running statements or open transactions.
     [[nodiscard]] std::vector<MemberName> busyMembers() const;
 
     [[nodiscard]] GroupSnapshot snapshot() const;
--- a/src/owner/impl/flow.cpp
+++ b/src/owner/impl/flow.cpp
@@ -1,4 +1,4 @@
-// What the flows of single requests have in common.
+// Shared by the flows of single requests.
 #include "owner/impl/flow.h"
 
 #include "requests/fingerprint.h"
@@ -48,7 +48,7 @@
 
 std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &position)
 {
-    // Room was checked before the request ran, so the merge cannot fail.
+    // checkCapacity() succeeded before the request ran, so the merge cannot fail.
     (void)session.merge(group, position);
     return session.format();
 }
--- a/src/owner/impl/flow.h
+++ b/src/owner/impl/flow.h
@@ -1,4 +1,4 @@
-// What the flows of single requests have in common: sending one call and settling the session token.
+// Shared by the flows of single requests: sending one call, mapping refusals to errors, and updating the session token.
 #pragma once
 
 #include "owner/impl/groupcore.h"
@@ -9,24 +9,24 @@
 
 namespace cardamomstep::impl {
 
-/// Operation of a write that has no effect but to hold its request id; see docs/design/member.md.
+/// The operation of a write whose only effect is that the log contains its request id; see docs/design/member.md.
 inline constexpr const char *closeIdOperation = "none";
 
-/// Time to come back that answers name when nothing better is known.
+/// The retry-after of answers when no better estimate is known.
 inline constexpr Milliseconds defaultRetryAfter{100};
 
-/// The call that a member gets for \a statement.
+/// Returns the call that sends \a statement to a member.
 [[nodiscard]] MemberCall callFor(GroupCore &core, const Statement &statement, const Term &term);
 
-/// The error that a member's refusal means for the caller; nothing of the call took effect.
+/// Returns the caller's error for a member's refusal; the refused call had no effect.
 [[nodiscard]] Error errorFor(Refusal refusal, const std::string &description);
 
-/// Time that an exchange may take: until the connection counts as silent, at most until \a deadline.
+/// Returns the time that an exchange may take: until the connection counts as silent, at most until \a deadline.
 [[nodiscard]] Milliseconds exchangeTimeout(const MemberConnections &connections, TimePoint deadline);
 
-/// Sends one call by \a send(link, timeout) on \a lease, with \a lock released meanwhile.
+/// Sends one call with \a send(connection, timeout) on \a checkout; \a lock is released during the exchange.
 ///
-/// Feeds what the reply says to the machines; the lease is not given back.
+/// Feeds the member's state in the reply to the monitor, the trackers and the router. Does not release \a checkout.
 template<typename Send>
 [[nodiscard]] ConnectionResult<MemberReply> exchange(GroupCore &core,
                                                      std::unique_lock<std::mutex> &lock,
@@ -54,7 +54,7 @@
     const auto now = steadyNow();
     member->connections.onReply(checkout.key, now);
     core.feed(trace::StatementEvidence{name});
-    // A stored reply names the entry of its effect, not the end of the log.
+    // A repeated reply carries the entry of the original effect, not the end of the log.
     if (!reply->repeated) {
         core.onState(name, reply->position, reply->adopted, sentAt);
     }
@@ -62,7 +62,7 @@
     return result;
 }
 
-/// The answer's session token: \a session with \a mark merged in.
+/// Returns the answer's session token: \a session with \a position merged in for \a group.
 [[nodiscard]] std::string sessionAfter(SessionToken session, const GroupName &group, const LogPosition &position);
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -1,4 +1,4 @@
-// Feeds the decision machines of one group and carries out their actions.
+// Feeds the state machines of one group and performs their actions.
 #include "owner/impl/groupcore.h"
 
 #include "base/hash.h"
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Milliseconds checkTimeout{150};
-constexpr Milliseconds shareExpiry{5'000};
-constexpr Milliseconds longestTick{100};
-constexpr std::size_t keptRounds = 64;
+constexpr Milliseconds quotaExpiry{5'000};
+constexpr Milliseconds maxTickInterval{100};
+constexpr std::size_t maxRoundResults = 64;
 
 std::vector<MemberName> namesOf(const std::vector<GroupMember> &members)
 {
@@ -41,7 +41,7 @@
     , monitor(options.members, options.rank, options.policy, options.seed, startedAt_)
     , acks(namesOf(options.members))
     , rounds(namesOf(options.members))
-    , quota(options.identity.instance, options.maxConnections, shareExpiry)
+    , quota(options.identity.instance, options.maxConnections, quotaExpiry)
     , random(options.seed ^ stableHash(options.group.text()))
 {
     router.setMembers(namesOf(options.members));
@@ -73,12 +73,12 @@
     if (ticker_.joinable()) {
         ticker_.join();
     }
-    // The workers join here; they take the lock for their last result, so it must not be held.
-    std::map<MemberName, std::unique_ptr<Member>> ended;
+    // The workers are joined here. They lock the mutex to apply their last result, so it must not be held.
+    std::map<MemberName, std::unique_ptr<Member>> stopped;
     {
         const std::lock_guard lock(mutex);
         endTrace();
-        ended.swap(members);
+        stopped.swap(members);
     }
 }
 
@@ -119,22 +119,22 @@
                        [this](const SendAdopt &send) { sendOrder(send.member, OrderKind::Adopt, send.term, nullptr, send.timeout); },
                        [this](const SendLead &send) { sendOrder(send.member, OrderKind::Lead, send.term, nullptr, send.timeout); },
                        [this](const SendFollow &send) { sendOrder(send.member, OrderKind::Follow, send.term, &send, send.timeout); },
-                       [this](const QueryPeers & /*ask*/) { handlers.queryPeers(options.group); },
-                       [this](const PauseWrites &hold) {
-                           writesPausedUntil = hold.until;
-                           handlers.pausePeerWrites(options.group, wholeMilliseconds(hold.until - steadyNow()));
+                       [this](const QueryPeers & /*query*/) { handlers.queryPeers(options.group); },
+                       [this](const PauseWrites &pause) {
+                           writesPausedUntil = pause.until;
+                           handlers.pausePeerWrites(options.group, wholeMilliseconds(pause.until - steadyNow()));
                        },
-                       [this](const ResumeWrites & /*release*/) {
+                       [this](const ResumeWrites & /*resume*/) {
                            writesPausedUntil = TimePoint{};
                            primaryWaiters.signalAll();
                            handlers.pausePeerWrites(options.group, Milliseconds{0});
                        },
                        [this](const PrimaryChanged &change) { onPrimaryChanged(change); },
-                       [this](const AuditEvent &note) {
-                           if (note.kind == AuditEventKind::PrimaryLost) {
+                       [this](const AuditEvent &event) {
+                           if (event.kind == AuditEventKind::PrimaryLost) {
                                router.clearPrimary();
                            }
-                           handlers.auditEvent(options.group, note);
+                           handlers.auditEvent(options.group, event);
                            primaryWaiters.signalAll();
                        },
                    },
@@ -150,11 +150,12 @@
     if (member == nullptr) {
         return;
     }
-    const auto seen = monitor.lastReport(action.member);
-    (void)member->reportWorker.add([self = weak_from_this(), action, seen](HttpControlConnection &link) {
+    const auto previousReport = monitor.lastReport(action.member);
+    (void)member->reportWorker.add([self = weak_from_this(), action, previousReport](HttpControlConnection &connection) {
         const auto sentAt = steadyNow();
-        const bool waits = seen && action.wait.count() > 0;
-        const auto result = waits ? link.reportAfter(*seen, action.wait, action.timeout) : link.report(action.timeout);
+        const bool waits = previousReport && action.wait.count() > 0;
+        const auto result =
+            waits ? connection.reportAfter(*previousReport, action.wait, action.timeout) : connection.report(action.timeout);
         const auto core = self.lock();
         if (!core) {
             return;
@@ -172,10 +173,10 @@
 void GroupCore::onMemberReport(const MemberReport &report, TimePoint sentAt)
 {
     onState(report.member, report.log, report.adopted, sentAt);
-    const auto view = monitor.primary();
-    const bool leads = view && view->member == report.member;
-    // A leaving replica is not to be promoted; a leaving primary is moved by moveLeavingPrimary(), when its transactions are over.
-    feed(trace::Report{report.member, leads ? report : withLeaving(report), sentAt});
+    const auto primaryInfo = monitor.primary();
+    const bool fromPrimary = primaryInfo && primaryInfo->member == report.member;
+    // A leaving replica must not be promoted. A leaving primary is replaced by replaceLeavingPrimary() once its transactions have ended.
+    feed(trace::Report{report.member, fromPrimary ? report : withLeaving(report), sentAt});
     updateRouter(report);
     router.setSuspect(report.member, false);
     reportWaiters.signalAll();
@@ -199,13 +200,13 @@
 
 void GroupCore::replaceLeavingPrimary()
 {
-    const auto view = monitor.primary();
-    if (!view) {
+    const auto primaryInfo = monitor.primary();
+    if (!primaryInfo) {
         return;
     }
-    if (isMarkedLeaving(view->member) && switchoverRequested_ != view->member) {
-        switchoverRequested_ = view->member;
-        feed(trace::RequestSwitchover{view->member});
+    if (isMarkedLeaving(primaryInfo->member) && switchoverRequested_ != primaryInfo->member) {
+        switchoverRequested_ = primaryInfo->member;
+        feed(trace::RequestSwitchover{primaryInfo->member});
     }
 }
 
@@ -231,11 +232,11 @@
         return;
     }
     const auto target = follow != nullptr ? *follow : SendFollow{};
-    (void)member->orderWorker.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlConnection &link) {
+    (void)member->orderWorker.add([self = weak_from_this(), name, kind, term, target, timeout](HttpControlConnection &connection) {
         const auto sentAt = steadyNow();
-        const auto result = kind == OrderKind::Adopt ? link.adopt(term, timeout)
-            : kind == OrderKind::Lead                ? link.lead(term, timeout)
-                                                     : link.follow(term, target.primary, target.address, timeout);
+        const auto result = kind == OrderKind::Adopt ? connection.adopt(term, timeout)
+            : kind == OrderKind::Lead                ? connection.lead(term, timeout)
+                                                     : connection.follow(term, target.primary, target.address, timeout);
         const auto core = self.lock();
         if (!core) {
             return;
@@ -283,7 +284,7 @@
         roundStartedAt_.erase(result->round);
         roundWaiters.signalAll();
     }
-    while (roundResults_.size() > keptRounds) {
+    while (roundResults_.size() > maxRoundResults) {
         roundResults_.erase(roundResults_.begin());
     }
     if (const auto round = rounds.begin(now)) {
@@ -295,9 +296,9 @@
 void GroupCore::sendChecks(RoundNumber /*round*/)
 {
     for (auto &[name, member] : members) {
-        (void)member->orderWorker.add([self = weak_from_this(), name = name](HttpControlConnection &link) {
+        (void)member->orderWorker.add([self = weak_from_this(), name = name](HttpControlConnection &connection) {
             const auto sentAt = steadyNow();
-            const auto result = link.report(checkTimeout);
+            const auto result = connection.report(checkTimeout);
             const auto core = self.lock();
             const auto *report = std::get_if<MemberReport>(&result);
             if (!core || report == nullptr) {
@@ -340,11 +341,11 @@
 {
     const auto now = steadyNow();
     const auto allowed = std::max(1U, quota.allowed(now));
-    const auto view = monitor.primary();
+    const auto primaryInfo = monitor.primary();
     std::uint32_t replicaSlots = 0;
     for (auto &[name, member] : members) {
         member->connections.setAllowed(allowed, now);
-        const bool isPrimary = view && view->member == name;
+        const bool isPrimary = primaryInfo && primaryInfo->member == name;
         replicaSlots += isPrimary ? 0 : allowed;
     }
     apply(admission.setSlots(Lane::Primary, allowed, now));
@@ -393,7 +394,7 @@
         if (steadyNow() > deadline && !tickets_[ticket].refusal && !tickets_[ticket].admitted) {
             apply(admission.cancel(ticket, steadyNow()));
             tickets_.erase(ticket);
-            return Error{ErrorKind::Overloaded, "no slot came free within the window"};
+            return Error{ErrorKind::Overloaded, "no slot became free within the window"};
         }
     }
 }
@@ -421,11 +422,11 @@
 
 LeaderInfo GroupCore::leader() const
 {
-    const auto view = monitor.primary();
-    if (!view) {
+    const auto primaryInfo = monitor.primary();
+    if (!primaryInfo) {
         return {};
     }
-    return {view->term, view->confirmed};
+    return {primaryInfo->term, primaryInfo->confirmed};
 }
 
 GroupCore::Member *GroupCore::find(const MemberName &name)
@@ -439,7 +440,7 @@
     return options.identity.instance.text() + "-" + std::to_string(random() >> 32U) + "-" + std::to_string(nextExchange_++);
 }
 
-// The ticker calls the machines when they want to be called.
+// The ticker calls the state machines at the times that they request.
 
 void GroupCore::runTicker()
 {
@@ -462,7 +463,7 @@
 
 TimePoint GroupCore::nextWake() const
 {
-    auto wake = std::min(monitor.nextWake(), steadyNow() + longestTick);
+    auto wake = std::min(monitor.nextWake(), steadyNow() + maxTickInterval);
     if (const auto due = rounds.nextWake()) {
         wake = std::min(wake, *due);
     }
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -1,4 +1,4 @@
-// The shared state of one owned group: its decision machines, its workers and the threads that wait.
+// The shared state of one owned group: its state machines, its workers and its waiting threads.
 #pragma once
 
 #include "base/random.h"
@@ -30,8 +30,8 @@
 
 /// State of one owned group.
 ///
-/// Every member below `mutex` is guarded by it. Functions that say "locked" are called with it held. Machines are only fed
-/// here, so their inputs are ordered.
+/// `mutex` guards every member below it. Functions below a heading that says "locked" must be called with it held. The monitor is
+/// only fed by feed(), so its inputs are ordered.
 class GroupCore : public std::enable_shared_from_this<GroupCore>
 {
 public:
@@ -47,67 +47,67 @@
 
         Address address;
         MemberConnections connections;
-        /// Carries the waiting reports.
+        /// Requests reports that wait for a change at the member.
         ControlWorker reportWorker;
-        /// Carries orders, checks and outcome questions.
+        /// Sends orders and read checks.
         ControlWorker orderWorker;
     };
 
     GroupCore(GroupOwnerOptions options, GroupOwnerHandlers handlers);
 
-    /// Begins to watch the group.
+    /// Starts to monitor the group.
     void start();
 
-    /// Stops the workers; requests in flight finish first.
+    /// Stops the ticker and the workers, whose running jobs finish first. No request may be in progress.
     void stop();
 
     // Inputs, locked
 
-    /// Gives the monitor an input, records it when asked to, and carries out what the monitor asks for.
+    /// Passes an input to the monitor, records the step if a trace file is set, and performs the monitor's actions.
     void feed(const trace::GroupInput &input);
 
-    /// Feeds a member's state from any reply to the trackers and wakes who waited for it.
+    /// Applies a member's state from any reply to the trackers and wakes the threads that wait for it.
     void onState(const MemberName &member, const LogPosition &log, const Term &adopted, TimePoint sentAt);
 
-    /// Begins due read checks and hands out their results.
+    /// Publishes the results of finished rounds of read checks and starts the next round if it is due.
     void startDueRounds();
 
-    /// Acts on what the admission queue decided.
+    /// Performs the decisions of the admission queue.
     void apply(const std::vector<AdmissionAction> &actions);
 
-    /// Takes in the members that are to get no new work.
+    /// Sets the members that get no new work.
     void setLeaving(const std::vector<MemberName> &leaving);
 
-    /// True when \a member is to get no new work, by others' word than its own.
+    /// Returns true if setLeaving() named \a member, whatever its own report says.
     [[nodiscard]] bool isMarkedLeaving(const MemberName &member) const;
 
-    /// Has a primary that was told to leave replaced; to be called once no transaction of the group is open.
+    /// Requests a switchover if the primary is marked leaving; call it once no transaction of the group is open.
     void replaceLeavingPrimary();
 
-    /// Takes in the current owners of the group.
+    /// Sets the current owners of the group.
     void setOwners(const std::vector<InstanceName> &owners);
 
     // Requests, locked
 
-    /// Takes a slot, waiting for it; the error refuses the request as not run.
+    /// Waits for a slot and returns its ticket; an error means that the request did not run.
     [[nodiscard]] Result<std::uint64_t>
     admit(std::unique_lock<std::mutex> &lock, Lane lane, const ServiceName &service, TimePoint deadline);
 
-    /// Gives a slot back.
+    /// Releases the slot of \a ticket.
     void releaseSlot(std::uint64_t ticket);
 
-    /// Waits until writes are not held; false when \a deadline came first.
+    /// Waits until writes are no longer paused; returns false if \a deadline passes first.
     [[nodiscard]] bool waitForWrites(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
-    /// Waits for the result of a read check that begins now; nothing when none came by \a deadline.
+    /// Waits for the result of the next round of read checks to begin; returns nothing if there is none by \a deadline.
     [[nodiscard]] std::optional<RoundResult> confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
-    /// The primary as writes see it; term 0 when there is none.
+    /// Returns the primary as an input for WriteAttempt; term 0 when there is none.
     [[nodiscard]] LeaderInfo leader() const;
 
     [[nodiscard]] Member *find(const MemberName &name);
 
-    /// A new exchange id.
+    /// Returns a new exchange id.
     [[nodiscard]] std::string nextExchange();
 
     GroupOwnerOptions options;
@@ -128,9 +128,9 @@
     Random random;
     std::map<MemberName, std::unique_ptr<Member>> members;
 
-    /// Writes are held until this time.
+    /// Writes are paused until this time.
     TimePoint writesPausedUntil;
-    /// Threads that wait for coverage, for another primary, for a report or for the release of writes.
+    /// Threads that wait for a quorum; for another primary or the end of a write pause; for a report; for the result of a round.
     WaitList quorumWaiters;
     WaitList primaryWaiters;
     WaitList reportWaiters;
@@ -157,15 +157,15 @@
     void runTicker();
     [[nodiscard]] TimePoint nextWake() const;
 
-    /// The leaving primary that the monitor was asked to move; empty when it was asked for none.
+    /// The leaving primary for which a switchover was requested; empty when none was.
     MemberName switchoverRequested_;
     std::ofstream trace_;
-    /// Members that are to stop, by others' word than their own.
+    /// The members that setLeaving() named.
     std::vector<MemberName> leaving_;
     std::map<std::uint64_t, Ticket> tickets_;
     std::uint64_t nextTicket_ = 1;
     std::uint64_t nextExchange_ = 1;
-    /// Begin of the rounds that are in flight or whose reads still wait.
+    /// The start times of the rounds in flight.
     std::map<RoundNumber, TimePoint> roundStartedAt_;
     std::map<RoundNumber, RoundResult> roundResults_;
 
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -1,4 +1,4 @@
-// Finds out for good whether a request took effect.
+// Determines with certainty whether a request took effect.
 #include "owner/impl/outcomeflow.h"
 
 #include "owner/impl/writeflow.h"
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr Milliseconds queryTimeout{150};
-constexpr Milliseconds askPause{40};
+constexpr Milliseconds queryRetryInterval{40};
 
-Answer unknown(const std::string &why)
+Answer unknownOutcome(const std::string &reason)
 {
-    return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::OutcomeUnknown, reason}.withRetryAfter(defaultRetryAfter));
 }
 
-/// The statement that takes the place of a request id: it has no effect but to hold the id.
-Statement closingStatement(const Statement &question)
+/// Returns an empty write under the id of \a request, which closes that id.
+Statement closingStatement(const Statement &request)
 {
     Statement statement;
-    statement.service = question.service;
-    statement.group = question.group;
+    statement.service = request.service;
+    statement.group = request.group;
     statement.access = Access::Write;
     statement.operation = closeIdOperation;
-    statement.key = question.key;
+    statement.key = request.key;
     statement.arguments = "{}";
-    statement.requestId = question.requestId;
+    statement.requestId = request.requestId;
     statement.idempotent = true;
     return statement;
 }
@@ -54,7 +54,7 @@
             if (!primary) {
                 Waiter waiter;
                 const WaitList::Entry entry(core_.primaryWaiters, waiter);
-                waiter.wait(lock, std::min(deadline_, steadyNow() + askPause));
+                waiter.wait(lock, std::min(deadline_, steadyNow() + queryRetryInterval));
                 continue;
             }
         }
@@ -66,7 +66,7 @@
             return closeId();
         }
     }
-    return unknown("no primary could be asked within the window");
+    return unknownOutcome("no primary replied to the outcome query within the window");
 }
 
 std::optional<OutcomeReply> OutcomeFlow::query(const PrimaryInfo &primary)
@@ -80,15 +80,15 @@
         }
         address = member->address;
     }
-    HttpControlConnection link(address, core_.options.identity);
+    HttpControlConnection connection(address, core_.options.identity);
     const auto sentAt = steadyNow();
-    const auto result = link.outcome(statement_.requestId, queryTimeout);
+    const auto result = connection.outcome(statement_.requestId, queryTimeout);
     const auto *reply = std::get_if<OutcomeReply>(&result);
     std::unique_lock lock(core_.mutex);
     if (reply == nullptr) {
         Waiter waiter;
         const WaitList::Entry entry(core_.primaryWaiters, waiter);
-        waiter.wait(lock, std::min(deadline_, steadyNow() + askPause));
+        waiter.wait(lock, std::min(deadline_, steadyNow() + queryRetryInterval));
         return std::nullopt;
     }
     core_.onState(primary.member, reply->report.log, reply->report.adopted, sentAt);
@@ -99,18 +99,18 @@
 {
     std::unique_lock lock(core_.mutex);
     Waiter waiter;
-    const WaitList::Entry forCoverage(core_.quorumWaiters, waiter);
-    const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
+    const WaitList::Entry quorumEntry(core_.quorumWaiters, waiter);
+    const WaitList::Entry primaryEntry(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
-        const bool inheritedForGood = leader.startReplicated && leader.term == reply.report.adopted && reply.position.term < leader.term;
-        if (inheritedForGood || core_.acks.quorumState(reply.position) == QuorumState::Replicated) {
+        const bool inheritedDurably = leader.startReplicated && leader.term == reply.report.adopted && reply.position.term < leader.term;
+        if (inheritedDurably || core_.acks.quorumState(reply.position) == QuorumState::Replicated) {
             break;
         }
         if (steadyNow() >= deadline_) {
-            return unknown("the request's effect is not yet held by a majority");
+            return unknownOutcome("the request's effect is not yet replicated to a majority");
         }
-        waiter.wait(lock, std::min(deadline_, steadyNow() + askPause));
+        waiter.wait(lock, std::min(deadline_, steadyNow() + queryRetryInterval));
     }
     if (reply.fingerprint == fingerprintOf(closingStatement(statement_))) {
         Answer answer;
@@ -138,9 +138,9 @@
         return answer;
     }
     if (answer.error->kind == ErrorKind::RequestIdReused) {
-        return unknown("the request arrived while it was asked about");
+        return unknownOutcome("the request arrived while its outcome was being determined");
     }
-    return unknown(answer.error->description);
+    return unknownOutcome(answer.error->description);
 }
 
 } // namespace cardamomstep::impl
--- a/src/owner/impl/outcomeflow.h
+++ b/src/owner/impl/outcomeflow.h
@@ -1,4 +1,4 @@
-// Finds out for good whether a request took effect.
+// Determines with certainty whether a request took effect.
 #pragma once
 
 #include "owner/impl/flow.h"
@@ -7,8 +7,8 @@
 
 /// Answers Verb::Outcome.
 ///
-/// A request id that is in no log may still be on its way. So a missing id is first closed: an empty write under the same id takes
-/// its place, and whatever arrives later under it is refused. Only then is "not run" true for good.
+/// A request whose id is in no log may still be in flight. So a missing id is first closed: an empty write is logged under the same
+/// id, so that a request that arrives later under it is refused. Only then is it certain that the request never runs.
 class OutcomeFlow
 {
 public:
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -1,4 +1,4 @@
-// Carries one read from its arrival to its verified answer.
+// Runs one read, from its arrival to its verified answer.
 #include "owner/impl/readflow.h"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Time to wait for news of a primary before a confirmation is tried again.
-constexpr Milliseconds confirmPause{40};
+/// The longest wait for a change of the primary before a confirmation is tried again.
+constexpr Milliseconds confirmRetryInterval{40};
 
 } // namespace
 
@@ -32,15 +32,15 @@
     for (;;) {
         const auto step = core_.router.route(plan, steadyNow());
         std::optional<Answer> answer;
-        if (const auto *give = std::get_if<GiveUpRead>(&step)) {
-            return failedAnswer(give->error);
+        if (const auto *giveUp = std::get_if<GiveUpRead>(&step)) {
+            return failedAnswer(giveUp->error);
         }
         if (const auto *read = std::get_if<ReadFromMember>(&step)) {
             answer = performReadFromMember(plan, *read);
         } else if (const auto *await = std::get_if<AwaitReplica>(&step)) {
-            performAwait(await->until);
+            performAwaitReplica(await->until);
         } else {
-            answer = performConfirm();
+            answer = performCollectReports();
         }
         if (answer) {
             return *answer;
@@ -67,19 +67,19 @@
     return Error{ErrorKind::TokenAhead, "the session token names a position that the group never reached"};
 }
 
-std::optional<Answer> ReadFlow::performConfirm()
+std::optional<Answer> ReadFlow::performCollectReports()
 {
     const auto result = core_.confirmPrimary(lock_, deadline_);
     if (result && result->leaderConfirmed) {
         return std::nullopt;
     }
     const auto now = steadyNow();
-    if (now + confirmPause >= deadline_) {
+    if (now + confirmRetryInterval >= deadline_) {
         return noPrimary();
     }
     Waiter waiter;
     const WaitList::Entry entry(core_.primaryWaiters, waiter);
-    waiter.wait(lock_, now + confirmPause);
+    waiter.wait(lock_, now + confirmRetryInterval);
     return std::nullopt;
 }
 
@@ -93,25 +93,26 @@
     auto *member = core_.find(read.member);
     if (member == nullptr) {
         core_.releaseSlot(*ticket);
-        core_.router.failed(plan, read.member);
+        core_.router.onReadFailed(plan, read.member);
         return std::nullopt;
     }
     const auto checkout = member->connections.acquire(lock_, deadline_);
     if (!checkout) {
         core_.releaseSlot(*ticket);
-        core_.router.failed(plan, read.member);
+        core_.router.onReadFailed(plan, read.member);
         return std::nullopt;
     }
     auto call = callFor(core_, statement_, core_.leader().term);
     call.write = false;
     call.needsPrimary = read.isPrimary;
-    const auto result = exchange(
-        core_, lock_, read.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
+    const auto result = exchange(core_, lock_, read.member, *checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+        return connection.execute(call, timeout);
+    });
     member->connections.release(*checkout, steadyNow());
     core_.releaseSlot(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr) {
-        core_.router.failed(plan, read.member);
+        core_.router.onReadFailed(plan, read.member);
         return std::nullopt;
     }
     return evaluate(plan, read, *reply);
@@ -123,14 +124,14 @@
         return failedAnswer(errorFor(*reply.refusal, reply.description));
     }
     if (reply.refusal) {
-        core_.router.failed(plan, read.member);
+        core_.router.onReadFailed(plan, read.member);
         return std::nullopt;
     }
     if (!core_.router.verify(plan, read.member, reply.position, steadyNow())) {
         return std::nullopt;
     }
     if (!waitDurable(reply.position)) {
-        core_.router.failed(plan, read.member);
+        core_.router.onReadFailed(plan, read.member);
         return std::nullopt;
     }
     Answer answer;
@@ -148,18 +149,18 @@
     Waiter waiter;
     const WaitList::Entry entry(core_.quorumWaiters, waiter);
     for (;;) {
-        const auto coverage = core_.acks.quorumState(position);
-        if (coverage != QuorumState::Pending || position.index == 0) {
-            return coverage != QuorumState::Superseded;
+        const auto quorum = core_.acks.quorumState(position);
+        if (quorum != QuorumState::Pending || position.index == 0) {
+            return quorum != QuorumState::Superseded;
         }
-        const bool woken = waiter.wait(lock_, deadline_);
-        if (!woken && steadyNow() >= deadline_) {
+        const bool signalled = waiter.wait(lock_, deadline_);
+        if (!signalled && steadyNow() >= deadline_) {
             return false;
         }
     }
 }
 
-void ReadFlow::performAwait(TimePoint until)
+void ReadFlow::performAwaitReplica(TimePoint until)
 {
     Waiter waiter;
     const WaitList::Entry entry(core_.reportWaiters, waiter);
--- a/src/owner/impl/readflow.h
+++ b/src/owner/impl/readflow.h
@@ -1,11 +1,11 @@
-// Carries one read from its arrival to its verified answer.
+// Runs one read, from its arrival to its verified answer.
 #pragma once
 
 #include "owner/impl/flow.h"
 
 namespace cardamomstep::impl {
 
-/// Performs the steps of the ReadRouter for one statement.
+/// Performs the ReadRouter's steps for one statement.
 class ReadFlow
 {
 public:
@@ -15,16 +15,16 @@
     [[nodiscard]] Answer run();
 
 private:
-    /// Checks the session's mark against the group; the error is ErrorKind::TokenAhead.
+    /// Checks the session's log position against the group's; the error is ErrorKind::TokenAhead.
     [[nodiscard]] std::optional<Error> checkToken();
-    /// Has the primary confirmed; an answer when that is not to be had in time.
-    [[nodiscard]] std::optional<Answer> performConfirm();
-    /// Asks one member; an answer when it is fresh enough or final.
+    /// Runs a round of reports that confirms the primary; returns an answer when there is no time left to try again.
+    [[nodiscard]] std::optional<Answer> performCollectReports();
+    /// Sends the read to one member; returns an answer when the reply is fresh enough or an error is final.
     [[nodiscard]] std::optional<Answer> performReadFromMember(ReadPlan &plan, const ReadFromMember &read);
     [[nodiscard]] std::optional<Answer> evaluate(ReadPlan &plan, const ReadFromMember &read, const MemberReply &reply);
-    /// Waits until a majority holds \a mark, so that no promotion drops what the answer shows; false when that cannot be known.
+    /// Waits until a majority has \a position, so that no promotion drops what the answer shows; returns false if that cannot be proved.
     [[nodiscard]] bool waitDurable(const LogPosition &position);
-    void performAwait(TimePoint until);
+    void performAwaitReplica(TimePoint until);
     [[nodiscard]] Answer noPrimary() const;
 
     GroupCore &core_;
--- a/src/owner/impl/transactionflow.cpp
+++ b/src/owner/impl/transactionflow.cpp
@@ -1,4 +1,4 @@
-// Carries the statements of transactions.
+// Runs the statements of transactions.
 #include "owner/impl/transactionflow.h"
 
 #include "owner/impl/writeflow.h"
@@ -9,9 +9,9 @@
 
 namespace {
 
-Answer aborted(const std::string &why)
+Answer aborted(const std::string &reason)
 {
-    return failedAnswer(Error{ErrorKind::TransactionAborted, why}.withRetryAfter(defaultRetryAfter));
+    return failedAnswer(Error{ErrorKind::TransactionAborted, reason}.withRetryAfter(defaultRetryAfter));
 }
 
 } // namespace
@@ -30,9 +30,9 @@
 
 Answer TransactionFlow::begin()
 {
-    const auto room = session_.checkCapacity(core_.options.group);
-    if (!room) {
-        return failedAnswer(room.error());
+    const auto capacity = session_.checkCapacity(core_.options.group);
+    if (!capacity) {
+        return failedAnswer(capacity.error());
     }
     std::optional<PrimaryInfo> primary;
     {
@@ -41,7 +41,7 @@
         const WaitList::Entry entry(core_.primaryWaiters, waiter);
         bool inTime = core_.waitForWrites(lock, deadline_);
         primary = core_.monitor.primary();
-        // A leaving primary is replaced once its transactions are over, so no new one begins there.
+        // A leaving primary is replaced once its transactions have ended, so no new one begins there.
         while (inTime && (!primary || core_.isMarkedLeaving(primary->member))) {
             inTime = waiter.wait(lock, deadline_);
             primary = core_.monitor.primary();
@@ -69,13 +69,14 @@
     }
     auto call = callFor(core_, statement_, primary.term);
     call.needsPrimary = true;
-    const auto result = exchange(
-        core_, lock, primary.member, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.begin(call, timeout); });
+    const auto result = exchange(core_, lock, primary.member, *checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+        return connection.begin(call, timeout);
+    });
     core_.releaseSlot(*ticket);
     const auto *reply = std::get_if<MemberReply>(&result);
     if (reply == nullptr || reply->refusal) {
         member->connections.release(*checkout, steadyNow());
-        return reply == nullptr ? aborted("the connection broke before the transaction began")
+        return reply == nullptr ? aborted("the connection was lost before the transaction began")
                                 : failedAnswer(errorFor(*reply->refusal, reply->description));
     }
     OpenTransaction transaction;
@@ -104,15 +105,16 @@
     if (!use) {
         return failedAnswer(use.error());
     }
-    // No admission: those admitted may be waiting for the connection that this transaction holds.
+    // Bypasses admission: admitted requests may be waiting for the connection that is pinned to this transaction.
     std::unique_lock lock(core_.mutex);
     auto call = callFor(core_, statement_, use->transaction.term);
     call.needsPrimary = true;
     call.requestId = RequestId{};
     call.transaction = use->transaction.memberTransaction;
-    const auto result = exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
-        return link.execute(call, timeout);
-    });
+    const auto result =
+        exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+            return connection.execute(call, timeout);
+        });
     lock.unlock();
     return finishExecute(*use, result);
 }
@@ -123,7 +125,7 @@
     if (reply == nullptr) {
         transactions_.onConnectionLost(use);
         closeConnection(use);
-        return aborted("the connection of the transaction broke");
+        return aborted("the transaction's connection was lost");
     }
     if (reply->refusal == Refusal::StatementFailed) {
         transactions_.end(statement_.transaction);
@@ -173,9 +175,10 @@
     auto call = callFor(core_, statement_, use->transaction.term);
     call.transaction = use->transaction.memberTransaction;
     std::unique_lock lock(core_.mutex);
-    const auto result = exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
-        return link.rollback(call, timeout);
-    });
+    const auto result =
+        exchange(core_, lock, use->transaction.member, use->checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+            return connection.rollback(call, timeout);
+        });
     lock.unlock();
     transactions_.close(statement_.transaction);
     const auto *reply = std::get_if<MemberReply>(&result);
--- a/src/owner/impl/transactionflow.h
+++ b/src/owner/impl/transactionflow.h
@@ -1,4 +1,4 @@
-// Carries the statements of transactions: begin, execute, commit and rollback on one pinned connection.
+// Runs the statements of transactions: begin, execute, commit and rollback on one pinned connection.
 #pragma once
 
 #include "owner/impl/flow.h"
@@ -8,23 +8,23 @@
 
 /// Performs one step of a transaction.
 ///
-/// Nothing of a transaction takes effect before its commit, so every failure before that is answered with Ran::No and closes the
-/// connection, which makes the endpoint roll back.
+/// No part of a transaction takes effect before its commit. So every failure before that is answered with Ran::No; if the
+/// transaction cannot continue, its connection is closed, which makes the endpoint roll back.
 class TransactionFlow
 {
 public:
     TransactionFlow(GroupCore &core, Transactions &transactions, const Statement &statement, SessionToken session, TimePoint deadline);
 
-    /// Opens a transaction on the group's primary.
+    /// Begins a transaction on the group's primary.
     [[nodiscard]] Answer begin();
 
     /// Runs a statement in an open transaction.
     [[nodiscard]] Answer execute();
 
-    /// Ends the transaction with its effects.
+    /// Commits the transaction.
     [[nodiscard]] Answer commit();
 
-    /// Ends the transaction without effects.
+    /// Rolls the transaction back.
     [[nodiscard]] Answer rollback();
 
 private:
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -1,4 +1,4 @@
-// Carries one write from its arrival to its answer.
+// Runs one write, from its arrival to its answer.
 #include "owner/impl/writeflow.h"
 
 #include "requests/fingerprint.h"
@@ -25,33 +25,33 @@
 
 Answer WriteFlow::run()
 {
-    const auto room = session_.checkCapacity(core_.options.group);
-    if (!room) {
-        return failedAnswer(room.error());
+    const auto capacity = session_.checkCapacity(core_.options.group);
+    if (!capacity) {
+        return failedAnswer(capacity.error());
     }
     if (!core_.waitForWrites(lock_, deadline_)) {
-        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are held for a change of primary"}.withRetryAfter(defaultRetryAfter));
+        return failedAnswer(Error{ErrorKind::NoPrimary, "writes are paused for a change of primary"}.withRetryAfter(defaultRetryAfter));
     }
-    return drive(false, [this](const Term &term) { return sendOnce(term); });
+    return runAttempt(false, [this](const Term &term) { return sendOnce(term); });
 }
 
 Answer WriteFlow::commit(const Transactions::Use &use)
 {
     servedBy_ = use.transaction.member;
-    return drive(true, [this, &use](const Term &term) -> ConnectionResult<MemberReply> {
+    return runAttempt(true, [this, &use](const Term &term) -> ConnectionResult<MemberReply> {
         if (term != use.transaction.term) {
             return ConnectionFailure{ConnectionFault::Closed, true, "the transaction's primary was superseded"};
         }
         auto call = callFor(core_, statement_, term);
         call.write = true;
         call.transaction = use.transaction.memberTransaction;
-        return exchange(core_, lock_, servedBy_, use.checkout, deadline_, [&call](auto &link, Milliseconds timeout) {
-            return link.commit(call, timeout);
+        return exchange(core_, lock_, servedBy_, use.checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+            return connection.commit(call, timeout);
         });
     });
 }
 
-Answer WriteFlow::drive(bool isCommit, const Sender &send)
+Answer WriteFlow::runAttempt(bool isCommit, const Sender &send)
 {
     WriteAttempt attempt(requirements(isCommit), core_.retries);
     auto step = attempt.start(core_.leader(), steadyNow());
@@ -59,12 +59,12 @@
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
             return toAnswer(*answer);
         }
-        if (const auto *sending = std::get_if<SendStoreWrite>(&step)) {
-            step = performSend(attempt, sending->term, send);
+        if (const auto *sendStep = std::get_if<SendStoreWrite>(&step)) {
+            step = performSend(attempt, sendStep->term, send);
         } else if (const auto *query = std::get_if<QueryOutcome>(&step)) {
             step = performQueryOutcome(attempt, *query);
-        } else if (const auto *coverage = std::get_if<WaitQuorum>(&step)) {
-            step = performWaitQuorum(attempt, coverage->position);
+        } else if (const auto *quorumWait = std::get_if<WaitQuorum>(&step)) {
+            step = performWaitQuorum(attempt, quorumWait->position);
         } else {
             step = performWaitPrimary(attempt);
         }
@@ -73,26 +73,26 @@
 
 WriteRequirements WriteFlow::requirements(bool isCommit) const
 {
-    WriteRequirements need;
-    need.fingerprint = fingerprintOf(statement_);
-    need.idempotent = statement_.idempotent;
-    need.commit = isCommit;
-    need.deadline = deadline_;
-    return need;
+    WriteRequirements attemptRequirements;
+    attemptRequirements.fingerprint = fingerprintOf(statement_);
+    attemptRequirements.idempotent = statement_.idempotent;
+    attemptRequirements.commit = isCommit;
+    attemptRequirements.deadline = deadline_;
+    return attemptRequirements;
 }
 
 ConnectionResult<MemberReply> WriteFlow::sendOnce(const Term &term)
 {
-    const auto view = core_.monitor.primary();
-    if (!view || view->term != term) {
+    const auto primaryInfo = core_.monitor.primary();
+    if (!primaryInfo || primaryInfo->term != term) {
         return ConnectionFailure{ConnectionFault::Closed, true, "the primary changed before the statement was sent"};
     }
     const auto ticket = core_.admit(lock_, Lane::Primary, statement_.service, deadline_);
     if (!ticket) {
-        refusal_ = ticket.error();
+        admissionError_ = ticket.error();
         return ConnectionFailure{ConnectionFault::NoConnection, true, ticket.error().description};
     }
-    servedBy_ = view->member;
+    servedBy_ = primaryInfo->member;
     auto *member = core_.find(servedBy_);
     const auto checkout = member->connections.acquire(lock_, deadline_);
     if (!checkout) {
@@ -100,8 +100,9 @@
         return ConnectionFailure{ConnectionFault::NoConnection, true, checkout.error().description};
     }
     const auto call = callFor(core_, statement_, term);
-    auto result = exchange(
-        core_, lock_, servedBy_, *checkout, deadline_, [&call](auto &link, Milliseconds timeout) { return link.execute(call, timeout); });
+    auto result = exchange(core_, lock_, servedBy_, *checkout, deadline_, [&call](auto &connection, Milliseconds timeout) {
+        return connection.execute(call, timeout);
+    });
     member->connections.release(*checkout, steadyNow());
     core_.releaseSlot(*ticket);
     return result;
@@ -117,15 +118,15 @@
     const auto &failure = std::get<ConnectionFailure>(result);
     (void)attempt.primaryChanged(core_.leader(), now);
     auto step = attempt.sendFailed(failure, now);
-    // A refusal by admission is final: it names when to come back.
+    // A refusal by admission is final unless the request was sent before; the error says when to retry.
     const bool sentBefore = attempt.sends() > 1;
-    if (refusal_ && !sentBefore) {
+    if (admissionError_ && !sentBefore) {
         AnswerWrite answer;
         answer.ran = Ran::No;
-        answer.error = refusal_;
+        answer.error = admissionError_;
         return answer;
     }
-    // After an unsent try, look again at who is primary.
+    // The request was not sent: check for a new primary before the next attempt.
     return std::holds_alternative<SendStoreWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
@@ -136,44 +137,44 @@
         const WaitList::Entry entry(core_.primaryWaiters, waiter);
         waiter.wait(lock_, std::min(query.notBefore, deadline_));
     }
-    // The news may be only that the start of the same term is covered: then the question is asked now, not put off again.
+    // The change may only be that the start entry of the same term is replicated; then the query is sent now, not delayed again.
     auto current = attempt.primaryChanged(core_.leader(), steadyNow());
-    const auto *stillAsked = std::get_if<QueryOutcome>(&current);
-    if (stillAsked == nullptr || stillAsked->term != query.term) {
+    const auto *currentQuery = std::get_if<QueryOutcome>(&current);
+    if (currentQuery == nullptr || currentQuery->term != query.term) {
         return current;
     }
-    const auto view = core_.monitor.primary();
-    if (!view || view->term != query.term) {
+    const auto primaryInfo = core_.monitor.primary();
+    if (!primaryInfo || primaryInfo->term != query.term) {
         return attempt.onOutcomeFailed(steadyNow());
     }
-    const auto *member = core_.find(view->member);
-    HttpControlConnection link(member->address, core_.options.identity);
+    const auto *member = core_.find(primaryInfo->member);
+    HttpControlConnection connection(member->address, core_.options.identity);
     const auto sentAt = steadyNow();
     lock_.unlock();
-    const auto result =
-        link.outcome(statement_.requestId, std::min(outcomeTimeout, std::max(Milliseconds{1}, wholeMilliseconds(deadline_ - sentAt))));
+    const auto result = connection.outcome(statement_.requestId,
+                                           std::min(outcomeTimeout, std::max(Milliseconds{1}, wholeMilliseconds(deadline_ - sentAt))));
     lock_.lock();
     const auto *reply = std::get_if<OutcomeReply>(&result);
     if (reply == nullptr) {
         return attempt.onOutcomeFailed(steadyNow());
     }
-    core_.onState(view->member, reply->report.log, reply->report.adopted, sentAt);
+    core_.onState(primaryInfo->member, reply->report.log, reply->report.adopted, sentAt);
     return attempt.onOutcome(*reply, steadyNow());
 }
 
 WriteStep WriteFlow::performWaitQuorum(WriteAttempt &attempt, const LogPosition &position)
 {
     Waiter waiter;
-    const WaitList::Entry forCoverage(core_.quorumWaiters, waiter);
-    const WaitList::Entry forPrimary(core_.primaryWaiters, waiter);
+    const WaitList::Entry quorumEntry(core_.quorumWaiters, waiter);
+    const WaitList::Entry primaryEntry(core_.primaryWaiters, waiter);
     for (;;) {
         const auto now = steadyNow();
-        const auto coverage = core_.acks.quorumState(position);
-        if (coverage == QuorumState::Replicated) {
+        const auto quorum = core_.acks.quorumState(position);
+        if (quorum == QuorumState::Replicated) {
             return attempt.replicated(position);
         }
         const auto leader = core_.leader();
-        if (coverage == QuorumState::Superseded || leader.term > position.term) {
+        if (quorum == QuorumState::Superseded || leader.term > position.term) {
             auto step = attempt.primaryChanged(leader, now);
             if (!std::holds_alternative<WaitQuorum>(step)) {
                 return step;
@@ -192,7 +193,7 @@
     Waiter waiter;
     const WaitList::Entry entry(core_.primaryWaiters, waiter);
     for (;;) {
-        // The primary may have changed while the lock was released, before this thread was in the list.
+        // The primary may have changed while the lock was released, before this thread joined the list.
         auto step = attempt.primaryChanged(core_.leader(), steadyNow());
         if (!std::holds_alternative<WaitPrimary>(step)) {
             return step;
--- a/src/owner/impl/writeflow.h
+++ b/src/owner/impl/writeflow.h
@@ -1,4 +1,4 @@
-// Carries one write, or the commit of a transaction, from its arrival to its answer.
+// Runs one write, or the commit of a transaction, from its arrival to its answer.
 #pragma once
 
 #include "owner/impl/flow.h"
@@ -8,23 +8,23 @@
 
 namespace cardamomstep::impl {
 
-/// Performs the steps of a WriteAttempt for one statement.
+/// Performs a WriteAttempt's steps for one statement.
 class WriteFlow
 {
 public:
     WriteFlow(GroupCore &core, const Statement &statement, SessionToken session, TimePoint deadline);
 
-    /// Runs a statement on its own.
+    /// Runs a write outside a transaction.
     [[nodiscard]] Answer run();
 
-    /// Commits the transaction that \a use holds.
+    /// Commits the transaction of \a use.
     [[nodiscard]] Answer commit(const Transactions::Use &use);
 
 private:
-    /// Sends the request once to the primary of a term.
+    /// Sends the request once to the primary of the given term.
     using Sender = std::function<ConnectionResult<MemberReply>(const Term &)>;
 
-    [[nodiscard]] Answer drive(bool isCommit, const Sender &send);
+    [[nodiscard]] Answer runAttempt(bool isCommit, const Sender &send);
     [[nodiscard]] WriteRequirements requirements(bool isCommit) const;
     [[nodiscard]] ConnectionResult<MemberReply> sendOnce(const Term &term);
     [[nodiscard]] WriteStep performSend(WriteAttempt &attempt, const Term &term, const Sender &send);
@@ -39,8 +39,8 @@
     TimePoint deadline_;
     std::unique_lock<std::mutex> lock_;
     MemberName servedBy_;
-    /// Set when admission refused the request, which then did not run.
-    std::optional<Error> refusal_;
+    /// The error of a refusal by admission; that attempt was not sent.
+    std::optional<Error> admissionError_;
 };
 
 } // namespace cardamomstep::impl
--- a/src/owner/memberconnections.cpp
+++ b/src/owner/memberconnections.cpp
@@ -42,8 +42,8 @@
         if (const auto *open = std::get_if<OpenConnection>(&step)) {
             return openNew(lock, open->key, deadline);
         }
-        if (const auto *none = std::get_if<NoConnection>(&step)) {
-            return none->error;
+        if (const auto *unavailable = std::get_if<NoConnection>(&step)) {
+            return unavailable->error;
         }
         const WaitList::Entry entry(waiting_, waiter);
         waiter.wait(lock, std::get<AwaitConnection>(step).until);
--- a/src/owner/memberconnections.h
+++ b/src/owner/memberconnections.h
@@ -14,9 +14,9 @@
 
 namespace cardamomstep {
 
-/// Connections to one member: the pool's decisions with the links that belong to them.
+/// The connections to one member; a ConnectionPool decides which of them to open, reuse and close.
 ///
-/// All functions are called with the group's lock held.
+/// All functions must be called with the group's lock held.
 class MemberConnections
 {
 public:
@@ -28,34 +28,34 @@
 
     MemberConnections(const Address &remote, const ConnectionIdentity &identity);
 
-    /// Sets how many connections may be open.
+    /// Sets how many connections may be open at once.
     void setAllowed(std::uint32_t allowed, TimePoint now);
 
-    /// Takes a connection, opening or waiting for one until \a deadline; releases \a lock meanwhile.
+    /// Checks out a connection: reuses an idle one, opens one or waits for one until \a deadline. Releases \a lock while it blocks.
     [[nodiscard]] Result<CheckedOutConnection> acquire(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
-    /// Gives a connection back after a whole exchange, or closes it when the link broke.
+    /// Releases a connection after a complete exchange; closes it if the exchange broke it.
     void release(const CheckedOutConnection &checkout, TimePoint now);
 
     /// Closes a connection, whatever state it is in.
     void close(ConnectionKey key);
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections whose idle timeout has passed.
     void closeIdle(TimePoint now);
 
-    /// Longest time that an answer is waited for before the connection counts as silent.
+    /// Returns the longest wait for a reply before the connection counts as silent.
     [[nodiscard]] Milliseconds replyTimeout() const noexcept;
 
-    /// Notes the begin of an exchange.
+    /// Records the start of an exchange.
     void onExchangeStarted(ConnectionKey key, TimePoint now);
 
-    /// Notes the whole answer to an exchange.
+    /// Records the complete reply of an exchange.
     void onReply(ConnectionKey key, TimePoint now);
 
-    /// Requests that use a connection now.
+    /// Returns the number of connections that are in use or being opened.
     [[nodiscard]] std::uint32_t inUse() const noexcept;
 
-    /// True while a request waits for a connection.
+    /// Returns true while a request waits for a connection.
     [[nodiscard]] bool hasWaiters() const noexcept
     {
         return !waiting_.empty();
@@ -78,7 +78,7 @@
     ConnectionIdentity identity_;
     ConnectionPool pool_;
     SilenceDetector silence_;
-    /// Links of all open connections; opening ones have none yet.
+    /// All open connections; those that are still being opened are not in it.
     std::map<ConnectionKey, std::shared_ptr<HttpStatementConnection>> connections_;
     WaitList waiting_;
 };
--- a/src/owner/options.h
+++ b/src/owner/options.h
@@ -1,4 +1,4 @@
-// What the owner of a group is told, and whom it tells.
+// The configuration of a group's owner and the handlers that it calls.
 #pragma once
 
 #include "base/ids.h"
@@ -17,35 +17,35 @@
 
 namespace cardamomstep {
 
-/// The configuration of one group, as its owner needs it.
+/// The configuration of one group and of this proxy's ownership of it.
 struct GroupOwnerOptions {
     GroupName group;
     std::vector<GroupMember> members;
-    /// Statements that each member runs at once.
+    /// The number of statements that each member runs at once.
     std::uint32_t slots = 1;
-    /// Most connections to each member, over all proxies.
+    /// The maximum number of connections to each member, over all proxies.
     std::uint32_t maxConnections = 1;
-    /// Guaranteed parts of the services that use this group.
+    /// The guaranteed shares of the services that use this group.
     std::vector<ServiceShare> shares;
     ConnectionIdentity identity;
     GroupPolicy policy;
-    /// Place of this proxy among the group's owners; 0 acts first.
+    /// The rank of this proxy among the group's owners; rank 0 acts first.
     unsigned rank = 0;
     /// All owners of the group, this one included.
     std::vector<InstanceName> owners;
-    /// Differs between processes and starts.
+    /// The seed of random numbers; must differ between processes and between their starts.
     std::uint64_t seed = 1;
-    /// Where to record the monitor's inputs and actions; nothing is recorded when empty.
+    /// The file that records the monitor's inputs and actions; empty records nothing.
     std::string traceFile;
 };
 
-/// What an owner tells the rest of the process; called with the group's lock held, so they must not call back or block.
+/// Callbacks of a group's owner. They are called with the group's lock held, so they must not block or call the owner.
 struct GroupOwnerHandlers {
     std::function<void(const GroupName &, const PrimaryChanged &)> primaryChanged;
     std::function<void(const GroupName &, const AuditEvent &)> auditEvent;
-    /// The group's other owners should be asked for their sightings.
+    /// Query the group's other owners for their observations.
     std::function<void(const GroupName &)> queryPeers;
-    /// Other owners should hold writes for this long; zero releases them.
+    /// Have the other owners pause writes for this long; zero resumes them.
     std::function<void(const GroupName &, Milliseconds)> pausePeerWrites;
 };
 
--- a/src/owner/transactions.cpp
+++ b/src/owner/transactions.cpp
@@ -1,4 +1,4 @@
-// The open transactions of one proxy, with the connections that they hold.
+// The open transactions of one proxy and the connections pinned to them.
 #include "owner/transactions.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 Result<TransactionId> Transactions::open(OpenTransaction transaction, const MemberConnections::CheckedOutConnection &checkout)
 {
     const std::lock_guard lock(mutex_);
-    transaction.connection = nextPin_++;
+    transaction.connection = nextPinKey_++;
     const auto opened = registry_.open(std::move(transaction), steadyNow());
     if (!opened) {
         return opened.error();
@@ -57,8 +57,8 @@
 {
     const std::lock_guard lock(mutex_);
     std::vector<Use> expired;
-    for (const auto &ended : registry_.wake(steadyNow())) {
-        if (const auto use = unpin(ended)) {
+    for (const auto &closing : registry_.wake(steadyNow())) {
+        if (const auto use = unpin(closing)) {
             expired.push_back(*use);
         }
     }
@@ -68,13 +68,13 @@
 std::optional<Transactions::Use> Transactions::evictIdle(const GroupName &group)
 {
     const std::lock_guard lock(mutex_);
-    const auto yielded = registry_.evictIdle(group, steadyNow());
-    return yielded ? unpin(*yielded) : std::nullopt;
+    const auto evicted = registry_.evictIdle(group, steadyNow());
+    return evicted ? unpin(*evicted) : std::nullopt;
 }
 
-std::optional<Transactions::Use> Transactions::unpin(const CloseTransaction &ended)
+std::optional<Transactions::Use> Transactions::unpin(const CloseTransaction &closing)
 {
-    const auto found = pinned_.find(ended.id);
+    const auto found = pinned_.find(closing.id);
     if (found == pinned_.end()) {
         return std::nullopt;
     }
--- a/src/owner/transactions.h
+++ b/src/owner/transactions.h
@@ -1,4 +1,4 @@
-// The open transactions of one proxy, with the connections that they hold.
+// The open transactions of one proxy and the connections pinned to them.
 #pragma once
 
 #include "owner/fwd.h"
@@ -11,11 +11,11 @@
 
 namespace cardamomstep {
 
-/// Transactions of all groups that this proxy owns; safe for use by many threads.
+/// The transactions of all groups that this proxy owns; safe for use by many threads.
 class Transactions
 {
 public:
-    /// A statement's hold on its transaction.
+    /// A transaction and its connection, for the statement that runs in it or for the code that ends it.
     struct Use {
         OpenTransaction transaction;
         MemberConnections::CheckedOutConnection checkout;
@@ -23,31 +23,31 @@
 
     Transactions(InstanceName owner, std::uint64_t seed);
 
-    /// Adds a transaction that holds \a lease; errors as of TransactionRegistry::open().
+    /// Adds a transaction and pins \a checkout to it; errors are those of TransactionRegistry::open().
     [[nodiscard]] Result<TransactionId> open(OpenTransaction transaction, const MemberConnections::CheckedOutConnection &checkout);
 
-    /// Begins a statement of \a id; errors as of TransactionRegistry::beginStatement().
+    /// Begins a statement in transaction \a id; errors are those of TransactionRegistry::beginStatement().
     [[nodiscard]] Result<Use> begin(const TransactionId &id);
 
-    /// Ends a statement of \a id that left it open.
+    /// Ends a statement in transaction \a id, which stays open.
     void end(const TransactionId &id);
 
-    /// Removes \a id, which has ended; its connection may be given back.
+    /// Removes transaction \a id, which has ended; the caller releases or closes its connection.
     void close(const TransactionId &id);
 
-    /// Takes in that the connection of \a use broke: the endpoint rolls the transaction back.
+    /// Removes the transaction of \a use, whose connection was lost: the endpoint rolls it back.
     void onConnectionLost(const Use &use);
 
-    /// Removes transactions over their limits; their connections must be closed.
+    /// Removes and returns transactions that exceeded a time limit; their connections must be closed.
     [[nodiscard]] std::vector<Use> expire();
 
-    /// Removes the longest idle transaction of \a group, see TransactionRegistry::yieldIdle(); its connection must be closed.
+    /// Removes and returns the longest idle transaction of \a group, see TransactionRegistry::evictIdle(); its connection must be closed.
     [[nodiscard]] std::optional<Use> evictIdle(const GroupName &group);
 
-    /// The group of an open transaction; none when it is not open.
+    /// Returns the group of an open transaction; nothing when it is not open.
     [[nodiscard]] std::optional<GroupName> groupOf(const TransactionId &id);
 
-    /// Open transactions of \a group.
+    /// Returns the number of open transactions of \a group.
     [[nodiscard]] std::size_t countOf(const GroupName &group) const;
 
     [[nodiscard]] std::size_t size();
@@ -62,8 +62,8 @@
 
     mutable std::mutex mutex_;
     TransactionRegistry registry_;
-    /// Process-wide names of pinned connections; pools of different members reuse theirs.
-    ConnectionKey nextPin_ = 1;
+    /// The next key of a pinned connection. Keys are unique in the process, unlike the keys that each member's pool gives out.
+    ConnectionKey nextPinKey_ = 1;
     std::map<TransactionId, Pinned> pinned_;
 };
 
--- a/src/owner/waiter.h
+++ b/src/owner/waiter.h
@@ -1,4 +1,4 @@
-// How a request's thread waits for one thing to happen, without waking the threads that wait for others.
+// Lets a request's thread wait for one kind of event without waking the threads that wait for others.
 #pragma once
 
 #include "base/time.h"
@@ -11,7 +11,7 @@
 
 namespace cardamomstep {
 
-/// One waiting thread; signalled under the mutex that it waits with.
+/// One waiting thread; signal() must be called with the mutex held that the thread waits with.
 class Waiter
 {
 public:
@@ -22,13 +22,13 @@
         condition_.notify_one();
     }
 
-    /// Waits for signal() or until \a until; true when it was signalled.
+    /// Waits for signal() or until \a until; returns true if signal() was called.
     bool wait(std::unique_lock<std::mutex> &lock, TimePoint until)
     {
         const auto deadline = std::chrono::steady_clock::time_point(until.time_since_epoch());
-        const bool woken = condition_.wait_until(lock, deadline, [this] { return signalled_; });
+        const bool signalledInTime = condition_.wait_until(lock, deadline, [this] { return signalled_; });
         signalled_ = false;
-        return woken;
+        return signalledInTime;
     }
 
 private:
@@ -40,7 +40,7 @@
 class WaitList
 {
 public:
-    /// Keeps a waiter in a list for as long as this lives.
+    /// Keeps a waiter in a list for the lifetime of this object.
     class Entry
     {
     public:
--- a/src/sessions/freshness.cpp
+++ b/src/sessions/freshness.cpp
@@ -13,25 +13,25 @@
         return std::nullopt;
     }
     const auto missing = members - std::min(members, logs.size());
-    const auto place = logs.begin() + static_cast<std::ptrdiff_t>(majority - missing - 1);
-    std::nth_element(logs.begin(), place, logs.end(), std::greater<>{});
-    return *place;
+    const auto lowestCovering = logs.begin() + static_cast<std::ptrdiff_t>(majority - missing - 1);
+    std::nth_element(logs.begin(), lowestCovering, logs.end(), std::greater<>{});
+    return *lowestCovering;
 }
 
-void FreshnessHistory::confirm(TimePoint began, const LogPosition &bound)
+void FreshnessHistory::confirm(TimePoint roundStart, const LogPosition &bound)
 {
-    if (positions_.size() > 0 && began < positions_.last().time) {
+    if (positions_.size() > 0 && roundStart < positions_.last().time) {
         return;
     }
-    // What was acknowledged before an earlier round lies within this mark too, so a higher one of an earlier round is not needed.
+    // This bound also covers what was acknowledged before earlier rounds, so their entries with a higher position are dropped.
     while (positions_.size() > 0 && positions_.last().position > bound) {
         positions_.removeLast();
     }
-    if (positions_.size() > 0 && (positions_.last().position == bound || positions_.last().time == began)) {
-        positions_.last().time = began;
+    if (positions_.size() > 0 && (positions_.last().position == bound || positions_.last().time == roundStart)) {
+        positions_.last().time = roundStart;
         return;
     }
-    positions_.append(began, bound);
+    positions_.append(roundStart, bound);
 }
 
 } // namespace cardamomstep
--- a/src/sessions/fwd.h
+++ b/src/sessions/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the sessions slice.
+// Forward declarations of the sessions module.
 #pragma once
 
 #include <cstdint>
--- a/src/sessions/impl/percent.cpp
+++ b/src/sessions/impl/percent.cpp
@@ -11,10 +11,11 @@
 constexpr unsigned lowNibble = 0x0fU;
 constexpr std::size_t escapeLength = 3;
 
-bool isPlain(char letter)
+bool isPlain(char character)
 {
-    const bool alphanumeric = (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') || (letter >= '0' && letter <= '9');
-    return alphanumeric || letter == '-' || letter == '_' || letter == '.';
+    const bool alphanumeric =
+        (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') || (character >= '0' && character <= '9');
+    return alphanumeric || character == '-' || character == '_' || character == '.';
 }
 
 } // namespace
@@ -22,12 +23,12 @@
 std::string percentEncoded(std::string_view text)
 {
     std::string encoded;
-    for (const char letter : text) {
-        if (isPlain(letter)) {
-            encoded += letter;
+    for (const char character : text) {
+        if (isPlain(character)) {
+            encoded += character;
             continue;
         }
-        const auto byte = static_cast<unsigned char>(letter);
+        const auto byte = static_cast<unsigned char>(character);
         encoded += '%';
         encoded += hexDigits[byte >> 4U];
         encoded += hexDigits[byte & lowNibble];
@@ -38,30 +39,30 @@
 std::optional<std::string> percentDecoded(std::string_view text)
 {
     std::string decoded;
-    std::size_t at = 0;
-    while (at < text.size()) {
-        if (text[at] != '%') {
-            if (!isPlain(text[at])) {
+    std::size_t index = 0;
+    while (index < text.size()) {
+        if (text[index] != '%') {
+            if (!isPlain(text[index])) {
                 return std::nullopt;
             }
-            decoded += text[at];
-            ++at;
+            decoded += text[index];
+            ++index;
             continue;
         }
-        if (at + escapeLength > text.size()) {
+        if (index + escapeLength > text.size()) {
             return std::nullopt;
         }
-        const auto high = hexDigits.find(text[at + 1]);
-        const auto low = hexDigits.find(text[at + 2]);
+        const auto high = hexDigits.find(text[index + 1]);
+        const auto low = hexDigits.find(text[index + 2]);
         if (high == std::string_view::npos || low == std::string_view::npos) {
             return std::nullopt;
         }
-        const auto letter = static_cast<char>(high * hexDigits.size() + low);
-        if (isPlain(letter)) {
+        const auto character = static_cast<char>(high * hexDigits.size() + low);
+        if (isPlain(character)) {
             return std::nullopt;
         }
-        decoded += letter;
-        at += escapeLength;
+        decoded += character;
+        index += escapeLength;
     }
     return decoded;
 }
--- a/src/sessions/impl/percent.h
+++ b/src/sessions/impl/percent.h
@@ -7,10 +7,10 @@
 
 namespace cardamomstep::impl {
 
-/// \a text with all but letters, digits, `-`, `_` and `.` written as `%XX`.
+/// Returns \a text with every byte other than letters, digits, `-`, `_` and `.` written as `%XX`.
 [[nodiscard]] std::string percentEncoded(std::string_view text);
 
-/// Reads what percentEncoded() wrote; nothing for any other text.
+/// Decodes text that percentEncoded() returned; returns nothing for any other text.
 [[nodiscard]] std::optional<std::string> percentDecoded(std::string_view text);
 
 } // namespace cardamomstep::impl
--- a/src/sessions/impl/timedpositions.cpp
+++ b/src/sessions/impl/timedpositions.cpp
@@ -1,4 +1,4 @@
-// A bounded series of times and rising log marks.
+// A bounded series of times and ascending log positions.
 #include "sessions/impl/timedpositions.h"
 
 #include <algorithm>
@@ -17,12 +17,12 @@
 void TimedPositions::dropDensest(TimePoint now)
 {
     std::size_t densest = 1;
-    double least = 0;
+    double lowestRatio = 0;
     for (std::size_t index = 1; index + 1 < size_; ++index) {
         const auto gap = static_cast<double>((pairs_[index + 1].time - pairs_[index - 1].time).count());
         const auto age = static_cast<double>((now - pairs_[index - 1].time).count()) + 1;
-        if (index == 1 || gap / age < least) {
-            least = gap / age;
+        if (index == 1 || gap / age < lowestRatio) {
+            lowestRatio = gap / age;
             densest = index;
         }
     }
@@ -33,22 +33,22 @@
 std::optional<LogPosition> TimedPositions::positionAt(TimePoint time) const noexcept
 {
     const auto *end = pairs_.data() + size_;
-    const auto *place = std::lower_bound(pairs_.data(), end, time, [](const Pair &pair, TimePoint wanted) { return pair.time < wanted; });
-    if (place == end) {
+    const auto *found = std::lower_bound(pairs_.data(), end, time, [](const Pair &pair, TimePoint wanted) { return pair.time < wanted; });
+    if (found == end) {
         return std::nullopt;
     }
-    return place->position;
+    return found->position;
 }
 
 std::optional<TimePoint> TimedPositions::timeOf(const LogPosition &position) const noexcept
 {
     const auto *end = pairs_.data() + size_;
-    const auto *place =
+    const auto *found =
         std::lower_bound(pairs_.data(), end, position, [](const Pair &pair, const LogPosition &wanted) { return pair.position < wanted; });
-    if (place == end) {
+    if (found == end) {
         return std::nullopt;
     }
-    return place->time;
+    return found->time;
 }
 
 } // namespace cardamomstep::impl
--- a/src/sessions/impl/timedpositions.h
+++ b/src/sessions/impl/timedpositions.h
@@ -1,4 +1,4 @@
-// A bounded series of times and rising log marks, fine for recent times and coarse for old ones.
+// A bounded series of times and ascending log positions, dense for recent times and sparse for old ones.
 #pragma once
 
 #include "base/logposition.h"
@@ -10,13 +10,13 @@
 
 namespace cardamomstep::impl {
 
-/// Holds (time, mark) pairs in which both rise.
+/// A series of (time, log position) pairs in which both ascend.
 ///
-/// When it is full, the pair is dropped whose neighbours lie closest together in proportion to their age.
+/// When the series is full, the pair is dropped whose neighbours are closest together in time relative to their age.
 class TimedPositions
 {
 public:
-    /// Pairs kept.
+    /// The maximum number of pairs.
     static constexpr std::size_t capacity = 48;
 
     struct Pair {
@@ -24,16 +24,16 @@
         LogPosition position;
     };
 
-    /// Adds a pair at the end; \a time must not lie before the last one and \a mark must lie above it.
+    /// Appends a pair; \a time must not be before the last time and \a position must be above the last position.
     void append(TimePoint time, const LogPosition &position);
 
-    /// Removes the last pair.
+    /// Removes the last pair; only when size() is not 0.
     void removeLast() noexcept
     {
         --size_;
     }
 
-    /// The last pair, to be changed; only when size() is not 0.
+    /// The last pair; only when size() is not 0.
     [[nodiscard]] Pair &last() noexcept
     {
         return pairs_[size_ - 1];
@@ -43,10 +43,10 @@
         return pairs_[size_ - 1];
     }
 
-    /// The mark of the first pair at or after \a time.
+    /// Returns the log position of the first pair at or after \a time; nothing when there is none.
     [[nodiscard]] std::optional<LogPosition> positionAt(TimePoint time) const noexcept;
 
-    /// The time of the first pair whose mark is at or beyond \a mark.
+    /// Returns the time of the first pair at or beyond \a position; nothing when there is none.
     [[nodiscard]] std::optional<TimePoint> timeOf(const LogPosition &position) const noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept
@@ -57,7 +57,7 @@
 private:
     void dropDensest(TimePoint now);
 
-    /// Invariant: the first size_ pairs ascend in time and mark.
+    /// Invariant: the first size_ pairs ascend in time and log position.
     std::array<Pair, capacity> pairs_;
     std::size_t size_ = 0;
 };
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-/// Ages beyond this are treated as this one.
-constexpr Milliseconds longestAge = std::chrono::hours{24};
-/// When to come back after no member was fresh enough or no primary was known.
+/// Greater accepted ages are treated as this one.
+constexpr Milliseconds maxAcceptedAge = std::chrono::hours{24};
+/// The retry-after of reads for which no member was fresh enough or no primary was known.
 constexpr Milliseconds retryAfterNotFresh{50};
-constexpr Microseconds shortestWait{1'000};
+constexpr Microseconds minReplicaWait{1'000};
 constexpr double lagMargin = 2;
-/// A stale answer adds this part of the lag that it proves.
-constexpr int staleRaiseDivisor = 4;
+/// A stale reply raises the lag estimate to the lag that it proves plus this fraction (1/N) of it.
+constexpr int staleLagRaiseDivisor = 4;
 
 std::uint32_t bitOf(std::size_t index)
 {
@@ -74,10 +74,10 @@
     primary_ = maxMembers;
 }
 
-void ReadRouter::confirm(TimePoint began, const LogPosition &bound)
+void ReadRouter::confirm(TimePoint roundStart, const LogPosition &bound)
 {
-    history_.confirm(began, bound);
-    recordPrimaryPosition(bound, began);
+    history_.confirm(roundStart, bound);
+    recordPrimaryPosition(bound, roundStart);
     highestReported_ = std::max(highestReported_, bound);
 }
 
@@ -144,14 +144,14 @@
     found->position = position;
     found->positionObservedAt = now;
     if (plan.required_) {
-        const auto reached = primaryPositions_.timeOf(*plan.required_).value_or(now);
-        const auto proved = now - found->roundTrip / 2 - reached;
-        found->lag.raiseTo(proved + proved / staleRaiseDivisor);
+        const auto primaryReachedAt = primaryPositions_.timeOf(*plan.required_).value_or(now);
+        const auto provenLag = now - found->roundTrip / 2 - primaryReachedAt;
+        found->lag.raiseTo(provenLag + provenLag / staleLagRaiseDivisor);
     }
     return false;
 }
 
-void ReadRouter::failed(ReadPlan &plan, const MemberName &member)
+void ReadRouter::onReadFailed(ReadPlan &plan, const MemberName &member)
 {
     const auto index = indexOf(member);
     if (index < members_.size()) {
@@ -215,7 +215,7 @@
                                     "the session token names " + toText(*requirements.sessionPosition) + ", beyond the group's log"}};
         }
     }
-    const auto age = std::min(requirements.acceptedAge.value_or(Milliseconds{0}), longestAge);
+    const auto age = std::min(requirements.acceptedAge.value_or(Milliseconds{0}), maxAcceptedAge);
     const auto covering = history_.positionCovering(requirements.arrived - age);
     if (!covering) {
         return CollectReports{};
@@ -242,8 +242,8 @@
         const auto &member = members_[index];
         auto cost = costOf(member);
         if (member.position < *plan.required_) {
-            const bool likely = expectedAt(member, *plan.required_, now) <= now + member.roundTrip / 2;
-            if (!likely || (plan.staleMembers_ & bitOf(index)) != 0) {
+            const bool likelyFresh = expectedAt(member, *plan.required_, now) <= now + member.roundTrip / 2;
+            if (!likelyFresh || (plan.staleMembers_ & bitOf(index)) != 0) {
                 continue;
             }
             cost += limits_.stalePenalty;
@@ -276,7 +276,7 @@
             continue;
         }
         const auto expected =
-            std::max(expectedAt(members_[index], *plan.required_, now), now + std::max(shortestWait, members_[index].roundTrip / 2));
+            std::max(expectedAt(members_[index], *plan.required_, now), now + std::max(minReplicaWait, members_[index].roundTrip / 2));
         if (expected <= waitEnd && (!earliest || expected < *earliest)) {
             earliest = expected;
         }
@@ -291,37 +291,37 @@
 {
     if (now + limits_.stalePenalty >= plan.requirements_.deadline) {
         return GiveUpRead{
-            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh answer came"}.withRetryAfter(retryAfterNotFresh)};
+            Error{ErrorKind::WindowTooShort, "the read's window ended before a fresh reply arrived"}.withRetryAfter(retryAfterNotFresh)};
     }
     if (primary_ >= members_.size()) {
         return GiveUpRead{
             Error{ErrorKind::NoPrimary, "no replica is fresh enough and there is no primary"}.withRetryAfter(retryAfterNotFresh)};
     }
-    return GiveUpRead{Error{ErrorKind::NotFresh, "no member gave a fresh answer"}.withRetryAfter(retryAfterNotFresh)};
+    return GiveUpRead{Error{ErrorKind::NotFresh, "no member returned a fresh reply"}.withRetryAfter(retryAfterNotFresh)};
 }
 
 TimePoint ReadRouter::expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept
 {
-    const auto reached = primaryPositions_.timeOf(wanted).value_or(now);
-    const auto usual = reached + member.lag.withMargin(lagMargin);
-    if (usual >= member.positionObservedAt) {
-        return usual;
+    const auto primaryReachedAt = primaryPositions_.timeOf(wanted).value_or(now);
+    const auto typical = primaryReachedAt + member.lag.withMargin(lagMargin);
+    if (typical >= member.positionObservedAt) {
+        return typical;
     }
-    // It is late already: the longer it has been late, the longer it is likely to stay so.
-    return member.positionObservedAt + (member.positionObservedAt - usual) / 2 + member.roundTrip;
+    // The member is overdue: the longer it has been overdue, the longer it is likely to remain so.
+    return member.positionObservedAt + (member.positionObservedAt - typical) / 2 + member.roundTrip;
 }
 
 Microseconds ReadRouter::costOf(const Member &member) const noexcept
 {
-    const auto inFront = member.inFlight < member.slots ? 0U : member.inFlight - member.slots + 1;
-    return member.roundTrip + inFront * limits_.queuePenalty;
+    const auto requestsAhead = member.inFlight < member.slots ? 0U : member.inFlight - member.slots + 1;
+    return member.roundTrip + requestsAhead * limits_.queuePenalty;
 }
 
 void ReadRouter::recordPosition(Member &member, const LogPosition &position, TimePoint now)
 {
     if (member.positionKnown && position > member.position) {
-        const auto reached = primaryPositions_.timeOf(position).value_or(now);
-        member.lag.observe(std::max(Microseconds{0}, now - reached));
+        const auto primaryReachedAt = primaryPositions_.timeOf(position).value_or(now);
+        member.lag.observe(std::max(Microseconds{0}, now - primaryReachedAt));
     }
     member.positionKnown = true;
     member.position = position;
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -1,4 +1,4 @@
-// Chooses the member that answers a read and verifies that its answer is fresh enough.
+// Chooses the member that runs a read and verifies that its reply is fresh enough.
 #pragma once
 
 #include "base/ids.h"
@@ -18,19 +18,19 @@
 
 namespace cardamomstep {
 
-/// What one read asks of the data it sees.
+/// How fresh the data of one read must be, and until when the read must be answered.
 struct ReadRequirements {
-    /// The session's mark in this group; nothing when it has not written there.
+    /// The log position of the session's last write in this group; nothing when it has not written there.
     std::optional<LogPosition> sessionPosition;
-    /// Age of data that the caller accepts, counted back from `arrived`; without it the read is current.
+    /// The age of data that the caller accepts, counted back from `arrived`; without it the read must be current.
     std::optional<Milliseconds> acceptedAge;
     /// When the read arrived at this process.
     TimePoint arrived;
-    /// When the answer must have left.
+    /// The time by which the answer must have been sent.
     TimePoint deadline;
 };
 
-/// Collect reports in a round that begins now, hand its acknowledgedBound() to ReadRouter::confirm(), then route again.
+/// Collect reports in a round that begins now, pass its acknowledgedBound() to ReadRouter::confirm(), then route again.
 struct CollectReports {
     [[nodiscard]] bool operator==(const CollectReports &) const = default;
 };
@@ -39,20 +39,20 @@
 struct ReadFromMember {
     MemberName member;
     bool isPrimary = false;
-    /// The reply's mark must reach this.
+    /// The lowest log position that the reply may have.
     LogPosition required;
 
     [[nodiscard]] bool operator==(const ReadFromMember &) const = default;
 };
 
-/// Route again when a report arrives, at the latest at `until`: a replica is about to be fresh enough.
+/// Route again when a report arrives, at the latest at `until`: a replica is expected to be fresh enough by then.
 struct AwaitReplica {
     TimePoint until;
 
     [[nodiscard]] bool operator==(const AwaitReplica &) const = default;
 };
 
-/// Answer the read with this error; nothing ran.
+/// Answer the read with this error; no reply was used.
 struct GiveUpRead {
     Error error;
 
@@ -62,7 +62,7 @@
 /// The next step of a read.
 using ReadStep = std::variant<CollectReports, ReadFromMember, AwaitReplica, GiveUpRead>;
 
-/// The progress of one read; held by whoever carries it out and handed to the router at each step.
+/// The progress of one read; owned by the code that performs the read and passed to the router at each step.
 class ReadPlan
 {
 public:
@@ -76,7 +76,7 @@
         return requirements_;
     }
 
-    /// The mark that an answer must reach, once it is known.
+    /// The lowest log position that a reply may have, once it is known.
     [[nodiscard]] const std::optional<LogPosition> &required() const noexcept
     {
         return required_;
@@ -87,37 +87,37 @@
 
     ReadRequirements requirements_;
     std::optional<LogPosition> required_;
-    /// Members that failed this read or answered it too old; bit N stands for the member at index N of the router's members.
+    /// Members that failed this read, and members whose reply was stale; bit N stands for the member at index N of the router's members.
     std::uint32_t failedMembers_ = 0;
     std::uint32_t staleMembers_ = 0;
-    /// End of waiting for a replica; set at the first wait.
+    /// The end of the wait for a replica; set at the first wait.
     std::optional<TimePoint> waitEnd_;
 };
 
 /// Settings of the router.
 struct ReadRouterLimits {
-    /// Longest wait for a replica that is about to be fresh enough.
+    /// The longest wait for a replica to become fresh enough.
     Microseconds maxReplicaWait{15'000};
-    /// Extra cost of asking a member that may prove stale.
+    /// The added cost of a member whose reply may be stale.
     Microseconds stalePenalty{6'000};
-    /// Extra cost of using the primary, so that its slots are kept for writes.
+    /// The added cost of the primary, so that its slots stay free for writes.
     Microseconds primaryPenalty{50'000};
-    /// Extra cost for each request that waits for a slot of the member.
+    /// The added cost per request that waits for a slot of the member.
     Microseconds queuePenalty{5'000};
 };
 
 /// Routes the reads of one database group.
 ///
-/// A shell reports what it learns about members and rounds, and carries a read out like this:
+/// The I/O layer reports what it observes of members and rounds, and performs a read like this:
 /// \code
-/// ReadPlan plan{need};
+/// ReadPlan plan{requirements};
 /// for (;;) {
 ///     const auto step = router.route(plan, now);
-///     // CollectReports: run a round, call confirm(began, bound), route again; without a majority, answer NotFresh
-///     // AskMember: execute, then verify(plan, member, reply.mark, now); false means route again, true means
-///     //   answer once reply.mark is covered; where its term is superseded first, call failed() and route again
-///     // AwaitReplica: sleep until a report arrives or `until`
-///     // GiveUpRead: answer the error
+///     // CollectReports: run a round, call confirm(roundStart, bound), route again; without a majority, answer NotFresh
+///     // ReadFromMember: execute, then verify(plan, member, reply.position, now); false means route again, true means
+///     //   answer once reply.position is replicated to a quorum; if its term is superseded first, call onReadFailed() and route again
+///     // AwaitReplica: wait until a report arrives or `until`
+///     // GiveUpRead: answer with the error
 /// }
 /// \endcode
 /// At most maxMembers members are considered.
@@ -133,50 +133,51 @@
 
     /// Sets the group's members; those that are no longer listed get no more reads.
     ///
-    /// Members keep their place, so plans stay valid; a new one takes the place of one that is no longer listed. Members
+    /// Members keep their index, so plans stay valid; a new member reuses the index of one that is no longer listed. Members
     /// beyond maxMembers are not used.
     void setMembers(const std::vector<MemberName> &members);
 
-    /// Takes in a member's report that arrived at \a now.
+    /// Applies a member's report that arrived at \a now.
     void report(const MemberReport &report, TimePoint now);
 
-    /// Takes in that \a primary is the group's primary, as the groups slice sees it.
+    /// Sets the group's primary, as the group's monitor knows it.
     void setPrimary(const MemberName &primary);
 
-    /// Takes in that the primary is not known.
+    /// Records that the primary is unknown.
     void clearPrimary() noexcept;
 
-    /// Takes in a confirmed round; see FreshnessHistory::confirm().
-    void confirm(TimePoint began, const LogPosition &bound);
+    /// Records a confirmed round; see FreshnessHistory::confirm().
+    void confirm(TimePoint roundStart, const LogPosition &bound);
 
-    /// Marks a member as suspect (its connections fail or are silent) or clears the suspicion.
+    /// Sets whether a member is suspect (its connections fail or are silent); a suspect member gets no reads.
     void setSuspect(const MemberName &member, bool suspect);
 
-    /// Takes in the measured time of one exchange with a member without its execution time.
+    /// Sets the measured time of one exchange with a member, without its execution time.
     void setRoundTrip(const MemberName &member, Microseconds roundTrip);
 
-    /// Takes in how many requests this proxy has at the member and how many may run at once.
+    /// Sets how many requests of this proxy the member is running, and how many it may run at once.
     void setLoad(const MemberName &member, std::uint32_t inFlight, std::uint32_t slots);
 
-    /// The next step of \a plan.
+    /// Returns the next step of \a plan.
     [[nodiscard]] ReadStep route(ReadPlan &plan, TimePoint now);
 
-    /// Judges the \a mark of a member's reply; true when it is fresh enough.
+    /// Returns whether a member's reply at log position \a position is fresh enough.
     ///
-    /// Before it is answered, a majority must be known to hold \a mark too, or a promotion may drop what the read saw.
-    /// A stale reply raises the estimate of that member's lag, and the plan asks it no more.
+    /// Before the answer is sent, \a position must be known to be replicated to a majority, or a promotion may drop what the read saw.
+    /// A stale reply raises the estimate of that member's lag. The plan then no longer uses a primary, and a replica only once its
+    /// known position suffices.
     [[nodiscard]] bool verify(ReadPlan &plan, const MemberName &member, const LogPosition &position, TimePoint now);
 
-    /// Takes in that \a member gave no usable reply; the plan asks it no more.
-    void failed(ReadPlan &plan, const MemberName &member);
+    /// Records that \a member gave no usable reply; the plan does not use it again.
+    void onReadFailed(ReadPlan &plan, const MemberName &member);
 
-    /// When \a mark, held by the primary, is expected to be held and reported by a majority.
+    /// Returns when \a position, which the primary has, is expected to be held and reported by a majority.
     ///
-    /// Returns nothing when too few replicas are usable to make up a majority. A write that waits for coverage is told this time;
-    /// see WriteAttempt::coverageExpected().
+    /// Returns nothing when too few replicas are usable to make up a majority. The result is an input of
+    /// WriteAttempt::replicationExpected().
     [[nodiscard]] std::optional<TimePoint> replicationExpected(const LogPosition &position, TimePoint now) const;
 
-    /// The greatest log mark in any report.
+    /// The greatest log position in any report, fresh reply or confirmed round.
     [[nodiscard]] const LogPosition &highestReported() const noexcept
     {
         return highestReported_;
@@ -194,10 +195,10 @@
         bool positionKnown = false;
         bool leaving = false;
         bool suspect = false;
-        /// Last entry known to be in its log, and when that was learned.
+        /// The last log position known of this member, and when it was observed.
         LogPosition position;
         TimePoint positionObservedAt;
-        /// Time between the primary's and this member's reaching a mark.
+        /// The time by which this member reaches a log position later than the primary.
         SmoothedTime lag;
         Microseconds roundTrip{1000};
         std::uint32_t inFlight = 0;
@@ -227,9 +228,9 @@
     FreshnessHistory history_;
     /// Invariant: at most maxMembers, each name once.
     std::vector<Member> members_;
-    /// Index of the primary; maxMembers when it is not known.
+    /// The index of the primary; maxMembers when it is unknown.
     std::size_t primary_ = maxMembers;
-    /// When the primary was first seen at each mark.
+    /// When the primary was first observed at each log position.
     impl::TimedPositions primaryPositions_;
     LogPosition highestReported_;
 };
--- a/src/sessions/token.cpp
+++ b/src/sessions/token.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr std::string_view version = "c1!";
+constexpr std::string_view versionPrefix = "c1!";
 constexpr std::size_t checksumBytes = 8;
-/// Longest text of a mark: two 20-digit numbers, a 16-digit one and two separators.
-constexpr std::size_t maxMarkBytes = 20 + 1 + 16 + 1 + 20;
-/// Longest entry: name, `=`, mark and `,`.
-constexpr std::size_t maxEntryBytes = SessionToken::maxGroupBytes + 1 + maxMarkBytes + 1;
+/// The longest text of a log position: two 20-digit numbers, a 16-digit one and two separators.
+constexpr std::size_t maxPositionBytes = 20 + 1 + 16 + 1 + 20;
+/// The longest entry: name, `=`, position and `,`.
+constexpr std::size_t maxEntryBytes = SessionToken::maxGroupBytes + 1 + maxPositionBytes + 1;
 
-static_assert(version.size() + SessionToken::maxGroups * maxEntryBytes + 1 + checksumBytes <= SessionToken::maxBytes,
-              "every token within the bound of groups fits the bound of bytes");
+static_assert(versionPrefix.size() + SessionToken::maxGroups * maxEntryBytes + 1 + checksumBytes <= SessionToken::maxBytes,
+              "a token with maxGroups groups must fit maxBytes");
 
 std::string checksumOf(std::string_view text)
 {
@@ -34,21 +34,21 @@
     return checksum;
 }
 
-Error invalid(std::string what)
+Error invalidToken(std::string reason)
 {
-    return Error{ErrorKind::InvalidToken, "session token: " + std::move(what)};
+    return Error{ErrorKind::InvalidToken, "session token: " + std::move(reason)};
 }
 
 Result<SessionToken::Entry> parseEntry(std::string_view text)
 {
     const auto equals = text.find('=');
     if (equals == std::string_view::npos || equals == 0 || equals > SessionToken::maxGroupBytes) {
-        return invalid("malformed entry");
+        return invalidToken("an entry is malformed");
     }
     auto group = impl::percentDecoded(text.substr(0, equals));
     const auto position = parseLogPosition(text.substr(equals + 1));
     if (!group || !position) {
-        return invalid("malformed entry");
+        return invalidToken("an entry is malformed");
     }
     return SessionToken::Entry{GroupName{std::move(*group)}, *position};
 }
@@ -68,34 +68,34 @@
         return SessionToken{};
     }
     if (text.size() > maxBytes) {
-        return invalid("too long");
+        return invalidToken("it is too long");
     }
-    if (text.substr(0, version.size()) != version) {
-        return invalid("unknown version");
+    if (text.substr(0, versionPrefix.size()) != versionPrefix) {
+        return invalidToken("its version is unknown");
     }
-    const auto bang = text.rfind('!');
-    if (bang < version.size() || text.substr(bang + 1) != checksumOf(text.substr(0, bang))) {
-        return invalid("damaged");
+    const auto checksumSeparator = text.rfind('!');
+    if (checksumSeparator < versionPrefix.size() || text.substr(checksumSeparator + 1) != checksumOf(text.substr(0, checksumSeparator))) {
+        return invalidToken("damaged");
     }
     SessionToken token;
-    auto rest = text.substr(version.size(), bang - version.size());
+    auto unparsed = text.substr(versionPrefix.size(), checksumSeparator - versionPrefix.size());
     for (;;) {
-        const auto comma = rest.find(',');
-        auto entry = parseEntry(rest.substr(0, comma));
+        const auto comma = unparsed.find(',');
+        auto entry = parseEntry(unparsed.substr(0, comma));
         if (!entry) {
             return entry.error();
         }
         if (!token.entries_.empty() && entry->group <= token.entries_.back().group) {
-            return invalid("groups out of order");
+            return invalidToken("its groups are not in ascending order");
         }
         if (token.entries_.size() == maxGroups) {
-            return invalid("too many groups");
+            return invalidToken("it names too many groups");
         }
         token.entries_.push_back(*std::move(entry));
         if (comma == std::string_view::npos) {
             return token;
         }
-        rest.remove_prefix(comma + 1);
+        unparsed.remove_prefix(comma + 1);
     }
 }
 
@@ -104,7 +104,7 @@
     if (entries_.empty()) {
         return {};
     }
-    std::string text{version};
+    std::string text{versionPrefix};
     for (const auto &entry : entries_) {
         if (&entry != &entries_.front()) {
             text += ',';
@@ -119,11 +119,11 @@
 
 std::optional<LogPosition> SessionToken::find(const GroupName &group) const
 {
-    const auto place = lowerBound(entries_, group);
-    if (place == entries_.end() || place->group != group) {
+    const auto existing = lowerBound(entries_, group);
+    if (existing == entries_.end() || existing->group != group) {
         return std::nullopt;
     }
-    return place->position;
+    return existing->position;
 }
 
 Result<Success> SessionToken::checkCapacity(const GroupName &group) const
@@ -132,26 +132,26 @@
         return Success{};
     }
     if (entries_.size() == maxGroups) {
-        return Error{ErrorKind::TooLarge, "the session token names " + std::to_string(maxGroups) + " groups already"};
+        return Error{ErrorKind::TooLarge, "the session token already names " + std::to_string(maxGroups) + " groups"};
     }
     if (group.empty() || impl::percentEncoded(group.text()).size() > maxGroupBytes) {
-        return Error{ErrorKind::TooLarge, "the group's name does not fit a session token"};
+        return Error{ErrorKind::TooLarge, "the group's name is empty or too long for a session token"};
     }
     return Success{};
 }
 
 Result<Success> SessionToken::merge(const GroupName &group, const LogPosition &position)
 {
-    auto room = checkCapacity(group);
-    if (!room) {
-        return room;
+    auto capacity = checkCapacity(group);
+    if (!capacity) {
+        return capacity;
     }
-    const auto place = entries_.begin() + (lowerBound(entries_, group) - entries_.cbegin());
-    if (place == entries_.end() || place->group != group) {
-        entries_.insert(place, Entry{group, position});
+    const auto existing = entries_.begin() + (lowerBound(entries_, group) - entries_.cbegin());
+    if (existing == entries_.end() || existing->group != group) {
+        entries_.insert(existing, Entry{group, position});
         return Success{};
     }
-    place->position = std::max(place->position, position);
+    existing->position = std::max(existing->position, position);
     return Success{};
 }
 
--- a/tests/sessions/readtrace.h
+++ b/tests/sessions/readtrace.h
@@ -1,4 +1,4 @@
-// A recorded day of one database group in virtual time: writes, their replication and acknowledgement, and the reads.
+// A generated trace of one database group in virtual time: writes, their replication and acknowledgement, and reads.
 #pragma once
 
 #include "base/logposition.h"
@@ -19,12 +19,12 @@
 constexpr std::size_t memberCount = 3;
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
-/// How one replica follows the primary.
+/// The replication lag of one replica.
 enum class Lag {
     Short, ///< A few milliseconds.
-    Waves, ///< Grows to seconds and shrinks again.
-    Stuck, ///< Stops after a while.
-    Dead, ///< Gives no reports at all after a while.
+    Waves, ///< Rises to seconds and falls again, periodically.
+    Stalled, ///< Replicates nothing written after a quarter of the trace.
+    Dead, ///< Replicates nothing and does not reply after a quarter of the trace.
 };
 
 struct Setup {
@@ -44,7 +44,7 @@
     std::uint64_t token = 0;
 };
 
-/// All times are in microseconds; position P has index P - 1.
+/// All times are in microseconds; the entry at log position P has index P - 1.
 struct Trace {
     Setup setup;
     std::array<std::vector<std::int64_t>, memberCount> reached;
@@ -62,13 +62,13 @@
         return static_cast<std::uint64_t>(std::lower_bound(acknowledged.begin(), acknowledged.end(), time) - acknowledged.begin());
     }
 
-    [[nodiscard]] bool answers(std::size_t member, std::int64_t time) const
+    [[nodiscard]] bool isResponding(std::size_t member, std::int64_t time) const
     {
         return member == 0 || setup.lags[member - 1] != Lag::Dead || time < setup.length / 4;
     }
 
-    /// What an answer to the read must show at least.
-    [[nodiscard]] std::uint64_t wanted(const Read &read) const
+    /// Returns the lowest log position that an answer to the read must show.
+    [[nodiscard]] std::uint64_t requiredPosition(const Read &read) const
     {
         const auto age = read.age ? Microseconds{*read.age}.count() : 0;
         return std::max(acknowledgedBefore(read.arrived - age), read.token);
@@ -83,14 +83,14 @@
 
 inline std::int64_t lagAt(const Setup &setup, Lag lag, std::int64_t time, Random &random)
 {
-    constexpr std::int64_t wave = 8'000'000;
-    const auto usual = 3'500 + exponential(random, 1'500);
+    constexpr std::int64_t wavePeriod = 8'000'000;
+    const auto typical = 3'500 + exponential(random, 1'500);
     const bool later = time >= setup.length / 4;
     if (lag == Lag::Waves) {
-        const auto phase = time % wave;
-        return usual + std::min(phase, wave - phase) / 2;
+        const auto offset = time % wavePeriod;
+        return typical + std::min(offset, wavePeriod - offset) / 2;
     }
-    return later && lag != Lag::Short ? never : usual;
+    return later && lag != Lag::Short ? never : typical;
 }
 
 inline Trace makeTrace(const Setup &setup)
--- a/tests/sessions/test_freshness.cpp
+++ b/tests/sessions/test_freshness.cpp
@@ -1,4 +1,4 @@
-// Tests of the history of confirmed primary positions.
+// Tests of the history of confirmed log positions.
 #include "sessions/freshness.h"
 
 #include <criterion/criterion.h>
@@ -24,11 +24,11 @@
 
 } // namespace
 
-// Writes are acknowledged at random times; rounds sample the log. Whatever the history answers must cover every
-// write that was acknowledged before the asked time.
-Test(sessions, theHistoryNeverMissesAnAcknowledgedWrite)
+// Writes are acknowledged at random times; rounds sample the log. A position that the history returns must cover every
+// write that was acknowledged before the queried time.
+Test(sessions, historyCoversEveryAcknowledgedWrite)
 {
-    const bool holds = rc::check("history covers", []() {
+    const bool holds = rc::check("the history covers acknowledged writes", []() {
         FreshnessHistory history;
         std::vector<std::pair<TimePoint, std::uint64_t>> acknowledged;
         std::int64_t now = 0;
@@ -41,13 +41,13 @@
                 acknowledged.emplace_back(at(now), position);
                 continue;
             }
-            // The round began a while ago; the primary's log may have grown since.
-            const auto began = now - *rc::gen::inRange(0, 9'000);
-            history.confirm(at(began), positionOf(position));
-            const auto asked = at(now - *rc::gen::inRange<std::int64_t>(0, 3'000'000));
-            const auto mark = history.positionCovering(asked);
+            // The round began up to 9 ms ago; the primary's log may have grown since.
+            const auto roundStart = now - *rc::gen::inRange(0, 9'000);
+            history.confirm(at(roundStart), positionOf(position));
+            const auto queriedTime = at(now - *rc::gen::inRange<std::int64_t>(0, 3'000'000));
+            const auto covering = history.positionCovering(queriedTime);
             for (const auto &[time, written] : acknowledged) {
-                RC_ASSERT(!mark || time >= asked || positionOf(written) <= *mark);
+                RC_ASSERT(!covering || time >= queriedTime || positionOf(written) <= *covering);
             }
         }
         RC_ASSERT(history.size() <= FreshnessHistory::capacity);
@@ -55,7 +55,7 @@
     cr_assert(holds);
 }
 
-Test(sessions, theHistoryIsFineForRecentTimesAndReachesFarBack)
+Test(sessions, historyIsDenseForRecentTimesAndCoversOldOnes)
 {
     FreshnessHistory history;
     constexpr std::int64_t hour = 3'600'000'000;
@@ -65,16 +65,16 @@
     }
     for (const std::int64_t age : {50'000, 1'000'000, 30'000'000, 600'000'000}) {
         const auto exact = static_cast<std::uint64_t>((hour - age) / step);
-        const auto mark = history.positionCovering(at(hour - age));
-        cr_assert(bool(mark));
-        cr_assert(mark->index >= exact);
-        const auto tooStrictBy = static_cast<double>(mark->index - exact) * step / static_cast<double>(age);
-        std::printf("history: age %lld ms is held to %.1f%% less\n", static_cast<long long>(age / 1000), 100 * tooStrictBy);
+        const auto covering = history.positionCovering(at(hour - age));
+        cr_assert(bool(covering));
+        cr_assert(covering->index >= exact);
+        const auto tooStrictBy = static_cast<double>(covering->index - exact) * step / static_cast<double>(age);
+        std::printf("history: age %lld ms is treated as %.1f%% less\n", static_cast<long long>(age / 1000), 100 * tooStrictBy);
         cr_assert(tooStrictBy < 0.5);
     }
 }
 
-Test(sessions, aTimeAfterTheLastRoundHasNoAnswer)
+Test(sessions, historyReturnsNothingAfterTheLastRound)
 {
     FreshnessHistory history;
     cr_assert(!history.positionCovering(at(0)));
@@ -83,7 +83,7 @@
     cr_assert(!history.positionCovering(at(101)));
 }
 
-Test(sessions, aLaterRoundWithALowerMarkIsTheTighterProof)
+Test(sessions, laterRoundWithALowerPositionReplacesTheHigherOne)
 {
     FreshnessHistory history;
     history.confirm(at(100), positionOf(12));
--- a/tests/sessions/test_token.cpp
+++ b/tests/sessions/test_token.cpp
@@ -1,4 +1,4 @@
-// Tests of session tokens: round trips, damage, bounds, merging and impossible marks.
+// Tests of session tokens: round trips, damage, size limits, merging and positions beyond the log.
 #include "sessions/token.h"
 
 #include <criterion/criterion.h>
@@ -44,13 +44,13 @@
     cr_assert(holds);
 }
 
-Test(sessions, everyDamagedTokenIsRefused)
+Test(sessions, damagedTokensAreInvalid)
 {
     const auto text = sampleToken().format();
     const bool holds = rc::check("damage is detected", [&]() {
         auto damaged = text;
-        const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
-        damaged[place] = *rc::gen::distinctFrom(rc::gen::character<char>(), text[place]);
+        const auto damagedIndex = *rc::gen::inRange<std::size_t>(0, text.size());
+        damaged[damagedIndex] = *rc::gen::distinctFrom(rc::gen::character<char>(), text[damagedIndex]);
         const auto read = SessionToken::parse(damaged);
         RC_ASSERT(!read);
         RC_ASSERT(read.error().kind == ErrorKind::InvalidToken);
@@ -58,28 +58,28 @@
     cr_assert(holds);
 }
 
-Test(sessions, truncatedAndForeignTokensAreNeverNewSessions)
+Test(sessions, truncatedAndMalformedTokensAreInvalid)
 {
     const auto text = sampleToken().format();
     for (std::size_t length = 1; length < text.size(); ++length) {
         cr_assert(!SessionToken::parse(text.substr(0, length)), "accepted %zu bytes", length);
     }
-    for (const std::string wrong : {" ", "c1!", "c1!!", "c2!a=1.1/1!00000000", "null", "c1!a=1.1/1", "c1!=1.1/1!00000000"}) {
-        const auto read = SessionToken::parse(wrong);
-        cr_assert(!read && read.error().kind == ErrorKind::InvalidToken, "accepted %s", wrong.c_str());
+    for (const std::string malformed : {" ", "c1!", "c1!!", "c2!a=1.1/1!00000000", "null", "c1!a=1.1/1", "c1!=1.1/1!00000000"}) {
+        const auto read = SessionToken::parse(malformed);
+        cr_assert(!read && read.error().kind == ErrorKind::InvalidToken, "accepted %s", malformed.c_str());
     }
     cr_assert(!SessionToken::parse(std::string(SessionToken::maxBytes + 1, 'a')));
     cr_assert(SessionToken::parse("")->entries().empty());
 }
 
-Test(sessions, theLargestTokenFitsItsBound)
+Test(sessions, largestTokenFitsMaxBytes)
 {
     SessionToken token;
-    constexpr auto most = std::numeric_limits<std::uint64_t>::max();
+    constexpr auto maxNumber = std::numeric_limits<std::uint64_t>::max();
     for (std::size_t index = 0; index < SessionToken::maxGroups; ++index) {
         auto name = std::string(SessionToken::maxGroupBytes, 'x');
         name[0] = static_cast<char>('a' + index);
-        cr_assert(bool(token.merge(GroupName{name}, LogPosition{Term{most, most}, most})));
+        cr_assert(bool(token.merge(GroupName{name}, LogPosition{Term{maxNumber, maxNumber}, maxNumber})));
     }
     cr_assert(token.format().size() <= SessionToken::maxBytes);
     cr_assert(bool(SessionToken::parse(token.format())));
@@ -89,34 +89,34 @@
     cr_assert(token.entries().size() == SessionToken::maxGroups);
 }
 
-Test(sessions, mergingKeepsTheGreaterMarkInAnyOrder)
+Test(sessions, mergeKeepsTheGreaterPositionInAnyOrder)
 {
-    const bool holds = rc::check("merge is a maximum", [](std::vector<std::pair<std::uint64_t, std::uint64_t>> marks) {
+    const bool holds = rc::check("merge is a maximum", [](std::vector<std::pair<std::uint64_t, std::uint64_t>> positions) {
         SessionToken forward;
         SessionToken backward;
         const GroupName group{"g"};
         LogPosition greatest;
-        for (const auto &[term, position] : marks) {
+        for (const auto &[term, position] : positions) {
             greatest = std::max(greatest, positionOf(term, position));
             RC_ASSERT(bool(forward.merge(group, positionOf(term, position))));
         }
-        std::reverse(marks.begin(), marks.end());
-        for (const auto &[term, position] : marks) {
+        std::reverse(positions.begin(), positions.end());
+        for (const auto &[term, position] : positions) {
             RC_ASSERT(bool(backward.merge(group, positionOf(term, position))));
         }
         RC_ASSERT(forward == backward);
-        RC_ASSERT(marks.empty() || forward.find(group) == greatest);
+        RC_ASSERT(positions.empty() || forward.find(group) == greatest);
     });
     cr_assert(holds);
 }
 
-Test(sessions, onlyAConfirmationProvesATokenAhead)
+Test(sessions, tokenIsAheadOnlyAfterAConfirmedRound)
 {
-    const auto seen = positionOf(2, 100);
-    cr_assert(checkAgainst(positionOf(2, 100), seen, std::nullopt) == TokenStanding::Reached);
-    cr_assert(checkAgainst(positionOf(1, 900), seen, std::nullopt) == TokenStanding::Reached);
-    cr_assert(checkAgainst(positionOf(2, 101), seen, std::nullopt) == TokenStanding::Unproven);
-    cr_assert(checkAgainst(positionOf(2, 101), seen, positionOf(2, 100)) == TokenStanding::Ahead);
-    cr_assert(checkAgainst(positionOf(3, 1), seen, positionOf(2, 400)) == TokenStanding::Ahead);
-    cr_assert(checkAgainst(positionOf(2, 101), seen, positionOf(2, 101)) == TokenStanding::Reached);
+    const auto highestReported = positionOf(2, 100);
+    cr_assert(checkAgainst(positionOf(2, 100), highestReported, std::nullopt) == TokenStanding::Reached);
+    cr_assert(checkAgainst(positionOf(1, 900), highestReported, std::nullopt) == TokenStanding::Reached);
+    cr_assert(checkAgainst(positionOf(2, 101), highestReported, std::nullopt) == TokenStanding::Unproven);
+    cr_assert(checkAgainst(positionOf(2, 101), highestReported, positionOf(2, 100)) == TokenStanding::Ahead);
+    cr_assert(checkAgainst(positionOf(3, 1), highestReported, positionOf(2, 400)) == TokenStanding::Ahead);
+    cr_assert(checkAgainst(positionOf(2, 101), highestReported, positionOf(2, 101)) == TokenStanding::Reached);
 }
