--- a/src/configuration/configurationfreshness.cpp
+++ b/src/configuration/configurationfreshness.cpp
@@ -1,4 +1,4 @@
-// Ages of confirmations and signs of life.
+// Evaluates the ages of store confirmations and of contacts with peers.
 #include "configuration/configurationfreshness.h"
 
 #include <algorithm>
@@ -64,8 +64,8 @@
             others += domain == ownDomain_ ? 0 : 1;
         }
     }
-    const auto heardDomains = others + 1;
-    return anyPeer && heardDomains * 2 > listedDomains_;
+    const auto contactedDomains = others + 1;
+    return anyPeer && contactedDomains * 2 > listedDomains_;
 }
 
 std::optional<Milliseconds> ConfigurationFreshness::confirmationAge(TimePoint now) const
--- a/src/configuration/configurationfreshness.h
+++ b/src/configuration/configurationfreshness.h
@@ -1,4 +1,4 @@
-// Whether this proxy can know that its configuration is current, and what it does when it cannot.
+// Decides from the ages of store confirmations and of contacts with peers whether a proxy's configuration is current.
 #pragma once
 
 #include "base/ids.h"
@@ -14,26 +14,26 @@
 
 namespace cardamomstep {
 
-/// What a proxy can know about its configuration.
+/// How current a proxy's configuration is known to be.
 enum class ConfigurationFreshnessState : std::uint8_t {
-    Starting, ///< No whole configuration yet: not ready, no work.
-    Current, ///< The store confirmed it a short time ago, to this proxy or along a chain of peers.
-    StoreSilent, ///< The store confirms nothing, but a majority of the failure domains is heard: work goes on.
-    Isolated, ///< Neither: changes may be in force elsewhere. Not ready, new work is refused as ErrorKind::NotReady.
+    Starting, ///< No full configuration yet: not ready, no work is accepted.
+    Current, ///< The store confirmed it recently, to this proxy or through a chain of peers.
+    StoreSilent, ///< No recent confirmation, but contact with a majority of the failure domains: work continues.
+    Isolated, ///< Neither: newer changes may be in force elsewhere. Not ready; new work is refused with ErrorKind::NotReady.
 };
 
-/// "starting", "current", "store-silent" or "isolated".
+/// Returns "starting", "current", "store-silent" or "isolated".
 [[nodiscard]] std::string_view toText(ConfigurationFreshnessState state) noexcept;
 
-/// Limits of a Currency.
+/// Limits of a ConfigurationFreshness.
 struct ConfigurationFreshnessOptions {
-    /// Longest time that a confirmation or a sign of life holds.
+    /// Maximum age at which a confirmation or a contact still counts.
     Milliseconds maxAge{10'000};
-    /// Most failure domains that are tracked.
+    /// The maximum number of failure domains tracked.
     std::size_t maxDomains = 64;
 };
 
-/// How long ago a failure domain was heard.
+/// Time since the last contact with a failure domain.
 struct DomainAge {
     FailureDomain domain;
     Milliseconds age{0};
@@ -41,43 +41,45 @@
     [[nodiscard]] bool operator==(const DomainAge &) const = default;
 };
 
-/// Tracks when the store and each failure domain were last heard.
+/// Tracks the last confirmation by the store and the last contact with each failure domain.
 ///
-/// All times are those of a request's start, never of an answer's arrival, so that a process that was paused, or an answer that lay
-/// in a buffer, is never taken for fresh.
+/// All times are those at which a request was sent, never those at which its reply arrived. Thus neither a process pause nor a reply
+/// that waited in a buffer makes old information look fresh.
 class ConfigurationFreshness
 {
 public:
-    ConfigurationFreshness(FailureDomain home, ConfigurationFreshnessOptions options)
-        : ownDomain_(std::move(home))
+    ConfigurationFreshness(FailureDomain ownDomain, ConfigurationFreshnessOptions options)
+        : ownDomain_(std::move(ownDomain))
         , options_(options)
     {
     }
 
-    /// Sets what the platform lists: the number of failure domains, this one included, and whether there are other proxies at all.
+    /// Sets what the platform lists: the number of failure domains, including this one, and whether there are any other proxies.
     void setListed(std::size_t domains, bool hasPeers) noexcept;
 
-    /// A whole configuration is known.
+    /// Records that a full configuration is known.
     void onConfigurationLoaded() noexcept
     {
         loaded_ = true;
     }
 
-    /// At \a time the store held nothing newer than what is known here.
+    /// Records that at \a time the store held nothing newer than what is known here.
     void onStoreConfirmation(TimePoint time);
 
-    /// At \a time a proxy of \a domain was alive and what it knew is known here.
+    /// Records that at \a time a proxy of \a domain was alive and that everything it knew then is known here.
     void onContact(const FailureDomain &domain, TimePoint time);
 
     [[nodiscard]] ConfigurationFreshnessState state(TimePoint now) const;
 
-    /// True when more than half of the listed failure domains were heard within the bound.
+    /// Returns true when more than half of the listed failure domains were contacted within `maxAge`; the own one always counts.
+    ///
+    /// Where other proxies exist, at least one of them must have been contacted.
     [[nodiscard]] bool hasMajorityContact(TimePoint now) const;
 
-    /// Age of the newest confirmation; nothing when there is none within the bound.
+    /// Returns the age of the newest confirmation, or nothing when there is none within `maxAge`.
     [[nodiscard]] std::optional<Milliseconds> confirmationAge(TimePoint now) const;
 
-    /// The failure domains heard within the bound, this one first with age zero.
+    /// Returns the failure domains contacted within `maxAge`; the own one comes first with age zero.
     [[nodiscard]] std::vector<DomainAge> ages(TimePoint now) const;
 
 private:
@@ -89,7 +91,7 @@
     bool hasPeers_ = false;
     bool loaded_ = false;
     std::optional<TimePoint> confirmedAt_;
-    /// Invariant: at most `options_.domains` entries.
+    /// Invariant: at most `options_.maxDomains` entries.
     std::map<FailureDomain, TimePoint> lastContactAt_;
 };
 
--- a/src/configuration/fwd.h
+++ b/src/configuration/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the configuration slice: the accepted records of all kinds and how they spread.
+// Forward declarations of the configuration module: the accepted records of all kinds and their propagation between proxies.
 #pragma once
 
 namespace cardamomstep {
--- a/src/configuration/gossip.cpp
+++ b/src/configuration/gossip.cpp
@@ -1,4 +1,4 @@
-// Roles, exchanges and pushes of ConfigurationSpread.
+// Roles, exchanges and pushes of ConfigurationGossip.
 #include "configuration/gossip.h"
 
 #include <algorithm>
@@ -10,15 +10,15 @@
 namespace {
 
 constexpr std::string_view watchPurpose = "configuration-watch";
-/// Every so many comparisons, one goes to a peer outside the usual order, so that a cut among relays does not last.
-constexpr std::uint64_t strayEvery = 8;
-/// A proxy that had a change from the store pushes it to this many other failure domains, which have it from the store themselves as a
-/// rule.
-constexpr std::size_t pushedAbroad = 1;
-/// Pauses of proxies that ask the store though they do not watch.
-constexpr WatchResumeOptions askOptions{Milliseconds{0}, {Milliseconds{12'000}, Milliseconds{30'000}}};
-/// Proxies that miss their peers' confirmations begin to ask the store within this time, not all at once.
-constexpr Milliseconds askWithin{4500};
+/// On average one comparison in this many bypasses the hierarchy of peers, so that a partition among intermediates does not last.
+constexpr std::uint64_t hierarchyBypassOneIn = 8;
+/// A proxy that received a change from the store pushes it to this many other failure domains, which as a rule receive it from the store
+/// themselves.
+constexpr std::size_t storeChangePushDomains = 1;
+/// Delays of proxies that query the store without being watchers.
+constexpr WatchResumeOptions queryOptions{Milliseconds{0}, {Milliseconds{12'000}, Milliseconds{30'000}}};
+/// Proxies that lack their peers' confirmations start to query the store at random times within this span, not all at once.
+constexpr Milliseconds queryJitter{4500};
 
 std::size_t sizeOf(const ConfigurationDelta &delta)
 {
@@ -48,7 +48,7 @@
     , state_(options_.limits)
     , freshness_(options_.domain, options_.freshness)
     , watch_(options_.watch, random_())
-    , query_(askOptions, random_())
+    , query_(queryOptions, random_())
 {
 }
 
@@ -56,7 +56,7 @@
 {
     live_ = std::move(live);
     localPeers_.clear();
-    relays_.clear();
+    intermediates_.clear();
     remoteWatchers_.clear();
     watchers_ = live_->best(watchPurpose, options_.domain, options_.watchersPerDomain);
     const auto isSelf = [this](const LiveInstance *peer) {
@@ -67,16 +67,16 @@
             localPeers_.push_back(&instance);
         }
     }
-    // As many comparisons for each watcher as for each relay.
-    const auto relays =
+    // With this number each watcher serves as many comparisons as each intermediate.
+    const auto intermediateCount =
         static_cast<std::size_t>(std::ceil(std::sqrt(static_cast<double>(options_.watchersPerDomain * (localPeers_.size() + 1)))));
-    relays_ = live_->best(watchPurpose, options_.domain, std::max(relays, options_.watchersPerDomain));
+    intermediates_ = live_->best(watchPurpose, options_.domain, std::max(intermediateCount, options_.watchersPerDomain));
     isWatcher_ = std::any_of(watchers_.begin(), watchers_.end(), isSelf);
-    isRelay_ = std::any_of(relays_.begin(), relays_.end(), isSelf);
-    // Watchers stand first among the relays; they are busy enough with the other relays.
-    relays_.erase(relays_.begin(), relays_.begin() + static_cast<std::ptrdiff_t>(watchers_.size()));
+    isIntermediate_ = std::any_of(intermediates_.begin(), intermediates_.end(), isSelf);
+    // The watchers come first in this list. They are left out because the comparisons of the intermediates load them enough.
+    intermediates_.erase(intermediates_.begin(), intermediates_.begin() + static_cast<std::ptrdiff_t>(watchers_.size()));
     watchers_.erase(std::remove_if(watchers_.begin(), watchers_.end(), isSelf), watchers_.end());
-    relays_.erase(std::remove_if(relays_.begin(), relays_.end(), isSelf), relays_.end());
+    intermediates_.erase(std::remove_if(intermediates_.begin(), intermediates_.end(), isSelf), intermediates_.end());
     domains_ = live_->domains();
     for (const auto &domain : domains_) {
         if (domain != options_.domain) {
@@ -84,7 +84,7 @@
         }
     }
     for (auto entry = domainRevisions_.begin(); entry != domainRevisions_.end();) {
-        entry = isKnown(entry->first) ? std::next(entry) : domainRevisions_.erase(entry);
+        entry = isLiveDomain(entry->first) ? std::next(entry) : domainRevisions_.erase(entry);
     }
     freshness_.setListed(std::max(listedDomains, domains_.size()), !localPeers_.empty() || !remoteWatchers_.empty());
 }
@@ -92,16 +92,16 @@
 GossipActions ConfigurationGossip::tick(TimePoint now)
 {
     GossipActions actions;
-    if (!nextCompare_) {
-        // The first comparison comes at once: a proxy that starts needs the configuration.
-        nextCompare_ = now;
+    if (!nextComparisonAt_) {
+        // The first comparison is immediate: a starting proxy needs the configuration.
+        nextComparisonAt_ = now;
     }
-    if (now < *nextCompare_) {
+    if (now < *nextComparisonAt_) {
         return actions;
     }
     const auto jitter = random_.below(static_cast<std::uint64_t>(options_.comparisonInterval.count()) / 4 + 1);
-    nextCompare_ = now + options_.comparisonInterval - options_.comparisonInterval / 8 + Milliseconds{jitter};
-    if (const auto *peer = comparePeer()) {
+    nextComparisonAt_ = now + options_.comparisonInterval - options_.comparisonInterval / 8 + Milliseconds{jitter};
+    if (const auto *peer = chooseComparisonPeer()) {
         send(*peer, std::nullopt, now, actions);
     }
     return actions;
@@ -109,18 +109,18 @@
 
 GossipResponse ConfigurationGossip::onRequest(const GossipMessage &request, TimePoint now)
 {
-    GossipResponse handled;
+    GossipResponse response;
     const auto before = state_.digest();
     if (request.delta) {
-        publish(state_.applyDelta(*request.delta), before, now, handled.actions);
+        publish(state_.applyDelta(*request.delta), before, now, response.actions);
     }
     recordDomainRevision(request.domain, request.digest.complete);
-    const auto mine = state_.digest();
-    const bool sameRevisions = mine.complete == request.digest.complete && mine.highest == request.digest.highest;
-    const bool settled = mine.highest == mine.complete;
-    divergences_ += sameRevisions && settled && mine.hash != request.digest.hash ? 1 : 0;
-    handled.reply = request.delta ? message() : replyTo(request.digest, now);
-    return handled;
+    const auto ownDigest = state_.digest();
+    const bool sameRevisions = ownDigest.complete == request.digest.complete && ownDigest.highest == request.digest.highest;
+    const bool settled = ownDigest.highest == ownDigest.complete;
+    divergences_ += sameRevisions && settled && ownDigest.hash != request.digest.hash ? 1 : 0;
+    response.reply = request.delta ? message() : replyTo(request.digest, now);
+    return response;
 }
 
 GossipActions ConfigurationGossip::onReply(ExchangeId id, const GossipMessage &reply, TimePoint now)
@@ -136,7 +136,7 @@
     if (reply.delta) {
         publish(state_.applyDelta(*reply.delta), before, now, actions);
     }
-    recordDomainRevision(exchange.domain, std::max(exchange.pushed, reply.digest.complete));
+    recordDomainRevision(exchange.domain, std::max(exchange.pushedRevision, reply.digest.complete));
     applyReply(reply, exchange.sentAt);
     if (isBehind(reply.digest)) {
         send({exchange.to, exchange.domain, exchange.address}, state_.deltaFor(reply.digest), now, actions);
@@ -160,8 +160,8 @@
         return DelayUntil{now + options_.comparisonInterval};
     }
     if (!queryAt_) {
-        // Peers come first, and many proxies may miss them at the same time.
-        queryAt_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(askWithin.count()))};
+        // Peers are preferred to the store, and many proxies may lack their confirmations at the same time.
+        queryAt_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(queryJitter.count()))};
     }
     if (now < *queryAt_) {
         return DelayUntil{*queryAt_};
@@ -179,10 +179,10 @@
     auto applied = state_.applyListing(listing);
     freshness_.onConfigurationLoaded();
     freshness_.onStoreConfirmation(calledAt);
-    const bool isNews = !applied.empty();
+    const bool hasChanges = !applied.empty();
     publish(std::move(applied), before, now, actions);
-    if (isNews) {
-        pushToOtherDomains(before, pushedAbroad, now, actions);
+    if (hasChanges) {
+        pushToOtherDomains(before, storeChangePushDomains, now, actions);
     }
     return actions;
 }
@@ -198,10 +198,10 @@
     if (changes.revision <= state_.digest().complete) {
         freshness_.onStoreConfirmation(calledAt);
     }
-    const bool isNews = !applied.empty();
+    const bool hasChanges = !applied.empty();
     publish(std::move(applied), before, now, actions);
-    if (isNews) {
-        pushToOtherDomains(before, pushedAbroad, now, actions);
+    if (hasChanges) {
+        pushToOtherDomains(before, storeChangePushDomains, now, actions);
     }
     return actions;
 }
@@ -254,29 +254,30 @@
 
 bool ConfigurationGossip::isBehind(const ConfigurationDigest &peer) const noexcept
 {
-    const auto mine = state_.digest();
-    return peer.complete < mine.complete || peer.highest < mine.highest;
+    const auto ownDigest = state_.digest();
+    return peer.complete < ownDigest.complete || peer.highest < ownDigest.highest;
 }
 
-bool ConfigurationGossip::isKnown(const FailureDomain &domain) const
+bool ConfigurationGossip::isLiveDomain(const FailureDomain &domain) const
 {
     return std::binary_search(domains_.begin(), domains_.end(), domain);
 }
 
-const LiveInstance *ConfigurationGossip::comparePeer()
+const LiveInstance *ConfigurationGossip::chooseComparisonPeer()
 {
-    const bool stray = random_.below(strayEvery) == 0;
+    const bool bypassHierarchy = random_.below(hierarchyBypassOneIn) == 0;
     if (isWatcher_ && !remoteWatchers_.empty()) {
-        return stray && !localPeers_.empty() ? randomOf(localPeers_) : randomOf(remoteWatchers_[random_.below(remoteWatchers_.size())]);
+        return bypassHierarchy && !localPeers_.empty() ? randomPeer(localPeers_)
+                                                       : randomPeer(remoteWatchers_[random_.below(remoteWatchers_.size())]);
     }
-    if (stray && isRelay_ && !remoteWatchers_.empty()) {
-        return randomOf(remoteWatchers_[random_.below(remoteWatchers_.size())]);
+    if (bypassHierarchy && isIntermediate_ && !remoteWatchers_.empty()) {
+        return randomPeer(remoteWatchers_[random_.below(remoteWatchers_.size())]);
     }
-    const auto &usual = isRelay_ || relays_.empty() ? watchers_ : relays_;
-    return stray || usual.empty() ? randomOf(localPeers_) : randomOf(usual);
+    const auto &regularPeers = isIntermediate_ || intermediates_.empty() ? watchers_ : intermediates_;
+    return bypassHierarchy || regularPeers.empty() ? randomPeer(localPeers_) : randomPeer(regularPeers);
 }
 
-const LiveInstance *ConfigurationGossip::randomOf(const Peers &peers)
+const LiveInstance *ConfigurationGossip::randomPeer(const Peers &peers)
 {
     return peers.empty() ? nullptr : peers[random_.below(peers.size())];
 }
@@ -286,7 +287,7 @@
     if (exchanges_.size() >= options_.maxExchanges) {
         return;
     }
-    const ExchangeId id{++lastExchange_};
+    const ExchangeId id{++lastExchangeId_};
     exchanges_[id] = {peer.name, peer.domain, peer.address, now, newestOf(delta)};
     auto request = message();
     request.delta = std::move(delta);
@@ -299,18 +300,18 @@
                                   GossipActions &actions)
 {
     const auto complete = state_.digest().complete;
-    const bool isNews = !applied.empty();
-    if (isNews || complete > before.complete) {
+    const bool hasChanges = !applied.empty();
+    if (hasChanges || complete > before.complete) {
         actions.push_back(ObjectsChanged{std::move(applied), complete});
     }
-    if (isNews) {
+    if (hasChanges) {
         push(before, now, actions);
     }
 }
 
 void ConfigurationGossip::push(const ConfigurationDigest &before, TimePoint now, GossipActions &actions)
 {
-    const auto delta = pushable(before);
+    const auto delta = pushableDelta(before);
     auto peers = localPeers_;
     const auto count = std::min(options_.pushFanOut, peers.size());
     for (std::size_t chosen = 0; chosen < count; ++chosen) {
@@ -321,22 +322,22 @@
 
 void ConfigurationGossip::pushToOtherDomains(const ConfigurationDigest &before, std::size_t domains, TimePoint now, GossipActions &actions)
 {
-    const auto delta = pushable(before);
+    const auto delta = pushableDelta(before);
     auto targets = remoteWatchers_;
     const auto count = std::min(domains, targets.size());
     for (std::size_t chosen = 0; chosen < count; ++chosen) {
         std::swap(targets[chosen], targets[chosen + random_.below(targets.size() - chosen)]);
-        if (const auto *peer = randomOf(targets[chosen])) {
+        if (const auto *peer = randomPeer(targets[chosen])) {
             send(*peer, delta, now, actions);
         }
     }
 }
 
-std::optional<ConfigurationDelta> ConfigurationGossip::pushable(const ConfigurationDigest &before) const
+std::optional<ConfigurationDelta> ConfigurationGossip::pushableDelta(const ConfigurationDigest &before) const
 {
     auto delta = state_.deltaFor(before);
     if (delta.isFullState || sizeOf(delta) > options_.maxPushBytes) {
-        // The peer's reply shows what it lacks.
+        // The peer's reply will show what it lacks.
         return std::nullopt;
     }
     return delta;
@@ -344,13 +345,13 @@
 
 void ConfigurationGossip::applyReply(const GossipMessage &reply, TimePoint sentAt)
 {
-    const auto mine = state_.digest();
-    // Signs of life count only along with all that the peer knew.
-    if (mine.complete < reply.digest.complete || reply.domainAges.empty()) {
+    const auto ownDigest = state_.digest();
+    // Contacts count only once everything that the peer knew is known here.
+    if (ownDigest.complete < reply.digest.complete || reply.domainAges.empty()) {
         return;
     }
     freshness_.onConfigurationLoaded();
-    if (reply.confirmation && reply.confirmation->revision <= mine.complete) {
+    if (reply.confirmation && reply.confirmation->revision <= ownDigest.complete) {
         freshness_.onStoreConfirmation(sentAt - reply.confirmation->age);
     }
     for (const auto &entry : reply.domainAges) {
@@ -360,11 +361,11 @@
 
 void ConfigurationGossip::recordDomainRevision(const FailureDomain &domain, Revision revision)
 {
-    if (!isKnown(domain)) {
+    if (!isLiveDomain(domain)) {
         return;
     }
-    auto &held = domainRevisions_[domain];
-    held = std::max(held, revision);
+    auto &domainRevision = domainRevisions_[domain];
+    domainRevision = std::max(domainRevision, revision);
 }
 
 } // namespace cardamomstep
--- a/src/configuration/gossip.h
+++ b/src/configuration/gossip.h
@@ -1,6 +1,6 @@
-// Spreads the configuration between store and proxies: who watches, what is pushed, what is compared and when.
+// Propagates the configuration from the store to all proxies: who watches, what is pushed, what is compared and when.
 //
-// Pure: the shell sends exchanges, calls the store and passes results back, with the time.
+// Performs no I/O: the I/O layer sends exchanges, calls the store and passes the results back, with the time.
 #pragma once
 
 #include "base/random.h"
@@ -19,7 +19,7 @@
 
 namespace cardamomstep {
 
-/// That the store held nothing newer than `revision` some time ago.
+/// States that the store held nothing newer than `revision` at a time `age` ago.
 struct StoreConfirmation {
     Revision revision;
     Milliseconds age{0};
@@ -27,21 +27,21 @@
     [[nodiscard]] bool operator==(const StoreConfirmation &) const = default;
 };
 
-/// One message between two proxies, as request and as reply.
+/// A message between two proxies, used as request and as reply.
 struct GossipMessage {
     InstanceName from;
     FailureDomain domain;
     ConfigurationDigest digest;
-    /// What the receiver lacks.
+    /// Changes that the receiver lacks.
     std::optional<ConfigurationDelta> delta;
-    /// Set, like `heard`, only in replies to comparisons: a request may have waited in a buffer for any time.
+    /// Set, like `domainAges`, only in replies to comparisons: a request may have waited in a buffer for any time.
     std::optional<StoreConfirmation> confirmation;
     std::vector<DomainAge> domainAges;
 
     [[nodiscard]] bool operator==(const GossipMessage &) const = default;
 };
 
-/// Numbers an exchange that this proxy began.
+/// Identifies an exchange that this proxy started.
 enum class ExchangeId : std::uint64_t {};
 
 /// Send the message and pass the reply to onReply(), or the failure to onExchangeFailed().
@@ -53,36 +53,36 @@
 
 /// These changes are in force here from now on.
 struct ObjectsChanged {
-    /// Empty when only `complete` has risen, as after a change that came by a push first and by the watch later.
+    /// Empty when only `complete` has risen, for example after a change that arrived by a push first and by the watch later.
     std::vector<StoredObject> objects;
-    /// Everything up to here is in force.
+    /// All changes up to this revision are in force.
     Revision complete;
 };
 
 using GossipAction = std::variant<SendExchange, ObjectsChanged>;
 using GossipActions = std::vector<GossipAction>;
 
-/// The reply to a peer's request, and what else is to be done.
+/// The reply to a peer's request, and further actions to perform.
 struct GossipResponse {
     GossipMessage reply;
     GossipActions actions;
 };
 
-/// Limits of a ConfigurationSpread.
+/// Options of a ConfigurationGossip.
 struct GossipOptions {
     InstanceName self;
     FailureDomain domain;
     /// Time between two comparisons with a peer.
     Milliseconds comparisonInterval{1000};
-    /// Proxies of each failure domain that watch the store.
+    /// The number of proxies of each failure domain that watch the store.
     std::size_t watchersPerDomain = 6;
-    /// Peers of the own failure domain that a new change is pushed to.
+    /// The number of peers of the own failure domain that a new change is pushed to.
     std::size_t pushFanOut = 3;
-    /// Largest delta that is pushed unasked.
+    /// Size of the largest delta that is pushed without a request.
     std::size_t maxPushBytes = std::size_t{64} << 10U;
-    /// Exchanges under way at most; further ones are left out.
+    /// The maximum number of exchanges under way; further ones are skipped.
     std::size_t maxExchanges = 64;
-    /// Age of the newest confirmation from which a proxy that does not watch asks the store itself.
+    /// Age of the newest confirmation from which a proxy that is not a watcher queries the store itself.
     Milliseconds queryStoreAfter{5000};
     ConfigurationFreshnessOptions freshness;
     WatchResumeOptions watch;
@@ -90,69 +90,70 @@
     std::uint64_t seed = 1;
 };
 
-/// One proxy's part in spreading the configuration.
+/// One proxy's participation in the gossip of the configuration.
 ///
-/// In each failure domain a few proxies (by rendezvous hashing) watch the store, some more relay: they compare with a watcher,
-/// and the others compare with a relay. New changes are pushed on at once to random peers of the own failure domain, and to one
-/// watcher of other domains by the proxy that had them from the store.
+/// In each failure domain a few proxies, chosen by rendezvous hashing, watch the store. Some more are intermediates: they compare with
+/// a watcher, and all others compare with an intermediate. New changes are pushed at once to random peers of the own failure domain;
+/// the proxy that received them from the store also pushes them to one watcher of other failure domains.
 class ConfigurationGossip
 {
 public:
     explicit ConfigurationGossip(GossipOptions options);
 
-    /// Sets the live proxies (this one included) and the number of failure domains that the platform lists, dead ones included.
+    /// Sets the live proxies, including this one, and the number of failure domains that the platform lists, including dead ones.
     void setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains);
 
-    /// Begins what is due; call it at least every quarter of a period.
+    /// Starts a comparison when it is due. Call it at least every quarter of `comparisonInterval`.
     [[nodiscard]] GossipActions tick(TimePoint now);
 
-    /// Answers a peer.
+    /// Handles a peer's request and returns the reply to it.
     [[nodiscard]] GossipResponse onRequest(const GossipMessage &request, TimePoint now);
-    /// Takes a peer's answer.
+    /// Handles a peer's reply.
     [[nodiscard]] GossipActions onReply(ExchangeId id, const GossipMessage &reply, TimePoint now);
-    /// Takes the failure of an exchange.
+    /// Handles the failure of an exchange.
     void onExchangeFailed(ExchangeId id);
 
-    /// The next call to the store; to be asked again when it is done or its pause is over.
+    /// Returns the next call to the store. Call it again when that call has ended or its delay is over.
     [[nodiscard]] StoreStep nextStoreStep(TimePoint now);
-    /// Takes a listing of all kinds that was asked for at \a calledAt.
+    /// Applies a listing of all kinds that was requested at \a calledAt.
     [[nodiscard]] GossipActions onListing(const StoreListing &listing, TimePoint calledAt, TimePoint now);
-    /// Takes the answer to a watch that was begun at \a calledAt.
+    /// Applies the reply to a watch that was started at \a calledAt.
     [[nodiscard]] GossipActions onChanges(const StoreChanges &changes, TimePoint calledAt, TimePoint now);
-    /// Takes the failure of a call to the store.
+    /// Records the failure of a call to the store.
     void onStoreFailure(TimePoint now);
 
-    /// Takes a change that the store confirmed to this proxy as its own write, and pushes it to all failure domains.
+    /// Applies a change that the store confirmed as this proxy's own write, and pushes it to all failure domains.
     [[nodiscard]] GossipActions onAccepted(const StoredObject &change, TimePoint now);
 
-    /// What this proxy can know about its configuration; decides /ready and whether work is taken.
+    /// Returns how current the configuration is known to be; decides /ready and whether work is accepted.
     [[nodiscard]] ConfigurationFreshnessState configurationFreshness(TimePoint now) const
     {
         return freshness_.state(now);
     }
 
-    /// True when this proxy may write changes to the store: it is current and hears a majority of the failure domains.
+    /// Returns true when this proxy may write changes to the store: it is current and has contact with a majority of the failure domains.
     [[nodiscard]] bool mayAccept(TimePoint now) const
     {
         return freshness_.state(now) == ConfigurationFreshnessState::Current && freshness_.hasMajorityContact(now);
     }
 
-    /// Failure domains, this one included, in which some proxy is known to hold all up to \a revision or the change of \a revision.
+    /// Returns the number of failure domains, including this one, in which some proxy is known to hold the change of \a revision or all
+    /// changes up to it.
     [[nodiscard]] std::size_t domainsWithRevision(Revision revision) const;
 
-    /// True when this proxy is one of those that watch the store for its failure domain.
+    /// Returns true when this proxy is one of those that watch the store for its failure domain.
     [[nodiscard]] bool isWatcher() const noexcept
     {
         return isWatcher_;
     }
 
-    /// The configuration known here.
+    /// Returns the configuration known here.
     [[nodiscard]] const ConfigurationState &state() const noexcept
     {
         return state_;
     }
 
-    /// Times that a peer with the same revisions held other objects, which no sequence of events should bring about.
+    /// The number of times that a peer with the same revisions held different objects, which no sequence of events should cause.
     [[nodiscard]] std::uint64_t divergences() const noexcept
     {
         return divergences_;
@@ -164,24 +165,24 @@
         FailureDomain domain;
         Address address;
         TimePoint sentAt;
-        /// Newest change that the request carried.
-        Revision pushed;
+        /// Revision of the newest change in the request; 0 for none.
+        Revision pushedRevision;
     };
     using Peers = std::vector<const LiveInstance *>;
 
     [[nodiscard]] GossipMessage message() const;
     [[nodiscard]] GossipMessage replyTo(const ConfigurationDigest &peer, TimePoint now) const;
     [[nodiscard]] bool isBehind(const ConfigurationDigest &peer) const noexcept;
-    [[nodiscard]] bool isKnown(const FailureDomain &domain) const;
-    [[nodiscard]] const LiveInstance *comparePeer();
-    [[nodiscard]] const LiveInstance *randomOf(const Peers &peers);
+    [[nodiscard]] bool isLiveDomain(const FailureDomain &domain) const;
+    [[nodiscard]] const LiveInstance *chooseComparisonPeer();
+    [[nodiscard]] const LiveInstance *randomPeer(const Peers &peers);
     void send(const LiveInstance &peer, std::optional<ConfigurationDelta> delta, TimePoint now, GossipActions &actions);
     void publish(std::vector<StoredObject> applied, const ConfigurationDigest &before, TimePoint now, GossipActions &actions);
     void push(const ConfigurationDigest &before, TimePoint now, GossipActions &actions);
     void pushToOtherDomains(const ConfigurationDigest &before, std::size_t domains, TimePoint now, GossipActions &actions);
     void applyReply(const GossipMessage &reply, TimePoint sentAt);
     void recordDomainRevision(const FailureDomain &domain, Revision revision);
-    [[nodiscard]] std::optional<ConfigurationDelta> pushable(const ConfigurationDigest &before) const;
+    [[nodiscard]] std::optional<ConfigurationDelta> pushableDelta(const ConfigurationDigest &before) const;
     [[nodiscard]] WatchResume &activeWatch() noexcept
     {
         return isWatcher_ ? watch_ : query_;
@@ -191,25 +192,25 @@
     Random random_;
     ConfigurationState state_;
     ConfigurationFreshness freshness_;
-    /// For watchers.
+    /// Used by watchers.
     WatchResume watch_;
-    /// For others that ask the store themselves: no waiting, long pauses.
+    /// Used by other proxies that query the store: no waiting for changes, long delays.
     WatchResume query_;
     std::shared_ptr<const InstanceSet> live_ = std::make_shared<InstanceSet>();
-    /// Other proxies of the own failure domain, and those among them that watch and relay. They point into live_.
+    /// Other proxies of the own failure domain, and the watchers and the intermediates among them. They point into live_.
     Peers localPeers_;
     Peers watchers_;
-    Peers relays_;
+    Peers intermediates_;
     /// The watchers of each other failure domain.
     std::vector<Peers> remoteWatchers_;
-    /// Sorted.
+    /// The failure domains that have a live proxy, sorted.
     std::vector<FailureDomain> domains_;
     bool isWatcher_ = false;
-    bool isRelay_ = false;
-    /// Invariant: at most `options_.exchanges` entries.
+    bool isIntermediate_ = false;
+    /// Invariant: at most `options_.maxExchanges` entries.
     std::map<ExchangeId, Exchange> exchanges_;
-    std::uint64_t lastExchange_ = 0;
-    std::optional<TimePoint> nextCompare_;
+    std::uint64_t lastExchangeId_ = 0;
+    std::optional<TimePoint> nextComparisonAt_;
     std::optional<TimePoint> queryAt_;
     /// Newest revision known to be held in each other failure domain. Invariant: keys are in domains_.
     std::map<FailureDomain, Revision> domainRevisions_;
--- a/src/configuration/state.cpp
+++ b/src/configuration/state.cpp
@@ -1,4 +1,4 @@
-// Applies changes to the known configuration and makes deltas for peers.
+// Applies changes to the known configuration and computes deltas for peers.
 #include "configuration/state.h"
 
 #include "base/hash.h"
@@ -40,7 +40,7 @@
     }
     auto applied = applyEach(changes.changes);
     if (changes.after <= complete_) {
-        raiseComplete(changes.revision);
+        advanceComplete(changes.revision);
     }
     return applied;
 }
@@ -57,7 +57,7 @@
     for (const auto &gap : delta.gaps) {
         addGap(gap);
     }
-    raiseComplete(delta.upTo);
+    advanceComplete(delta.upTo);
     return applied;
 }
 
@@ -72,8 +72,8 @@
         if (version <= peer.complete) {
             continue;
         }
-        const auto held = objects_.find(key);
-        delta.changes.push_back(held == objects_.end() ? StoredObject{key.kind, key.name, version, {}, true} : held->second);
+        const auto existing = objects_.find(key);
+        delta.changes.push_back(existing == objects_.end() ? StoredObject{key.kind, key.name, version, {}, true} : existing->second);
     }
     for (const auto &gap : gaps_) {
         if (gap.upTo > delta.after) {
@@ -118,9 +118,9 @@
     if (version <= complete_) {
         return false;
     }
-    const auto held = objects_.find(key);
-    if (held != objects_.end()) {
-        return version > held->second.version;
+    const auto existing = objects_.find(key);
+    if (existing != objects_.end()) {
+        return version > existing->second.version;
     }
     const auto tombstone = tombstones_.find(key);
     return tombstone == tombstones_.end() || version > tombstone->second;
@@ -143,11 +143,11 @@
 
 void ConfigurationState::erase(const ObjectKey &key)
 {
-    const auto held = objects_.find(key);
-    if (held != objects_.end()) {
-        hash_ -= hashOf(key, held->second.version);
-        byVersion_.erase({held->second.version, key});
-        objects_.erase(held);
+    const auto existing = objects_.find(key);
+    if (existing != objects_.end()) {
+        hash_ -= hashOf(key, existing->second.version);
+        byVersion_.erase({existing->second.version, key});
+        objects_.erase(existing);
     }
     const auto tombstone = tombstones_.find(key);
     if (tombstone != tombstones_.end()) {
@@ -156,7 +156,7 @@
     }
 }
 
-void ConfigurationState::raiseComplete(Revision revision)
+void ConfigurationState::advanceComplete(Revision revision)
 {
     complete_ = std::max(complete_, revision);
     highest_ = std::max(highest_, complete_);
@@ -168,7 +168,7 @@
     if (tombstones_.size() <= limits_.maxTombstones) {
         return;
     }
-    // One above `complete_` still guards against the older version and must stay.
+    // A tombstone above `complete_` still protects against an older version of its object and must stay.
     auto entry = byVersion_.begin();
     while (entry != byVersion_.end() && entry->first <= complete_ && tombstones_.size() > limits_.maxTombstones) {
         const auto tombstone = tombstones_.find(entry->second);
@@ -214,7 +214,7 @@
         applied.push_back(std::move(deletion));
     }
     addGap({complete_, revision});
-    raiseComplete(revision);
+    advanceComplete(revision);
     return applied;
 }
 
--- a/src/configuration/state.h
+++ b/src/configuration/state.h
@@ -1,6 +1,6 @@
-// The configuration that one proxy knows: the newest accepted version of each object, which never goes back.
+// The configuration known to one proxy: the newest accepted version of each object, which never decreases.
 //
-// Pure: changes come in from watch, list and peers in any order, some twice or late.
+// Performs no I/O: changes arrive from watches, listings and peers in any order, some repeatedly or delayed.
 #pragma once
 
 #include "configuration/fwd.h"
@@ -15,27 +15,27 @@
 
 namespace cardamomstep {
 
-/// What two proxies compare to find out whether one of them lacks a change.
+/// Summary that two proxies compare to find out whether one of them lacks a change.
 struct ConfigurationDigest {
-    /// All changes up to here are known.
+    /// All changes up to this revision are known.
     Revision complete;
-    /// The newest change known; above `complete` while changes between are missing.
+    /// The newest known change; above `complete` while changes in between are missing.
     Revision highest;
-    /// Hash over kind, name and version of all objects known; equal for equal objects.
+    /// Hash over kind, name and version of all known objects; equal for equal objects.
     std::uint64_t hash = 0;
-    /// A peer whose `complete` is below this needs all objects instead of a few changes.
+    /// A peer whose `complete` is below this revision needs all objects instead of single changes.
     Revision floor;
 
     [[nodiscard]] bool operator==(const ConfigurationDigest &) const = default;
 
-    /// True when both know the same changes.
+    /// Returns true when both proxies know the same changes.
     [[nodiscard]] bool sameContent(const ConfigurationDigest &other) const noexcept
     {
         return complete == other.complete && highest == other.highest && hash == other.hash;
     }
 };
 
-/// A span of revisions that was crossed by a listing: an object made and deleted inside it left no tombstone.
+/// A range of revisions that a listing skipped: an object created and deleted within it left no tombstone.
 struct RevisionGap {
     Revision after;
     Revision upTo;
@@ -43,15 +43,15 @@
     [[nodiscard]] bool operator==(const RevisionGap &) const = default;
 };
 
-/// Changes that one proxy hands to another.
+/// Changes that one proxy sends to another.
 struct ConfigurationDelta {
-    /// The changes are whole from here ...
+    /// The changes are complete from this revision ...
     Revision after;
-    /// ... to here. A receiver that knows everything up to `after` then knows everything up to `upTo`.
+    /// ... up to this one. A receiver that knows everything up to `after` then knows everything up to `upTo`.
     Revision upTo;
     /// In order of version; deletions have no value.
     std::vector<StoredObject> changes;
-    /// True when `changes` are all objects that exist at `upTo` (and the deletions after it), so that whatever is missing was
+    /// True when `changes` holds all objects that exist at `upTo` and the deletions after it, so that any object missing from it was
     /// deleted; `after` is then 0.
     bool isFullState = false;
     /// Gaps between `after` and `upTo`, which the receiver keeps for its own peers.
@@ -62,17 +62,17 @@
 
 /// Limits of a ConfigurationState.
 struct ConfigurationLimits {
-    /// Deletions kept to tell peers of.
+    /// The maximum number of deletions kept to send to peers.
     std::size_t maxTombstones = 4096;
-    /// Gaps kept; an older one raises the floor.
+    /// The maximum number of gaps kept; an older one raises the floor.
     std::size_t maxGaps = 8;
 };
 
 /// The configuration known to one proxy.
 ///
-/// Invariants: the version held for an object never falls; a deleted object never comes back with a version at or below its
-/// deletion's; `digest().complete` never falls. A change at or below `complete` is known already, so a deletion is remembered only
-/// for peers: when its tombstone has been dropped, an older version of the object is still refused.
+/// Invariants: the version held for an object never decreases; a deleted object never reappears with a version at or below its
+/// deletion's; `digest().complete` never decreases. A change at or below `complete` is known already, so the tombstone of a deletion is
+/// kept only for peers: when it has been dropped, an older version of the object is still refused.
 class ConfigurationState
 {
 public:
@@ -81,48 +81,48 @@
     {
     }
 
-    /// Takes one change, from whom ever; returns true when it is new here.
+    /// Applies one change from any source; returns true when it is new here.
     bool applyChange(const StoredObject &change);
 
-    /// Takes a listing of all kinds; returns the changes that were new here, deletions included.
+    /// Applies a listing of all kinds; returns the changes that were new here, including deletions.
     ///
     /// A listing from before `complete` is a stale read and changes nothing.
     std::vector<StoredObject> applyListing(const StoreListing &listing);
 
-    /// Takes the store's answer to a watch; returns the changes that were new here.
+    /// Applies the store's reply to a watch; returns the changes that were new here.
     std::vector<StoredObject> applyChanges(const StoreChanges &changes);
 
-    /// Takes what a peer handed over; returns the changes that were new here.
+    /// Applies a peer's delta; returns the changes that were new here.
     std::vector<StoredObject> applyDelta(const ConfigurationDelta &delta);
 
-    /// What the peer with the digest \a peer lacks.
+    /// Returns what the peer with the digest \a peer lacks.
     ///
-    /// Never cut in the middle: of an object that changed twice only the newer version is sent, so a part of the changes would not
-    /// be a whole state at any revision. A peer that may hold an object whose tombstone is not here gets all objects.
+    /// Never split: of an object that changed twice only the newer version is sent, so a part of the changes would not be a complete
+    /// state at any revision. A peer that may hold an object whose tombstone is missing here gets all objects.
     [[nodiscard]] ConfigurationDelta deltaFor(const ConfigurationDigest &peer) const;
 
-    /// All objects known, with `upTo` the revision up to which they are whole.
+    /// Returns all known objects, with `upTo` the revision up to which they are complete.
     [[nodiscard]] ConfigurationDelta fullState() const;
 
-    /// The object under \a key; null when there is none. Valid until the next change.
+    /// Returns the object under \a key, or null when there is none. Valid until the next change.
     [[nodiscard]] const StoredObject *find(const ObjectKey &key) const;
 
-    /// All objects of \a kind, sorted by name. Valid until the next change.
+    /// Returns all objects of \a kind, sorted by name. Valid until the next change.
     [[nodiscard]] std::vector<const StoredObject *> ofKind(const ObjectKind &kind) const;
 
-    /// What peers compare.
+    /// Returns the digest that peers compare.
     [[nodiscard]] ConfigurationDigest digest() const noexcept
     {
         return {complete_, highest_, hash_, floor_};
     }
 
-    /// Number of objects held.
+    /// The number of objects held.
     [[nodiscard]] std::size_t size() const noexcept
     {
         return objects_.size();
     }
 
-    /// Number of deletions remembered.
+    /// The number of tombstones kept.
     [[nodiscard]] std::size_t tombstones() const noexcept
     {
         return tombstones_.size();
@@ -132,7 +132,7 @@
     [[nodiscard]] bool isNew(const ObjectKey &key, Revision version) const;
     void store(const StoredObject &change);
     void erase(const ObjectKey &key);
-    void raiseComplete(Revision revision);
+    void advanceComplete(Revision revision);
     void dropOldTombstones();
     std::vector<StoredObject> applyEach(const std::vector<StoredObject> &changes);
     void addGap(const RevisionGap &gap);
--- a/src/status/fwd.h
+++ b/src/status/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the status slice: what the system writes back as records.
+// Forward declarations of the status module: the status records that the system writes to the store.
 #pragma once
 
 namespace cardamomstep {
--- a/src/status/plans.cpp
+++ b/src/status/plans.cpp
@@ -1,4 +1,4 @@
-// Stop plans: which of them are due, and how far one has come.
+// Determines which stop plans are due and how far each has progressed.
 #include "status/plans.h"
 
 #include "records/checks.h"
@@ -15,7 +15,7 @@
     return plan.state == PlanState::Active;
 }
 
-bool timeHasCome(const StopPlan &plan, WallTime now) noexcept
+bool startTimeReached(const StopPlan &plan, WallTime now) noexcept
 {
     return !plan.notBefore || *plan.notBefore <= now;
 }
@@ -35,8 +35,8 @@
         if (target == nullptr || target->group != group) {
             continue;
         }
-        const bool mayLeave = std::find(leaving.begin(), leaving.end(), target->member) != leaving.end();
-        plans.push_back({key.name, group, target->member, entry.version, mayLeave && timeHasCome(*plan, now)});
+        const bool isLeaving = std::find(leaving.begin(), leaving.end(), target->member) != leaving.end();
+        plans.push_back({key.name, group, target->member, entry.version, isLeaving && startTimeReached(*plan, now)});
     }
     return plans;
 }
@@ -46,7 +46,7 @@
     return std::any_of(catalog.entries().begin(), catalog.entries().end(), [&](const auto &item) {
         const auto *plan = std::get_if<StopPlan>(&item.second.record->spec);
         const auto *target = plan == nullptr ? nullptr : std::get_if<InstanceTarget>(&plan->target);
-        return target != nullptr && target->instance == instance && isActive(*plan) && timeHasCome(*plan, now);
+        return target != nullptr && target->instance == instance && isActive(*plan) && startTimeReached(*plan, now);
     });
 }
 
@@ -61,12 +61,12 @@
 std::string_view planDetail(const PlanObservation &observation) noexcept
 {
     if (!observation.due) {
-        return "its time has not come, or another plan of the group goes first";
+        return "its start time has not come, or another plan of the group has precedence";
     }
     if (observation.isPrimary) {
         return "another member is being made primary";
     }
-    return observation.drained ? "the member may be stopped" : "statements in flight finish";
+    return observation.drained ? "the member may be stopped" : "waiting for statements in flight to finish";
 }
 
 } // namespace cardamomstep
--- a/src/status/plans.h
+++ b/src/status/plans.h
@@ -1,4 +1,4 @@
-// Stop plans: which of them are due, and how far one has come.
+// Stop plans: which of them are due, and how far each has progressed.
 #pragma once
 
 #include "base/ids.h"
@@ -18,31 +18,31 @@
     MemberName member;
     /// Store version of the plan.
     std::uint64_t version = 0;
-    /// True when the member is to get no new work from now on; false when the plan's time has not come or others go first.
+    /// True when the member must get no new work; false while the plan's start time has not come or other plans have precedence.
     bool due = false;
 
     [[nodiscard]] bool operator==(const DuePlan &) const = default;
 };
 
-/// The active plans for members of \a group at \a now, sorted by name.
+/// Returns the active plans for members of \a group at \a now, sorted by the plan's name.
 [[nodiscard]] std::vector<DuePlan> endpointPlans(const Catalog &catalog, const GroupName &group, WallTime now);
 
-/// True when an active plan that is due tells \a instance, a proxy, to stop.
+/// Returns true when an active plan that is due stops the proxy \a instance.
 [[nodiscard]] bool instancePlanDue(const Catalog &catalog, const InstanceName &instance, WallTime now);
 
-/// What the first owner of a group sees of a plan's member.
+/// What the first owner of a group observes of a plan's member.
 struct PlanObservation {
     bool due = false;
-    /// The member leads its group.
+    /// The member is the primary of its group.
     bool isPrimary = false;
-    /// All owners of the group answered, have the plan in force, and none has a statement or a transaction at the member.
+    /// All owners of the group replied, have the plan in force, and none has a statement or a transaction at the member.
     bool drained = false;
 };
 
-/// How far a plan has come, as \a sight shows it.
+/// Returns how far a plan has progressed according to \a observation.
 [[nodiscard]] PlanProgress planProgress(const PlanObservation &observation) noexcept;
 
-/// One sentence that explains \a progress.
+/// Returns a short description of the progress according to \a observation.
 [[nodiscard]] std::string_view planDetail(const PlanObservation &observation) noexcept;
 
 } // namespace cardamomstep
--- a/src/status/statusqueue.cpp
+++ b/src/status/statusqueue.cpp
@@ -1,4 +1,4 @@
-// The records that wait to be written back.
+// Queues status records and spaces their writes.
 #include "status/statusqueue.h"
 
 #include <algorithm>
@@ -36,11 +36,11 @@
 
 void StatusQueue::failed(const Record &record, TimePoint now)
 {
-    constexpr unsigned mostDoublings = 10;
-    const auto doublings = std::min(failures_, mostDoublings);
-    const auto pause = std::min(limits_.maxBackoff, limits_.initialBackoff * (1U << doublings));
+    constexpr unsigned maxDoublings = 10;
+    const auto doublings = std::min(failures_, maxDoublings);
+    const auto backoff = std::min(limits_.maxBackoff, limits_.initialBackoff * (1U << doublings));
     ++failures_;
-    notBefore_ = now + pause;
+    notBefore_ = now + backoff;
     pending_.try_emplace(record.key(), record);
 }
 
--- a/src/status/statusqueue.h
+++ b/src/status/statusqueue.h
@@ -1,4 +1,4 @@
-// The records that wait to be written back: the newest of each name, at a bounded rate.
+// A queue of status records to write to the store: the newest of each name, at a limited rate.
 #pragma once
 
 #include "base/time.h"
@@ -13,18 +13,18 @@
 
 /// Limits of a StatusQueue.
 struct StatusLimits {
-    /// Shortest time between two writes.
+    /// Minimum time between two writes.
     Milliseconds minWriteInterval{200};
-    /// Pause after a failed write; doubles up to the longest.
+    /// Delay after a failed write; doubles with each further failure up to `maxBackoff`.
     Milliseconds initialBackoff{500};
     Milliseconds maxBackoff{30'000};
-    /// Records that may wait; further new names are dropped.
+    /// The maximum number of queued records; records of further names are dropped.
     std::size_t maxPending = 4096;
 };
 
-/// Orders the writes of one process.
+/// Queues the status writes of one process.
 ///
-/// A record that is added again before it was written takes the older one's place, so a flapping state costs one write, not many.
+/// A record that is added again before it was written replaces the older one, so a flapping state costs one write, not many.
 class StatusQueue
 {
 public:
@@ -33,16 +33,16 @@
     {
     }
 
-    /// Adds a record to be written; false when the queue is full.
+    /// Adds a record to be written; returns false when the queue is full.
     bool add(Record record);
 
-    /// The record to write now, which leaves the queue; nothing while it is too early or none waits.
+    /// Removes and returns the record to write now; returns nothing before the next write is allowed or when the queue is empty.
     [[nodiscard]] std::optional<Record> next(TimePoint now);
 
-    /// The record that next() gave was written.
+    /// Records that the record from next() was written.
     void written() noexcept;
 
-    /// The record that next() gave could not be written; it waits again unless a newer one took its place.
+    /// Records that the record from next() could not be written; it is queued again unless a newer one replaced it.
     void failed(const Record &record, TimePoint now);
 
     [[nodiscard]] std::size_t size() const noexcept
@@ -52,7 +52,7 @@
 
 private:
     StatusLimits limits_;
-    /// Invariant: at most limits_.most entries.
+    /// Invariant: at most limits_.maxPending entries.
     std::map<RecordKey, Record> pending_;
     TimePoint notBefore_;
     unsigned failures_ = 0;
--- a/src/store/backoff.h
+++ b/src/store/backoff.h
@@ -1,4 +1,4 @@
-// Exponential back-off with full jitter, so that many proxies do not return to the store at once.
+// Exponential backoff with jitter, so that many proxies do not call the store again at the same moment.
 #pragma once
 
 #include "base/random.h"
@@ -9,15 +9,15 @@
 
 /// Limits of a Backoff.
 struct BackoffOptions {
-    /// Longest first wait.
+    /// Maximum of the first delay.
     Milliseconds initialDelay{100};
-    /// Longest wait of all.
+    /// Maximum of all delays.
     Milliseconds maxDelay{30'000};
 };
 
-/// Waits between attempts that fail.
+/// Delays between attempts that fail.
 ///
-/// Each wait is drawn evenly between a floor and a ceiling; the ceiling doubles with each failure up to the longest wait.
+/// Each delay is drawn uniformly between a floor and a ceiling; the ceiling doubles with each failure up to `maxDelay`.
 class Backoff
 {
 public:
@@ -27,16 +27,16 @@
     {
     }
 
-    /// Counts a failure and draws the wait before the next attempt.
+    /// Counts a failure and draws the delay before the next attempt.
     [[nodiscard]] Milliseconds next(Random &random);
 
-    /// Forgets the failures after a success.
+    /// Resets the number of failures after a success.
     void reset() noexcept
     {
         failures_ = 0;
     }
 
-    /// Failures in a row.
+    /// The number of consecutive failures.
     [[nodiscard]] unsigned failures() const noexcept
     {
         return failures_;
--- a/src/store/callbudget.cpp
+++ b/src/store/callbudget.cpp
@@ -1,4 +1,4 @@
-// Refills and takes tokens of a CallBudget.
+// Refills and consumes the tokens of a CallBudget.
 #include "store/callbudget.h"
 
 #include <algorithm>
@@ -8,18 +8,18 @@
 
 namespace {
 
-/// Half of the store's "about two thousand" reads and "several hundred" writes a second.
+/// Half of the store's rates of "about two thousand" reads and "several hundred" writes a second.
 constexpr double fleetReadsPerSecond = 1000;
 constexpr double fleetWritesPerSecond = 150;
-/// Bursts of the whole fleet, bounded so that all proxies at once stay within a second of the store's rates.
+/// Bursts of the whole fleet, limited so that all proxies at once stay within one second of the store's rates.
 constexpr double fleetReadBurst = 1000;
 constexpr double fleetWriteBurst = 150;
 /// A single call, or one change with its read-back, must always fit.
-constexpr double leastReadBurst = 4;
-constexpr double leastWriteBurst = 2;
-/// A small fleet needs no more than this for each proxy.
-constexpr CallRate mostReads{50, 100};
-constexpr CallRate mostWrites{25, 50};
+constexpr double minReadBurst = 4;
+constexpr double minWriteBurst = 2;
+/// Upper limits of each proxy; a small fleet needs no more.
+constexpr CallRate maxReads{50, 100};
+constexpr CallRate maxWrites{25, 50};
 
 constexpr double millisecondsPerSecond = 1000;
 
@@ -29,10 +29,10 @@
 {
     const auto count = static_cast<double>(std::max<std::size_t>(proxies, 1));
     CallBudgetOptions options;
-    options.reads.perSecond = std::min(mostReads.perSecond, fleetReadsPerSecond / count);
-    options.reads.burst = std::clamp(fleetReadBurst / count, leastReadBurst, mostReads.burst);
-    options.writes.perSecond = std::min(mostWrites.perSecond, fleetWritesPerSecond / count);
-    options.writes.burst = std::clamp(fleetWriteBurst / count, leastWriteBurst, mostWrites.burst);
+    options.reads.perSecond = std::min(maxReads.perSecond, fleetReadsPerSecond / count);
+    options.reads.burst = std::clamp(fleetReadBurst / count, minReadBurst, maxReads.burst);
+    options.writes.perSecond = std::min(maxWrites.perSecond, fleetWritesPerSecond / count);
+    options.writes.burst = std::clamp(fleetWriteBurst / count, minWriteBurst, maxWrites.burst);
     return options;
 }
 
@@ -44,7 +44,7 @@
 
 bool CallBudget::take(CallKind kind, TimePoint now) noexcept
 {
-    auto &bucket = refilled(kind, now);
+    auto &bucket = refill(kind, now);
     if (bucket.tokens < 1) {
         return false;
     }
@@ -54,7 +54,7 @@
 
 Milliseconds CallBudget::timeUntilAvailable(CallKind kind, TimePoint now) noexcept
 {
-    const auto &bucket = refilled(kind, now);
+    const auto &bucket = refill(kind, now);
     if (bucket.tokens >= 1) {
         return Milliseconds{0};
     }
@@ -65,24 +65,24 @@
 void CallBudget::setOptions(CallBudgetOptions options, TimePoint now) noexcept
 {
     for (const auto kind : {CallKind::Read, CallKind::Write}) {
-        auto &bucket = refilled(kind, now);
+        auto &bucket = refill(kind, now);
         bucket.rate = kind == CallKind::Read ? options.reads : options.writes;
         bucket.tokens = std::min(bucket.tokens, bucket.rate.burst);
     }
 }
 
-CallBudget::Bucket &CallBudget::refilled(CallKind kind, TimePoint now) noexcept
+CallBudget::Bucket &CallBudget::refill(CallKind kind, TimePoint now) noexcept
 {
     auto &bucket = buckets_[static_cast<std::size_t>(kind)];
-    if (!bucket.started) {
-        bucket.started = true;
+    if (!bucket.initialized) {
+        bucket.initialized = true;
         bucket.tokens = bucket.rate.burst;
-        bucket.filled = now;
+        bucket.refilledAt = now;
     }
-    if (now > bucket.filled) {
-        const std::chrono::duration<double> passed = now - bucket.filled;
+    if (now > bucket.refilledAt) {
+        const std::chrono::duration<double> passed = now - bucket.refilledAt;
         bucket.tokens = std::min(bucket.rate.burst, bucket.tokens + passed.count() * bucket.rate.perSecond);
-        bucket.filled = now;
+        bucket.refilledAt = now;
     }
     return bucket;
 }
--- a/src/store/callbudget.h
+++ b/src/store/callbudget.h
@@ -10,13 +10,13 @@
 
 namespace cardamomstep {
 
-/// Kinds of call that the store counts apart.
+/// Kinds of call that the store counts separately.
 enum class CallKind : std::uint8_t {
     Read, ///< get, list, watch and the instance list.
     Write, ///< put and delete.
 };
 
-/// Rate and burst of one kind of call.
+/// Rate and burst (in calls) of one kind of call.
 struct CallRate {
     double perSecond = 1;
     double burst = 1;
@@ -28,19 +28,19 @@
     CallRate writes{10, 20};
 };
 
-/// The share of one proxy in a fleet of \a proxies, so that all together use at most half of the store's rates in the long run.
+/// Returns the budget of one proxy in a fleet of \a proxies, so that all together use at most half of the store's rates in the long run.
 [[nodiscard]] CallBudgetOptions callBudgetFor(std::size_t proxies) noexcept;
 
-/// Counts calls against their rates. Invariant: between 0 and `burst` tokens of each kind.
+/// Limits calls to their rates. Invariant: between 0 and `burst` tokens of each kind.
 class CallBudget
 {
 public:
     explicit CallBudget(CallBudgetOptions options) noexcept;
 
-    /// Takes one call of \a kind; false when it must wait.
+    /// Consumes the token of one call of \a kind; returns false when the call must wait.
     [[nodiscard]] bool take(CallKind kind, TimePoint now) noexcept;
 
-    /// How long until a call of \a kind can be taken; zero when it can be taken now.
+    /// Returns the time until a token for a call of \a kind is available; zero when one is available now.
     [[nodiscard]] Milliseconds timeUntilAvailable(CallKind kind, TimePoint now) noexcept;
 
     /// Changes the rates, for example when the fleet has grown; tokens above the new burst are dropped.
@@ -50,10 +50,10 @@
     struct Bucket {
         CallRate rate;
         double tokens = 0;
-        TimePoint filled;
-        bool started = false;
+        TimePoint refilledAt;
+        bool initialized = false;
     };
-    [[nodiscard]] Bucket &refilled(CallKind kind, TimePoint now) noexcept;
+    [[nodiscard]] Bucket &refill(CallKind kind, TimePoint now) noexcept;
 
     std::array<Bucket, 2> buckets_;
 };
--- a/src/store/catalogrevisions.h
+++ b/src/store/catalogrevisions.h
@@ -1,4 +1,4 @@
-// How new the catalog is that a process knows.
+// The revisions of the catalog that a process knows.
 #pragma once
 
 #include "store/object.h"
@@ -7,12 +7,12 @@
 
 namespace cardamomstep {
 
-/// Revisions of the newest change of the operators' configuration and of the members' entries; 0 where none is known.
+/// Revisions of the newest known change of the operators' configuration and of the members' entries; 0 where none is known.
 struct CatalogRevisions {
     Revision configuration;
     Revision members;
 
-    /// Raises each mark to that of \a other.
+    /// Raises each revision to that of \a other where that is higher.
     void advanceTo(const CatalogRevisions &other) noexcept
     {
         configuration = std::max(configuration, other.configuration);
--- a/src/store/fwd.h
+++ b/src/store/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the platform slice: the store, its instance list and the budget of calls to it.
+// Forward declarations of the store module: the platform's store, its instance list and the budget of calls to it.
 #pragma once
 
 namespace cardamomstep {
--- a/src/store/impl/storejson.cpp
+++ b/src/store/impl/storejson.cpp
@@ -1,4 +1,4 @@
-// Checks and reads JSON of the store.
+// Parses and checks the store's JSON replies.
 #include "store/impl/storejson.h"
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,7 @@
 
 Error malformed(const char *what)
 {
-    return {ErrorKind::StoreUnavailable, std::string("the store's answer is malformed: ") + what};
+    return {ErrorKind::StoreUnavailable, std::string("the store's reply is malformed: ") + what};
 }
 
 std::optional<std::string> textIn(const Json &object, const char *field)
@@ -129,7 +129,7 @@
     for (const auto &entry : json["instances"]) {
         const auto name = entry.is_object() ? textIn(entry, "name") : std::nullopt;
         if (!name || name->empty()) {
-            return malformed("an instance without a name");
+            return malformed("an instance has no name");
         }
         ListedInstance instance;
         instance.name = *name;
--- a/src/store/impl/storejson.h
+++ b/src/store/impl/storejson.h
@@ -1,4 +1,4 @@
-// Reads the store's JSON answers.
+// Parses the store's JSON replies.
 #pragma once
 
 #include "base/result.h"
@@ -10,17 +10,17 @@
 
 namespace cardamomstep::impl {
 
-// Malformed answers are StoreUnavailable: the store gave no usable answer.
+// Malformed replies are StoreUnavailable: the store gave no usable reply.
 
-/// The version in the answer to a write; nothing when there is none.
+/// Returns the version in the reply to a write, or nothing when there is none.
 [[nodiscard]] std::optional<Revision> parseVersion(std::string_view body);
-/// One object.
+/// Parses one object.
 [[nodiscard]] Result<StoredObject> parseObject(std::string_view body);
-/// A listing.
+/// Parses a listing.
 [[nodiscard]] Result<StoreListing> parseListing(std::string_view body);
-/// The answer to a watch after \a after.
+/// Parses the reply to a watch after \a after.
 [[nodiscard]] Result<StoreChanges> parseChanges(std::string_view body, Revision after);
-/// The instance list.
+/// Parses the instance list.
 [[nodiscard]] Result<std::vector<ListedInstance>> parseInstances(std::string_view body);
 
 } // namespace cardamomstep::impl
--- a/src/store/missedchangedetector.h
+++ b/src/store/missedchangedetector.h
@@ -1,4 +1,4 @@
-// Notices that a watch missed changes that other processes know of.
+// Detects that a watch missed changes that other processes know.
 #pragma once
 
 #include "base/time.h"
@@ -6,20 +6,21 @@
 
 namespace cardamomstep {
 
-/// Compares what a watch brought with what others tell, so that a watch may wait long and a silent one is still found out soon.
+/// Compares what a watch delivered with the revisions that peers report, so that a watch may wait long and a silent one is still
+/// detected soon.
 ///
-/// Pure: time is passed in.
+/// Performs no I/O and reads no clock: time is passed in.
 class MissedChangeDetector
 {
 public:
-    /// News is missed when it has not come \a grace after another process told of it.
+    /// A change counts as missed when it has not arrived \a grace after another process reported it.
     explicit MissedChangeDetector(Milliseconds grace)
         : grace_(grace)
     {
     }
 
-    /// Takes in that another process knows a change at \a newest, while all up to \a complete is known here. True when the watch is to
-    /// be made anew.
+    /// Records that another process knows a change at \a newest, while all changes up to \a complete are known here. Returns true when
+    /// the watch is to be restarted.
     [[nodiscard]] bool onPeerRevision(Revision newest, Revision complete, TimePoint now) noexcept
     {
         if (newest <= complete) {
@@ -34,14 +35,14 @@
         if (now - awaitedSince_ < grace_) {
             return false;
         }
-        // The new watch gets the same time.
+        // The restarted watch gets the same time.
         awaitedSince_ = now;
         return true;
     }
 
 private:
     Milliseconds grace_;
-    /// The change that is waited for; 0 for none.
+    /// Revision of the change that is waited for; 0 for none.
     Revision awaitedRevision_;
     TimePoint awaitedSince_;
 };
--- a/src/store/object.h
+++ b/src/store/object.h
@@ -1,4 +1,4 @@
-// Objects of the platform's store and the instances of its list, as plain values.
+// Plain values for the objects of the platform's store and the instances of its list.
 #pragma once
 
 #include "base/ids.h"
@@ -17,10 +17,10 @@
 using ObjectKind = StrongId<struct ObjectKindTag>;
 /// The name of an object, unique within its kind.
 using ObjectName = StrongId<struct ObjectNameTag>;
-/// A writer's own random mark on one write; drawn anew for each write.
+/// Random identifier of one write, drawn anew by the writer for each write.
 using WriterNonce = StrongId<struct WriterNonceTag>;
 
-/// A store-wide revision: it grows with each change of any object. 0 stands for "before all changes" or "absent".
+/// A store-wide revision, which increases with each change of any object. 0 stands for "before all changes" or "absent".
 struct Revision {
     std::uint64_t value = 0;
 
@@ -32,7 +32,7 @@
     return out << revision.value;
 }
 
-/// What names an object.
+/// Identifies an object by its kind and name.
 struct ObjectKey {
     ObjectKind kind;
     ObjectName name;
@@ -58,7 +58,7 @@
     [[nodiscard]] bool operator==(const StoredObject &) const = default;
 };
 
-/// All objects of one kind, or of all kinds, as they stood at one revision.
+/// All objects of one kind, or of all kinds, as of one revision.
 struct StoreListing {
     Revision revision;
     std::vector<StoredObject> objects;
@@ -69,16 +69,16 @@
 /// All changes after one revision up to another, in order.
 struct StoreChanges {
     Revision after;
-    /// The changes are whole up to this revision; not below `after` unless the store answered from an old state.
+    /// The changes are complete up to this revision; not below `after` unless the store replied from an old state.
     Revision revision;
     std::vector<StoredObject> changes;
-    /// True when `after` is too old to resume from (status 410): list again. There are no changes then.
+    /// True when `after` is too old to resume from (status 410): a new listing is needed. `changes` is then empty.
     bool tooOld = false;
 
     [[nodiscard]] bool operator==(const StoreChanges &) const = default;
 };
 
-/// The state that the platform's list gives an instance.
+/// State of an instance in the platform's list.
 enum class ListedState : std::uint8_t {
     Live,
     Leaving,
@@ -86,7 +86,7 @@
 
 /// An entry of the platform's instance list, which lags behind reality.
 struct ListedInstance {
-    /// Instance name; for endpoints this is the member's name.
+    /// Instance name; for endpoints, the member's name.
     std::string name;
     FailureDomain domain;
     Address address;
--- a/src/store/resolution.cpp
+++ b/src/store/resolution.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Waits between attempts of one write, which a person or a proxy is waiting for.
-constexpr BackoffOptions attemptWaits{Milliseconds{50}, Milliseconds{1000}};
-/// When to ask again after an answer that names no better time.
-constexpr Milliseconds comeBack{1000};
+/// Delays between attempts of one write, while an operator or a proxy waits for its outcome.
+constexpr BackoffOptions attemptBackoff{Milliseconds{50}, Milliseconds{1000}};
+/// Retry-after of errors for which no better time is known.
+constexpr Milliseconds defaultRetryAfter{1000};
 
 const WriterNonce *nonceAt(const WriterStamp &stamp, Revision version)
 {
@@ -28,7 +28,7 @@
     : write_(std::move(write))
     , deadline_(deadline)
     , random_(seed)
-    , backoff_(attemptWaits)
+    , backoff_(attemptBackoff)
 {
 }
 
@@ -43,15 +43,15 @@
     case WriteReplyKind::Written:
         return finishedAt(reply.version);
     case WriteReplyKind::Mismatch:
-        // An earlier copy of this write may be what moved the version on.
+        // An earlier copy of this write may have changed the version.
         if (replyLost_) {
             return ReadBack{};
         }
         return conflictAt(reply.version);
     case WriteReplyKind::TooLarge:
-        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store refuses a value of this size"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::TooLarge, "the store rejected the value as too large"}};
     case WriteReplyKind::Rejected:
-        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store refuses this write"}};
+        return replyLost_ ? unknownAt({}) : WriteFinished{Error{ErrorKind::MalformedRequest, "the store rejected the write"}};
     case WriteReplyKind::NotSent:
     case WriteReplyKind::TooManyCalls:
         return waitOrGiveUp(now);
@@ -67,7 +67,7 @@
 
 WriteAction WriteResolution::onReadBack(const ReadBackReply &reply, TimePoint now)
 {
-    if (!reply.answered) {
+    if (!reply.replied) {
         readBackNext_ = true;
         return waitOrGiveUp(now);
     }
@@ -77,7 +77,7 @@
     if (reply.object->version != write_.expected) {
         return evaluate(*reply.object);
     }
-    // Not applied so far; a copy may still be on its way, so only another conditional write settles it.
+    // Not applied so far, but a copy may still be in transit, so only another conditional write can settle the outcome.
     readBackNext_ = false;
     return waitOrGiveUp(now);
 }
@@ -97,19 +97,19 @@
 WriteAction WriteResolution::evaluate(const StoredObject &found)
 {
     if (write_.removal) {
-        // Either another writer changed it first, or it was removed and made anew.
+        // Either another writer changed it first, or it was removed and created again.
         return unknownAt(found.version);
     }
     const auto stamp = readWriterStamp(found.value);
     if (stamp.nonce == write_.nonce) {
         return finishedAt(found.version);
     }
-    const auto ours = std::find_if(
+    const auto ownEntry = std::find_if(
         stamp.earlier.begin(), stamp.earlier.end(), [this](const EarlierWriter &writer) { return writer.nonce == write_.nonce; });
-    if (ours != stamp.earlier.end()) {
-        return finishedAt(ours->version);
+    if (ownEntry != stamp.earlier.end()) {
+        return finishedAt(ownEntry->version);
     }
-    // The chain of writers goes back to the version expected, without this write: another one came first.
+    // The chain of writers goes back to the expected version without this write: another writer came first.
     const bool chainReachesExpected = write_.expected.value != 0 && nonceAt(stamp, write_.expected) != nullptr;
     return chainReachesExpected ? conflictAt(found.version) : unknownAt(found.version);
 }
@@ -122,7 +122,7 @@
     if (write_.expected.value != 0) {
         return unknownAt({});
     }
-    // Never applied, on its way, or applied and removed by another: sent again it could bring a removed object back.
+    // Never applied, still in transit, or applied and removed by another writer: sending it again could recreate a removed object.
     readBackNext_ = true;
     return waitOrGiveUp(now);
 }
@@ -141,7 +141,8 @@
     if (replyLost_) {
         return unknownAt({});
     }
-    return WriteFinished{Error{ErrorKind::StoreUnavailable, "the store did not take the change"}.withRetryAfter(comeBack)};
+    return WriteFinished{
+        Error{ErrorKind::StoreUnavailable, "the store did not accept the write before the deadline"}.withRetryAfter(defaultRetryAfter)};
 }
 
 WriteAction WriteResolution::finishedAt(Revision version) const
@@ -158,7 +159,8 @@
 
 WriteAction WriteResolution::unknownAt(Revision current) const
 {
-    auto error = Error{ErrorKind::StoreOutcomeUnknown, "the store's answer was lost; read the object back"}.withRetryAfter(comeBack);
+    auto error =
+        Error{ErrorKind::StoreOutcomeUnknown, "the store's reply was lost; read the object back"}.withRetryAfter(defaultRetryAfter);
     if (current.value != 0) {
         error.currentVersion = current.value;
     }
--- a/src/store/resolution.h
+++ b/src/store/resolution.h
@@ -1,6 +1,6 @@
-// Carries one conditional write to a certain outcome, also when answers of the store are lost.
+// Determines the outcome of one conditional write, even when replies of the store are lost.
 //
-// Pure: the shell performs the returned action and feeds its result back, with the time.
+// Performs no I/O: the I/O layer performs the returned action and passes its result back, with the time.
 #pragma once
 
 #include "base/random.h"
@@ -17,9 +17,9 @@
 /// One conditional put or removal.
 struct StoreWrite {
     ObjectKey key;
-    /// The value with its writer's mark (see withWriterMark()); unused for a removal.
+    /// The value with its writer stamp (see withWriterStamp()); unused for a removal.
     std::string value;
-    /// Version that must be in the store: 0 means that the object must not exist; never 0 for a removal.
+    /// Version that the store must hold: 0 means that the object must not exist; never 0 for a removal.
     Revision expected;
     /// The nonce that `value` carries; unused for a removal.
     WriterNonce nonce;
@@ -30,35 +30,35 @@
 struct StoreWritten {
     /// Revision of the change; 0 for a removal that was confirmed only by the object's absence.
     Revision version;
-    /// True when an answer was lost and the outcome was read back.
+    /// True when a reply was lost and the outcome was resolved by reading back.
     bool resolved = false;
 
     [[nodiscard]] bool operator==(const StoreWritten &) const = default;
 };
 
-/// What came of sending the write once.
+/// How an attempt to send the write ended.
 enum class WriteReplyKind : std::uint8_t {
     Written, ///< Status 200.
     Mismatch, ///< Status 412, or 404 for a removal.
     NotSent, ///< No byte left this process.
-    TooManyCalls, ///< Status 429: refused, nothing was changed.
+    TooManyCalls, ///< Status 429, or the own call budget is used up: nothing was changed.
     TooLarge, ///< Status 413: refused, nothing was changed.
     Rejected, ///< Another status from 400 to 499: refused, nothing was changed.
-    Lost, ///< No usable answer after bytes had left, or a status of 500 and up: it may have been changed.
+    Lost, ///< No usable reply after bytes had left, or a status of 500 or above: the object may have been changed.
 };
 
-/// Result of sending the write once.
+/// Result of one attempt to send the write.
 struct WriteReply {
     WriteReplyKind kind = WriteReplyKind::Lost;
     /// The new version (Written) or the current one (Mismatch; 0 when absent).
     Revision version;
 };
 
-/// What came of reading the object back.
+/// Result of reading the object back.
 struct ReadBackReply {
-    /// False when the store gave no usable answer.
-    bool answered = false;
-    /// The object, or nothing when the store says that there is none.
+    /// False when the store gave no usable reply.
+    bool replied = false;
+    /// The object, or nothing when the store reports that there is none.
     std::optional<StoredObject> object;
 };
 
@@ -70,12 +70,12 @@
 struct ReadBack {
     [[nodiscard]] bool operator==(const ReadBack &) const = default;
 };
-/// Do nothing until the time given, then call WriteResolution::onWaited().
+/// Do nothing until `time`, then call WriteResolution::onWaited().
 struct WaitUntil {
     TimePoint time;
     [[nodiscard]] bool operator==(const WaitUntil &) const = default;
 };
-/// The outcome is known, or cannot be known within the time given.
+/// The outcome is known, or cannot be determined before the deadline.
 ///
 /// Errors: Conflict (certainly not applied, with the current version), StoreUnavailable (certainly not applied),
 /// TooLarge, MalformedRequest, StoreOutcomeUnknown.
@@ -84,24 +84,24 @@
 };
 using WriteAction = std::variant<SendStoreWrite, ReadBack, WaitUntil, WriteFinished>;
 
-/// The state machine of one write.
+/// State machine of one write.
 ///
 /// A write is sent again only while the store still holds the expected version, so that at most one copy takes effect.
-/// Where a copy may still be on its way, "not applied" is told only once the version has moved past the expected one.
-/// The creation of an object is never sent again after a lost answer: absence does not show whether it was made and removed since.
+/// While a copy may still be in transit, "not applied" is reported only once the version has advanced past the expected one.
+/// The creation of an object is never sent again after a lost reply: absence does not show whether it was created and removed since.
 class WriteResolution
 {
 public:
-    /// Prepares \a write, to be given up on at \a deadline.
+    /// Prepares \a write, which is abandoned at \a deadline.
     WriteResolution(StoreWrite write, TimePoint deadline, std::uint64_t seed);
 
-    /// The first action.
+    /// Returns the first action.
     [[nodiscard]] static WriteAction start();
-    /// Takes the result of SendWrite.
+    /// Handles the result of SendStoreWrite.
     [[nodiscard]] WriteAction onWriteReply(const WriteReply &reply, TimePoint now);
-    /// Takes the result of ReadBack.
+    /// Handles the result of ReadBack.
     [[nodiscard]] WriteAction onReadBack(const ReadBackReply &reply, TimePoint now);
-    /// Goes on after WaitUntil.
+    /// Continues after WaitUntil.
     [[nodiscard]] WriteAction onWaited(TimePoint now);
 
 private:
@@ -117,9 +117,9 @@
     TimePoint deadline_;
     Random random_;
     Backoff backoff_;
-    /// True once a copy was sent whose answer was lost; never becomes false again.
+    /// True once a copy was sent whose reply was lost; never reset.
     bool replyLost_ = false;
-    /// True when the next step after a wait is to read back.
+    /// True when the step after the next wait is to read back.
     bool readBackNext_ = false;
 };
 
--- a/src/store/storeclient.cpp
+++ b/src/store/storeclient.cpp
@@ -16,23 +16,23 @@
 constexpr int statusOk = 200;
 constexpr int statusNotFound = 404;
 constexpr int statusGone = 410;
-constexpr int statusMismatch = 412;
+constexpr int statusPreconditionFailed = 412;
 constexpr int statusTooLarge = 413;
-constexpr int statusTooManyCalls = 429;
-constexpr int firstServerFault = 500;
-constexpr int firstClientFault = 400;
+constexpr int statusTooManyRequests = 429;
+constexpr int firstServerError = 500;
+constexpr int firstClientError = 400;
 
-/// Most idle connections kept.
-constexpr std::size_t idleConnections = 8;
-/// Time beyond a watch's own wait before its connection counts as silent.
-constexpr Milliseconds watchSlack{1000};
+/// The maximum number of idle connections kept.
+constexpr std::size_t maxIdleConnections = 8;
+/// Time beyond a watch's own wait after which its connection counts as silent.
+constexpr Milliseconds watchMargin{1000};
 
 std::string objectPath(const ObjectKey &key)
 {
     return "/v1/objects/" + key.kind.text() + "/" + key.name.text();
 }
 
-Milliseconds timeLeft(TimePoint deadline)
+Milliseconds remainingTime(TimePoint deadline)
 {
     return wholeMilliseconds(deadline - steadyNow());
 }
@@ -42,30 +42,30 @@
     if (status == statusOk) {
         return WriteReplyKind::Written;
     }
-    if (status == statusMismatch || (removal && status == statusNotFound)) {
+    if (status == statusPreconditionFailed || (removal && status == statusNotFound)) {
         return WriteReplyKind::Mismatch;
     }
-    if (status == statusTooManyCalls) {
+    if (status == statusTooManyRequests) {
         return WriteReplyKind::TooManyCalls;
     }
     if (status == statusTooLarge) {
         return WriteReplyKind::TooLarge;
     }
-    const bool refused = status >= firstClientFault && status < firstServerFault;
+    const bool refused = status >= firstClientError && status < firstServerError;
     return refused ? WriteReplyKind::Rejected : WriteReplyKind::Lost;
 }
 
 } // namespace
 
 struct StoreClient::Impl {
-    explicit Impl(StoreOptions given)
-        : options(std::move(given))
+    explicit Impl(StoreOptions storeOptions)
+        : options(std::move(storeOptions))
         , budget(options.budget)
         , random(options.seed)
     {
     }
 
-    std::unique_ptr<http::Connection> takeConnection()
+    std::unique_ptr<http::Connection> acquireConnection()
     {
         const std::lock_guard lock(mutex);
         if (idle.empty()) {
@@ -76,16 +76,16 @@
         return connection;
     }
 
-    void giveBack(std::unique_ptr<http::Connection> connection)
+    void releaseConnection(std::unique_ptr<http::Connection> connection)
     {
         const std::lock_guard lock(mutex);
-        if (connection->isOpen() && idle.size() < idleConnections) {
+        if (connection->isOpen() && idle.size() < maxIdleConnections) {
             idle.push_back(std::move(connection));
         }
     }
 
-    /// Time to wait before a call of \a kind may be made; zero when one was taken.
-    Milliseconds takeCall(CallKind kind)
+    /// Reserves a call of \a kind in the budget and returns zero, or returns the time to wait before one is available.
+    Milliseconds reserveCall(CallKind kind)
     {
         const std::lock_guard lock(mutex);
         const auto now = steadyNow();
@@ -96,11 +96,11 @@
         return std::max(Milliseconds{1}, budget.timeUntilAvailable(kind, now));
     }
 
-    /// As takeCall(), but waits for the call where that ends before \a deadline; known to be too late, it does not wait.
-    Milliseconds awaitCall(CallKind kind, TimePoint deadline)
+    /// As reserveCall(), but waits for the call when it becomes available before \a deadline; otherwise it returns without waiting.
+    Milliseconds waitForCall(CallKind kind, TimePoint deadline)
     {
         for (;;) {
-            const auto wait = takeCall(kind);
+            const auto wait = reserveCall(kind);
             if (wait.count() == 0 || steadyNow() + wait >= deadline) {
                 return wait;
             }
@@ -112,35 +112,35 @@
     http::ExchangeResult exchange(http::Request request, Milliseconds timeout)
     {
         request.headers["x-from"] = options.instance.text() + "/" + options.domain.text();
-        auto connection = takeConnection();
+        auto connection = acquireConnection();
         auto result = connection->exchange(request, std::max(timeout, Milliseconds{1}));
-        giveBack(std::move(connection));
+        releaseConnection(std::move(connection));
         if (!result.response) {
             const std::lock_guard lock(mutex);
             ++counts.failures;
-            // The idle connections took the same way and may be silent too.
+            // The idle connections use the same path and may be silent too.
             idle.clear();
         }
         return result;
     }
 
-    /// Makes one read; the error is StoreUnavailable unless the status is 200 or \a alsoGood.
-    Result<http::Response> read(http::Request request, Milliseconds timeout, int alsoGood = statusOk)
+    /// Performs one read; any status but 200 and \a alsoAccepted is a StoreUnavailable error, like a missing reply.
+    Result<http::Response> read(http::Request request, Milliseconds timeout, int alsoAccepted = statusOk)
     {
-        const auto wait = awaitCall(CallKind::Read, steadyNow() + timeout);
+        const auto wait = waitForCall(CallKind::Read, steadyNow() + timeout);
         if (wait.count() > 0) {
-            return Error{ErrorKind::StoreUnavailable, "this proxy has used up its calls to the store"}.withRetryAfter(wait);
+            return Error{ErrorKind::StoreUnavailable, "the budget of calls to the store is used up"}.withRetryAfter(wait);
         }
         auto result = exchange(request, timeout);
-        const bool mayHaveBeenClosedBefore = !result.response && !result.failure.timedOut && !result.failure.refused;
-        if (mayHaveBeenClosedBefore && takeCall(CallKind::Read).count() == 0) {
+        const bool connectionMayHaveBeenClosed = !result.response && !result.failure.timedOut && !result.failure.refused;
+        if (connectionMayHaveBeenClosed && reserveCall(CallKind::Read).count() == 0) {
             result = exchange(std::move(request), timeout);
         }
         if (!result.response) {
             return Error{ErrorKind::StoreUnavailable, result.failure.description}.withRetryAfter(options.attemptTimeout);
         }
-        if (result.response->status != statusOk && result.response->status != alsoGood) {
-            return Error{ErrorKind::StoreUnavailable, "the store answers with status " + std::to_string(result.response->status)}
+        if (result.response->status != statusOk && result.response->status != alsoAccepted) {
+            return Error{ErrorKind::StoreUnavailable, "the store replied with status " + std::to_string(result.response->status)}
                 .withRetryAfter(options.attemptTimeout);
         }
         return *result.response;
@@ -148,7 +148,7 @@
 
     WriteReply sendWrite(const StoreWrite &write, TimePoint deadline)
     {
-        if (awaitCall(CallKind::Write, deadline).count() > 0) {
+        if (waitForCall(CallKind::Write, deadline).count() > 0) {
             return {WriteReplyKind::TooManyCalls, {}};
         }
         http::Request request;
@@ -157,7 +157,7 @@
         request.headers["if-match"] = std::to_string(write.expected.value);
         request.headers["content-type"] = "application/json";
         request.body = write.value;
-        const auto result = exchange(std::move(request), std::min(options.attemptTimeout, timeLeft(deadline)));
+        const auto result = exchange(std::move(request), std::min(options.attemptTimeout, remainingTime(deadline)));
         if (!result.response) {
             const bool notSent = result.failure.stage == http::ExchangeStage::NotSent;
             return {notSent ? WriteReplyKind::NotSent : WriteReplyKind::Lost, {}};
@@ -173,7 +173,7 @@
     ReadBackReply readBack(const ObjectKey &key, TimePoint deadline)
     {
         const auto response =
-            read({"GET", objectPath(key), {}, {}, {}}, std::min(options.attemptTimeout, timeLeft(deadline)), statusNotFound);
+            read({"GET", objectPath(key), {}, {}, {}}, std::min(options.attemptTimeout, remainingTime(deadline)), statusNotFound);
         if (!response) {
             return {};
         }
@@ -192,7 +192,7 @@
 
     StoreOptions options;
     std::mutex mutex;
-    /// Guarded by mutex, like all below.
+    /// Guarded by mutex, like all members below.
     std::vector<std::unique_ptr<http::Connection>> idle;
     CallBudget budget;
     StoreCallCounts counts;
@@ -269,7 +269,7 @@
     http::Request request{"GET", "/v1/watch", {}, {}, {}};
     request.query["after"] = std::to_string(after.value);
     request.query["waitMs"] = std::to_string(wait.count());
-    const auto response = impl_->read(std::move(request), wait + watchSlack, statusGone);
+    const auto response = impl_->read(std::move(request), wait + watchMargin, statusGone);
     if (!response) {
         return response.error();
     }
--- a/src/store/storeclient.h
+++ b/src/store/storeclient.h
@@ -22,9 +22,9 @@
     FailureDomain domain;
     /// Calls that this process may make; see callBudgetFor().
     CallBudgetOptions budget;
-    /// Longest wait for one answer of the store; a call's own timeout may be longer and hold several attempts.
+    /// Maximum wait for one reply of the store; a call's own timeout may be longer and cover several attempts.
     Milliseconds attemptTimeout{1000};
-    /// Seed of jitter.
+    /// Seed of the jitter.
     std::uint64_t seed = 1;
 };
 
@@ -32,16 +32,16 @@
 struct StoreCallCounts {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
-    /// Attempts without a usable answer.
+    /// Attempts without a reply.
     std::uint64_t failures = 0;
-    /// Writes whose lost answer was resolved by reading back.
+    /// Writes whose lost reply was resolved by reading back.
     std::uint64_t resolved = 0;
 };
 
-/// The store, as the shells use it.
+/// Client of the store for the I/O layers.
 ///
-/// Each call blocks for at most its timeout. A call above the budget is refused with StoreUnavailable and a time to come back.
-/// A read is sent again once when a kept connection turns out to be closed; writes are carried to a certain outcome by WriteResolution.
+/// Each call blocks for at most its timeout. A call that the budget does not allow in that time is refused with StoreUnavailable and a
+/// retry-after. A read is sent again once when a kept connection turns out to be closed; WriteResolution determines the outcome of writes.
 ///
 /// Example:
 /// \code
@@ -56,32 +56,32 @@
     StoreClient &operator=(const StoreClient &) = delete;
     ~StoreClient();
 
-    /// Reads one object; the error is NotFound when there is none, else StoreUnavailable.
+    /// Reads one object; the error is NotFound when there is none, otherwise StoreUnavailable.
     [[nodiscard]] Result<StoredObject> get(const ObjectKey &key, Milliseconds timeout);
 
     /// Lists the objects of \a kind, or of all kinds when it is empty.
     [[nodiscard]] Result<StoreListing> list(const ObjectKind &kind, Milliseconds timeout);
 
-    /// Makes \a write (a put or a removal) and finds out whether it took effect; for errors see WriteFinished.
+    /// Performs \a write (a put or a removal) and determines whether it took effect; for errors see WriteFinished.
     [[nodiscard]] Result<StoreWritten> write(const StoreWrite &write, Milliseconds timeout);
 
-    /// Puts \a value under \a key where \a expected is the current version; \a value carries \a nonce (see withWriterMark()).
+    /// Puts \a value under \a key where \a expected is the current version; \a value carries \a nonce (see withWriterStamp()).
     [[nodiscard]] Result<StoreWritten>
     put(const ObjectKey &key, std::string value, Revision expected, const WriterNonce &nonce, Milliseconds timeout);
 
     /// Removes the object where \a expected is the current version.
     [[nodiscard]] Result<StoreWritten> remove(const ObjectKey &key, Revision expected, Milliseconds timeout);
 
-    /// Waits up to \a wait for changes after \a after; an empty result with a revision says that there are none.
+    /// Waits up to \a wait for changes after \a after; an empty result with a revision means that there are none.
     [[nodiscard]] Result<StoreChanges> watch(Revision after, Milliseconds wait);
 
-    /// The platform's instance list, all roles.
+    /// Returns the platform's instance list with all roles.
     [[nodiscard]] Result<std::vector<ListedInstance>> instances(Milliseconds timeout);
 
     /// Changes the budget, for example when the fleet has grown.
     void setBudget(CallBudgetOptions options);
 
-    /// Calls made so far.
+    /// Returns the numbers of calls made so far.
     [[nodiscard]] StoreCallCounts counts() const;
 
 private:
--- a/src/store/watchresume.cpp
+++ b/src/store/watchresume.cpp
@@ -1,4 +1,4 @@
-// Steps of following the store.
+// Chooses the calls to the store and classifies its replies.
 #include "store/watchresume.h"
 
 namespace cardamomstep {
@@ -17,12 +17,12 @@
 
 StoreReplyKind WatchResume::onListing(const StoreListing &listing, Revision complete, TimePoint now)
 {
-    const auto answer = classify(listing.revision, complete, now);
-    if (answer == StoreReplyKind::Current) {
+    const auto kind = classify(listing.revision, complete, now);
+    if (kind == StoreReplyKind::Current) {
         listed_ = true;
         relistRequired_ = false;
     }
-    return answer;
+    return kind;
 }
 
 StoreReplyKind WatchResume::onChanges(const StoreChanges &changes, Revision complete, TimePoint now)
--- a/src/store/watchresume.h
+++ b/src/store/watchresume.h
@@ -1,4 +1,4 @@
-// Decides how one proxy follows the store: list, watch or wait.
+// Decides how one proxy keeps up with the store: list, watch or wait.
 #pragma once
 
 #include "base/random.h"
@@ -28,26 +28,26 @@
 };
 using StoreStep = std::variant<ListAll, WatchAfter, DelayUntil>;
 
-/// What one answer of the store is worth.
+/// Classification of one reply of the store.
 enum class StoreReplyKind : std::uint8_t {
-    Current, ///< At least as new as all that is known here.
-    Stale, ///< From before what is known here; its missing objects say nothing.
-    TooOld, ///< The store cannot resume from the revision asked for.
-    Failed, ///< No usable answer.
+    Current, ///< At least as new as everything known here.
+    Stale, ///< Older than what is known here; an object missing from it is not known to be deleted.
+    TooOld, ///< The store cannot resume from the requested revision.
+    Failed, ///< No usable reply.
 };
 
 /// Limits of a WatchResume.
 struct WatchResumeOptions {
-    /// Longest wait of one watch; each answer, also an empty one, confirms that the configuration is current.
+    /// Maximum wait of one watch; each reply, even an empty one, confirms that the configuration is current.
     Milliseconds watchTimeout{1000};
-    /// Longest first wait, and longest wait of all, after failures.
+    /// Delays after failures and stale replies.
     BackoffOptions backoff{Milliseconds{100}, Milliseconds{5000}};
 };
 
-/// Follows the store's changes.
+/// Keeps up with the store's changes.
 ///
-/// Lists first, when nothing is known and after a 410; then watches from the revision up to which all is known. An answer from an
-/// older state of the store is told as stale, and is asked for again after a pause.
+/// Lists when nothing is known and after a 410; then watches from the revision up to which everything is known. A reply from an older
+/// state of the store is reported as stale, and the call is repeated after a delay.
 class WatchResume
 {
 public:
@@ -57,25 +57,25 @@
     {
     }
 
-    /// The next call, where all changes up to \a complete are known (0: none).
+    /// Returns the next call, given that all changes up to \a complete are known (0: none).
     [[nodiscard]] StoreStep next(Revision complete, TimePoint now) const;
 
-    /// Judges a listing; \a complete is what was known before it.
+    /// Classifies a listing; \a complete is what was known before it.
     StoreReplyKind onListing(const StoreListing &listing, Revision complete, TimePoint now);
 
-    /// Judges the answer to a watch.
+    /// Classifies the reply to a watch.
     StoreReplyKind onChanges(const StoreChanges &changes, Revision complete, TimePoint now);
 
-    /// Counts a call without a usable answer.
+    /// Records a call without a usable reply.
     void onFailure(TimePoint now);
 
-    /// Sets the longest wait of the watches from now on.
+    /// Sets the maximum wait of later watches.
     void setWatchTimeout(Milliseconds wait) noexcept
     {
         options_.watchTimeout = wait;
     }
 
-    /// Failures and stale answers in a row.
+    /// The number of consecutive failures and stale replies.
     [[nodiscard]] unsigned failures() const noexcept
     {
         return backoff_.failures();
@@ -88,9 +88,9 @@
     Random random_;
     Backoff backoff_{options_.backoff};
     TimePoint nextCallAt_;
-    /// True until the first listing, unless peers know the configuration; an empty store has revision 0.
+    /// True after the first current listing; needed because an empty store has revision 0.
     bool listed_ = false;
-    /// True after a 410.
+    /// True after a 410 until the next current listing.
     bool relistRequired_ = false;
 };
 
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -1,4 +1,4 @@
-// Reads and writes the writer's mark inside JSON values.
+// Reads and writes the writer stamp inside JSON values.
 #include "store/writer.h"
 
 #include <nlohmann/json.hpp>
--- a/src/store/writer.h
+++ b/src/store/writer.h
@@ -1,8 +1,8 @@
-// The writer's mark inside a stored value, by which a write whose answer was lost is found again.
+// The writer stamp inside a stored value, by which a write whose reply was lost is recognized.
 //
-// It sits at the top level of the value:
+// It is at the top level of the value:
 //     {"writer": {"nonce": "N3", "earlier": [{"nonce": "N2", "version": 17}, {"nonce": "N1", "version": 9}]}, ...}
-// "earlier" names the versions that this one replaced, newest first, at most `earlierWritersKept`.
+// "earlier" names the versions that this one replaced, newest first, at most `maxEarlierWriters`.
 #pragma once
 
 #include "base/result.h"
@@ -16,19 +16,19 @@
 
 namespace cardamomstep {
 
-/// Most earlier writers that a value names.
+/// The maximum number of earlier writers that a value names.
 inline constexpr std::size_t maxEarlierWriters = 8;
 
-/// A version that was replaced, and who wrote it.
+/// A replaced version and the nonce of its write.
 struct EarlierWriter {
-    /// Empty when the replaced value carried no mark.
+    /// Empty when the replaced value had no stamp.
     WriterNonce nonce;
     Revision version;
 
     [[nodiscard]] bool operator==(const EarlierWriter &) const = default;
 };
 
-/// The writer's mark of a value.
+/// The writer stamp of a value.
 struct WriterStamp {
     WriterNonce nonce;
     /// Replaced versions, newest first.
@@ -37,12 +37,12 @@
     [[nodiscard]] bool operator==(const WriterStamp &) const = default;
 };
 
-/// Reads the mark of \a value; an empty mark when there is none or the value is no JSON object.
+/// Returns the stamp of \a value; an empty stamp when there is none or the value is not a JSON object.
 [[nodiscard]] WriterStamp readWriterStamp(std::string_view value);
 
-/// Returns \a value with the mark of \a nonce, naming \a replaced (null for a new object) and its own earlier writers.
+/// Returns \a value with a stamp of \a nonce, which names \a replaced (null for a new object) and the earlier writers of that.
 ///
-/// Other fields are kept. The error is ErrorKind::InvalidRecord when \a value is no JSON object.
+/// Other fields are kept. The error is ErrorKind::InvalidRecord when \a value is not a JSON object.
 [[nodiscard]] Result<std::string> withWriterStamp(std::string_view value, const WriterNonce &nonce, const StoredObject *replaced);
 
 } // namespace cardamomstep
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -1,4 +1,4 @@
-// A fleet of proxies in virtual time: their spread machines, a model of the store and of the network between them.
+// A fleet of proxies in virtual time: their ConfigurationGossip objects, a model of the store and of the network between them.
 #pragma once
 
 #include "configuration/gossip.h"
@@ -14,7 +14,7 @@
     std::size_t proxies = 7;
     std::size_t domains = 3;
     std::size_t regions = 1;
-    /// Bytes of a record's value.
+    /// Approximate size of a record's value in bytes.
     std::size_t valueBytes = 600;
     std::uint64_t seed = 1;
 };
@@ -28,7 +28,7 @@
         , up_(shape.proxies, true)
         , cutRegion_(shape.regions, false)
         , storeCut_(shape.proxies, false)
-        , alone_(shape.proxies, false)
+        , isolated_(shape.proxies, false)
         , bytes_(shape.proxies, 0)
     {
         std::vector<LiveInstance> all;
@@ -38,7 +38,7 @@
         live = std::make_shared<InstanceSet>(all);
         for (std::size_t node = 0; node < shape.proxies; ++node) {
             nodes_.push_back(makeNode(node));
-            begin(node, Milliseconds{random_.below(1000)});
+            startLoops(node, Milliseconds{random_.below(1000)});
         }
     }
 
@@ -68,32 +68,32 @@
         return now_;
     }
 
-    /// Replaces the proxy by a fresh process that knows nothing.
+    /// Replaces the proxy by a new process that knows nothing.
     void restart(std::size_t index)
     {
         ++epochs_[index];
         nodes_[index] = makeNode(index);
-        begin(index, Milliseconds{1});
+        startLoops(index, Milliseconds{1});
     }
 
-    /// Writes an object to the store through the proxy \a by, as its shell would; the proxy may die before it says so.
-    Revision accept(std::size_t by, const std::string &name, bool removal = false)
+    /// Writes an object to the store through the proxy \a by, as its I/O layer would. The proxy may fail before it reports the write.
+    Revision writeThrough(std::size_t by, const std::string &name, bool removal = false)
     {
         const ObjectKey key{ObjectKind{"group"}, ObjectName{name}};
         const auto reply = store.apply({key, valueFor(name), store.versionOf(key), {}, removal});
         changedAt[reply.version] = now_;
-        wakeWatches();
+        completeWatches();
         perform(by, nodes_[by]->onAccepted(store.history().back(), now_));
         return reply.version;
     }
 
-    /// Writes an object that no proxy is told of, as another writer would.
-    Revision acceptElsewhere(const std::string &name)
+    /// Writes an object without a report to any proxy, as another writer would.
+    Revision writeElsewhere(const std::string &name)
     {
         const ObjectKey key{ObjectKind{"group"}, ObjectName{name}};
         const auto reply = store.apply({key, valueFor(name), store.versionOf(key), {}, false});
         changedAt[reply.version] = now_;
-        wakeWatches();
+        completeWatches();
         return reply.version;
     }
 
@@ -109,13 +109,13 @@
         now_ = end;
     }
 
-    /// Proxies that hold the change of \a revision (or a later one of the same object).
-    std::size_t holders(Revision revision, const std::string &name)
+    /// Returns the number of proxies that hold the change of \a revision or a later one of the same object.
+    std::size_t proxiesHolding(Revision revision, const std::string &name)
     {
         const ObjectKey key{ObjectKind{"group"}, ObjectName{name}};
         return static_cast<std::size_t>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto &node) {
-            const auto *held = node->state().find(key);
-            return held != nullptr && held->version >= revision;
+            const auto *known = node->state().find(key);
+            return known != nullptr && known->version >= revision;
         }));
     }
 
@@ -127,7 +127,7 @@
 
     bool reachesStore(std::size_t index) const
     {
-        return !storeDown && !storeCut_[index] && !alone_[index] && !cutRegion_[regionOf(index)];
+        return !storeDown && !storeCut_[index] && !isolated_[index] && !cutRegion_[regionOf(index)];
     }
 
     void cutRegion(std::size_t region, bool cut)
@@ -138,9 +138,9 @@
     {
         storeCut_[index] = cut;
     }
-    void cutAlone(std::size_t index, bool cut)
+    void isolate(std::size_t index, bool cut)
     {
-        alone_[index] = cut;
+        isolated_[index] = cut;
     }
 
     std::uint64_t bytesOf(std::size_t index) const
@@ -157,12 +157,12 @@
     ModelStore store;
     bool storeDown = false;
     std::shared_ptr<const InstanceSet> live;
-    /// When each change was made, and when the last proxy so far put it in force.
+    /// Time of each change, and time at which it came into force on the latest proxy so far.
     std::map<Revision, TimePoint> changedAt;
     std::map<Revision, TimePoint> lastInForceAt;
     std::map<std::int64_t, std::size_t> storeCallsBySecond;
     std::uint64_t messages = 0;
-    /// Times that an object went back to an older version, or came back deleted.
+    /// The number of times that an object went back to an older version or reappeared after its deletion.
     std::size_t reverted = 0;
 
 private:
@@ -175,7 +175,7 @@
             return std::tie(other.time, other.order) < std::tie(time, order);
         }
     };
-    struct Waiting {
+    struct PendingWatch {
         std::size_t node;
         std::uint64_t epoch;
         Revision after;
@@ -200,48 +200,48 @@
         return node;
     }
 
-    void begin(std::size_t index, Milliseconds delay)
+    void startLoops(std::size_t index, Milliseconds delay)
     {
         const auto epoch = epochs_[index];
-        at(now_ + delay, [this, index, epoch] { tickLoop(index, epoch); });
-        at(now_ + delay, [this, index, epoch] { storeLoop(index, epoch); });
+        schedule(now_ + delay, [this, index, epoch] { tickLoop(index, epoch); });
+        schedule(now_ + delay, [this, index, epoch] { storeLoop(index, epoch); });
     }
 
-    void at(TimePoint time, std::function<void()> action)
+    void schedule(TimePoint time, std::function<void()> action)
     {
-        events_.push({time, ++order_, std::move(action)});
+        events_.push({time, ++lastOrder_, std::move(action)});
     }
 
-    bool alive(std::size_t index, std::uint64_t epoch) const
+    bool isRunning(std::size_t index, std::uint64_t epoch) const
     {
         return up_[index] && epochs_.at(index) == epoch;
     }
 
     void tickLoop(std::size_t index, std::uint64_t epoch)
     {
-        if (!alive(index, epoch)) {
+        if (!isRunning(index, epoch)) {
             return;
         }
         perform(index, nodes_[index]->tick(now_));
-        at(now_ + Milliseconds{250}, [this, index, epoch] { tickLoop(index, epoch); });
+        schedule(now_ + Milliseconds{250}, [this, index, epoch] { tickLoop(index, epoch); });
     }
 
     void storeLoop(std::size_t index, std::uint64_t epoch)
     {
-        if (!alive(index, epoch)) {
+        if (!isRunning(index, epoch)) {
             return;
         }
         const auto step = nodes_[index]->nextStoreStep(now_);
-        if (const auto *pause = std::get_if<DelayUntil>(&step)) {
-            at(std::max(pause->time, now_ + Milliseconds{1}), [this, index, epoch] { storeLoop(index, epoch); });
+        if (const auto *delayUntil = std::get_if<DelayUntil>(&step)) {
+            schedule(std::max(delayUntil->time, now_ + Milliseconds{1}), [this, index, epoch] { storeLoop(index, epoch); });
             return;
         }
         ++storeCallsBySecond[std::chrono::duration_cast<Seconds>(now_.time_since_epoch()).count()];
         bytes_[index] += storeCallBytes;
         const auto calledAt = now_;
         if (!reachesStore(index)) {
-            at(now_ + Milliseconds{1000}, [this, index, epoch] {
-                if (alive(index, epoch)) {
+            schedule(now_ + Milliseconds{1000}, [this, index, epoch] {
+                if (isRunning(index, epoch)) {
                     nodes_[index]->onStoreFailure(now_);
                     storeLoop(index, epoch);
                 }
@@ -249,8 +249,8 @@
             return;
         }
         if (std::holds_alternative<ListAll>(step)) {
-            at(now_ + storeDelay, [this, index, epoch, calledAt, listing = store.list()] {
-                if (alive(index, epoch)) {
+            schedule(now_ + storeDelay, [this, index, epoch, calledAt, listing = store.list()] {
+                if (isRunning(index, epoch)) {
                     bytes_[index] += sizeOf(listing.objects);
                     perform(index, nodes_[index]->onListing(listing, calledAt, now_));
                     storeLoop(index, epoch);
@@ -259,27 +259,27 @@
             return;
         }
         const auto &watch = std::get<WatchAfter>(step);
-        auto waiting = std::make_shared<Waiting>(Waiting{index, epoch, watch.after, calledAt, false});
+        auto waiting = std::make_shared<PendingWatch>(PendingWatch{index, epoch, watch.after, calledAt, false});
         if (store.revision() > watch.after || watch.wait.count() == 0) {
-            answerWatch(waiting);
+            replyToWatch(waiting);
             return;
         }
         watches_.push_back(waiting);
-        at(now_ + watch.wait, [this, waiting] { answerWatch(waiting); });
+        schedule(now_ + watch.wait, [this, waiting] { replyToWatch(waiting); });
     }
 
-    void answerWatch(const std::shared_ptr<Waiting> &waiting)
+    void replyToWatch(const std::shared_ptr<PendingWatch> &waiting)
     {
         if (waiting->done) {
             return;
         }
         waiting->done = true;
-        const bool answered = reachesStore(waiting->node);
-        at(now_ + storeDelay, [this, waiting, answered, changes = store.watch(waiting->after)] {
-            if (!alive(waiting->node, waiting->epoch)) {
+        const bool reachable = reachesStore(waiting->node);
+        schedule(now_ + storeDelay, [this, waiting, reachable, changes = store.watch(waiting->after)] {
+            if (!isRunning(waiting->node, waiting->epoch)) {
                 return;
             }
-            if (answered) {
+            if (reachable) {
                 bytes_[waiting->node] += sizeOf(changes.changes);
                 perform(waiting->node, nodes_[waiting->node]->onChanges(changes, waiting->calledAt, now_));
             } else {
@@ -289,13 +289,13 @@
         });
     }
 
-    void wakeWatches()
+    void completeWatches()
     {
-        std::vector<std::shared_ptr<Waiting>> waiting;
+        std::vector<std::shared_ptr<PendingWatch>> waiting;
         waiting.swap(watches_);
         for (const auto &watch : waiting) {
             if (reachesStore(watch->node)) {
-                answerWatch(watch);
+                replyToWatch(watch);
             } else if (!watch->done) {
                 watches_.push_back(watch);
             }
@@ -305,8 +305,8 @@
     bool connected(std::size_t from, std::size_t to) const
     {
         const bool sameRegion = regionOf(from) == regionOf(to);
-        const bool regionsMeet = sameRegion || (!cutRegion_[regionOf(from)] && !cutRegion_[regionOf(to)]);
-        return up_[from] && up_[to] && !alone_[from] && !alone_[to] && regionsMeet;
+        const bool regionsConnected = sameRegion || (!cutRegion_[regionOf(from)] && !cutRegion_[regionOf(to)]);
+        return up_[from] && up_[to] && !isolated_[from] && !isolated_[to] && regionsConnected;
     }
 
     Microseconds delay(std::size_t from, std::size_t to)
@@ -361,7 +361,7 @@
             if (const auto *exchange = std::get_if<SendExchange>(&action)) {
                 sendExchange(index, *exchange);
             } else {
-                noteInForce(index, std::get<ObjectsChanged>(action).objects);
+                recordInForce(index, std::get<ObjectsChanged>(action).objects);
             }
         }
     }
@@ -371,44 +371,44 @@
         const auto to = indexOf(exchange.to.name);
         const auto epoch = epochs_[from];
         const auto fail = [this, from, epoch, id = exchange.id] {
-            if (alive(from, epoch)) {
+            if (isRunning(from, epoch)) {
                 nodes_[from]->onExchangeFailed(id);
             }
         };
         const auto timeoutAt = now_ + Milliseconds{500};
         if (!connected(from, to)) {
-            at(timeoutAt, fail);
+            schedule(timeoutAt, fail);
             return;
         }
         count(from, to, exchange.message);
-        at(now_ + delay(from, to), [this, from, to, epoch, fail, timeoutAt, id = exchange.id, request = exchange.message] {
+        schedule(now_ + delay(from, to), [this, from, to, epoch, fail, timeoutAt, id = exchange.id, request = exchange.message] {
             if (!connected(from, to)) {
-                at(timeoutAt, fail);
+                schedule(timeoutAt, fail);
                 return;
             }
-            auto handled = nodes_[to]->onRequest(request, now_);
-            perform(to, handled.actions);
-            count(to, from, handled.reply);
-            at(now_ + delay(to, from), [this, from, epoch, id, reply = std::move(handled.reply)] {
-                if (alive(from, epoch)) {
+            auto response = nodes_[to]->onRequest(request, now_);
+            perform(to, response.actions);
+            count(to, from, response.reply);
+            schedule(now_ + delay(to, from), [this, from, epoch, id, reply = std::move(response.reply)] {
+                if (isRunning(from, epoch)) {
                     perform(from, nodes_[from]->onReply(id, reply, now_));
                 }
             });
         });
     }
 
-    void noteInForce(std::size_t index, const std::vector<StoredObject> &objects)
+    void recordInForce(std::size_t index, const std::vector<StoredObject> &objects)
     {
         for (const auto &object : objects) {
-            auto &seen = versions_[index][object.key()];
-            reverted += object.version <= seen ? 1 : 0;
-            seen = object.version;
+            auto &lastVersion = versions_[index][object.key()];
+            reverted += object.version <= lastVersion ? 1 : 0;
+            lastVersion = object.version;
             lastInForceAt[object.version] = now_;
         }
     }
 
     static constexpr Milliseconds storeDelay{5};
-    /// Bytes of a call to the store and its answer beside the objects, with headers.
+    /// Bytes of a call to the store and its reply with headers, without the objects.
     static constexpr std::size_t storeCallBytes = 500;
     /// Bytes of a field's tag and length.
     static constexpr std::size_t perField = 6;
@@ -416,7 +416,7 @@
     FleetShape shape_;
     Random random_;
     TimePoint now_{};
-    std::uint64_t order_ = 0;
+    std::uint64_t lastOrder_ = 0;
     std::priority_queue<Event> events_;
     std::vector<std::unique_ptr<ConfigurationGossip>> nodes_;
     std::map<std::size_t, std::uint64_t> epochs_;
@@ -424,9 +424,9 @@
     std::vector<bool> up_;
     std::vector<bool> cutRegion_;
     std::vector<bool> storeCut_;
-    std::vector<bool> alone_;
+    std::vector<bool> isolated_;
     std::vector<std::uint64_t> bytes_;
-    std::vector<std::shared_ptr<Waiting>> watches_;
+    std::vector<std::shared_ptr<PendingWatch>> watches_;
 };
 
 } // namespace cardamomstep::test
--- a/tests/configuration/test_gossip.cpp
+++ b/tests/configuration/test_gossip.cpp
@@ -1,4 +1,4 @@
-// Tests of spreading the configuration in virtual time: today's fleet and the fleet of 3,500 proxies.
+// Tests of configuration gossip in virtual time, in a fleet of 7 proxies and in one of 3,500.
 #include "fleetmodel.h"
 
 #include <criterion/criterion.h>
@@ -15,57 +15,57 @@
 constexpr test::FleetShape smallFleet{};
 constexpr test::FleetShape largeFleet{3500, 10, 3};
 /// 34,000 changes a day.
-constexpr Milliseconds changeEvery{2541};
+constexpr Milliseconds changeInterval{2541};
 
 double secondsOf(Microseconds span)
 {
     return std::chrono::duration<double>(span).count();
 }
 
-/// Lets every proxy learn \a objects objects and the others' signs of life.
+/// Runs until every proxy knows \a objects objects and has contact with the others.
 void warmUp(FleetModel &fleet, int objects)
 {
     for (int index = 0; index < objects; ++index) {
-        fleet.acceptElsewhere("first-" + std::to_string(index));
+        fleet.writeElsewhere("first-" + std::to_string(index));
     }
     fleet.run(Seconds{15});
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
 }
 
-std::size_t mostStoreCalls(const FleetModel &fleet)
+std::size_t peakStoreCallsPerSecond(const FleetModel &fleet)
 {
-    std::size_t most = 0;
+    std::size_t peak = 0;
     for (const auto &[second, calls] : fleet.storeCallsBySecond) {
-        most = std::max(most, calls);
+        peak = std::max(peak, calls);
     }
-    return most;
+    return peak;
 }
 
 } // namespace
 
-Test(spread, changeIsInForceOnAllOfASmallFleet)
+Test(gossip, changeIsInForceOnAllOfASmallFleet)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
-    const auto revision = fleet.accept(2, "ledger");
+    const auto revision = fleet.writeThrough(2, "ledger");
     fleet.run(Milliseconds{200});
-    cr_assert(fleet.holders(revision, "ledger") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "ledger") == fleet.size());
     cr_assert(fleet.node(2).domainsWithRevision(revision) == 3);
 }
 
-Test(spread, changeByAnotherWriterComesByWatch)
+Test(gossip, changeByAnotherWriterArrivesByWatch)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
     for (std::size_t cut = 1; cut < fleet.size(); ++cut) {
         fleet.cutFromStore(cut, true);
     }
-    const auto revision = fleet.acceptElsewhere("ledger");
+    const auto revision = fleet.writeElsewhere("ledger");
     fleet.run(Seconds{3});
-    cr_assert(fleet.holders(revision, "ledger") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "ledger") == fleet.size());
 }
 
-Test(spread, proxyStartedInAnOutageFetchesFromPeersAndServes)
+Test(gossip, proxyStartedInAStoreOutageFetchesFromPeersAndServes)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 20);
@@ -79,32 +79,32 @@
     cr_assert(!fleet.node(4).mayAccept(fleet.now()));
 }
 
-Test(spread, proxyThatHearsNobodyStopsServingAndComesBack)
+Test(gossip, isolatedProxyStopsServingAndRecovers)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
-    fleet.cutAlone(3, true);
+    fleet.isolate(3, true);
     const auto cutAt = fleet.now();
-    const auto revision = fleet.accept(0, "ledger");
+    const auto revision = fleet.writeThrough(0, "ledger");
     while (fleet.node(3).configurationFreshness(fleet.now()) != ConfigurationFreshnessState::Isolated) {
         fleet.run(Milliseconds{100});
         cr_assert(fleet.now() - cutAt <= ConfigurationFreshnessOptions{}.maxAge + Milliseconds{200});
     }
-    cr_assert(fleet.holders(revision, "ledger") == fleet.size() - 1);
-    fleet.cutAlone(3, false);
+    cr_assert(fleet.proxiesHolding(revision, "ledger") == fleet.size() - 1);
+    fleet.isolate(3, false);
     fleet.run(inForceWithin);
     cr_assert(fleet.node(3).configurationFreshness(fleet.now()) == ConfigurationFreshnessState::Current);
-    cr_assert(fleet.holders(revision, "ledger") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "ledger") == fleet.size());
 }
 
-Test(spread, storeOutageRightAfterAcceptance)
+Test(gossip, changeIsInForceDespiteAStoreOutageRightAfterIt)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
-    const auto revision = fleet.accept(5, "ledger");
+    const auto revision = fleet.writeThrough(5, "ledger");
     fleet.storeDown = true;
     fleet.run(inForceWithin);
-    cr_assert(fleet.holders(revision, "ledger") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "ledger") == fleet.size());
     fleet.run(Seconds{60});
     cr_assert(fleet.countIn(ConfigurationFreshnessState::StoreSilent) == fleet.size());
     fleet.storeDown = false;
@@ -113,41 +113,41 @@
     cr_assert(fleet.reverted == 0);
 }
 
-Test(spread, goneAfterALongCutListsAndDeletesWhatIsGone)
+Test(gossip, proxyBehindCompactedHistoryListsAndDropsDeletedObjects)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
-    fleet.cutAlone(1, true);
+    fleet.isolate(1, true);
     fleet.run(Seconds{30});
-    fleet.accept(0, "first-0", true);
-    fleet.accept(0, "ledger");
+    fleet.writeThrough(0, "first-0", true);
+    fleet.writeThrough(0, "ledger");
     fleet.store.compact();
-    fleet.cutAlone(1, false);
+    fleet.isolate(1, false);
     fleet.run(Seconds{10});
     cr_assert(fleet.node(1).state().digest().sameContent(fleet.node(0).state().digest()));
     cr_assert(fleet.node(1).state().find({ObjectKind{"group"}, ObjectName{"first-0"}}) == nullptr);
     cr_assert(fleet.reverted == 0);
 }
 
-Test(spread, revisionThatRisesWithoutNewObjectsIsTold)
+Test(gossip, revisionThatRisesWithoutNewObjectsIsReported)
 {
     GossipOptions options;
     options.self = FleetModel::nameOf(0);
     options.domain = FailureDomain{"a"};
-    ConfigurationGossip spread{options};
+    ConfigurationGossip gossip{options};
     const auto live = std::make_shared<InstanceSet>(std::vector<LiveInstance>{{options.self, options.domain, Address{"10.0.0.1:1"}}});
-    spread.setInstances(live, 1);
+    gossip.setInstances(live, 1);
     const TimePoint now{Seconds{1}};
-    (void)spread.onListing({Revision{5}, {}}, now, now);
+    (void)gossip.onListing({Revision{5}, {}}, now, now);
     const StoredObject change{ObjectKind{"group"}, ObjectName{"g"}, Revision{6}, "{}", false};
-    const auto accepted = spread.onAccepted(change, now);
+    const auto accepted = gossip.onAccepted(change, now);
     cr_assert(accepted.size() == 1);
     cr_assert(std::get<ObjectsChanged>(accepted[0]).complete == Revision{5});
-    const auto watched = spread.onChanges({Revision{5}, Revision{6}, {change}, false}, now, now);
+    const auto watched = gossip.onChanges({Revision{5}, Revision{6}, {change}, false}, now, now);
     cr_assert(watched.size() == 1);
     cr_assert(std::get<ObjectsChanged>(watched[0]).objects.empty());
     cr_assert(std::get<ObjectsChanged>(watched[0]).complete == Revision{6});
-    cr_assert(spread.onChanges({Revision{6}, Revision{6}, {}, false}, now, now).empty());
+    cr_assert(gossip.onChanges({Revision{6}, Revision{6}, {}, false}, now, now).empty());
 }
 
 namespace {
@@ -156,8 +156,8 @@
     std::size_t by = 0;
     std::string name;
     Revision revision;
-    /// When a majority of the failure domains was known to hold it.
-    std::optional<TimePoint> heldByMajorityAt;
+    /// Time since when a majority of the failure domains is known to hold it.
+    std::optional<TimePoint> majorityHoldsSince;
 };
 
 /// Turns one fault on or off.
@@ -181,21 +181,23 @@
     return state == ConfigurationFreshnessState::Current || state == ConfigurationFreshnessState::StoreSilent;
 }
 
-/// Asserts that whoever serves has all changes that a majority of failure domains held a bound and a little ago.
-void assertInForceWhereServed(FleetModel &fleet, std::vector<AcceptedChange> &changes)
+/// Asserts that all serving proxies hold each change that a majority of the failure domains has held for the freshness limit plus the
+/// propagation time within a domain.
+void assertServingProxiesHold(FleetModel &fleet, std::vector<AcceptedChange> &changes)
 {
     constexpr Seconds withinDomain{2};
     for (auto &change : changes) {
-        if (!change.heldByMajorityAt && fleet.node(change.by).domainsWithRevision(change.revision) >= 2) {
-            change.heldByMajorityAt = fleet.now();
+        if (!change.majorityHoldsSince && fleet.node(change.by).domainsWithRevision(change.revision) >= 2) {
+            change.majorityHoldsSince = fleet.now();
         }
-        if (!change.heldByMajorityAt || fleet.now() - *change.heldByMajorityAt < ConfigurationFreshnessOptions{}.maxAge + withinDomain) {
+        if (!change.majorityHoldsSince
+            || fleet.now() - *change.majorityHoldsSince < ConfigurationFreshnessOptions{}.maxAge + withinDomain) {
             continue;
         }
         const ObjectKey key{ObjectKind{"group"}, ObjectName{change.name}};
         for (std::size_t node = 0; node < fleet.size(); ++node) {
-            const auto *held = fleet.node(node).state().find(key);
-            const bool has = held != nullptr && held->version >= change.revision;
+            const auto *known = fleet.node(node).state().find(key);
+            const bool has = known != nullptr && known->version >= change.revision;
             RC_ASSERT(has || !serves(fleet.node(node).configurationFreshness(fleet.now())));
         }
     }
@@ -203,11 +205,11 @@
 
 } // namespace
 
-// Failure domains are cut off from each other and from the store, and the store goes down, in any order.
-Test(spread, whoeverServesHasWhatAMajorityHeld)
+// Failure domains are cut off from each other and from the store, and the store becomes unavailable, in any order.
+Test(gossip, servingProxiesHaveWhatAMajorityHeld)
 {
     setenv("RC_PARAMS", "max_success=300", 0);
-    const bool holds = rc::check("whoever serves has what a majority held", [] {
+    const bool holds = rc::check("serving proxies have what a majority held", [] {
         auto shape = smallFleet;
         shape.regions = 3;
         shape.valueBytes = 1;
@@ -220,13 +222,13 @@
             const auto by = *rc::gen::inRange<std::size_t>(0, fleet.size());
             if (fleet.node(by).mayAccept(fleet.now()) && fleet.reachesStore(by)) {
                 const auto name = "c" + std::to_string(step % 7);
-                changes.push_back({by, name, fleet.accept(by, name), std::nullopt});
+                changes.push_back({by, name, fleet.writeThrough(by, name), std::nullopt});
             }
             randomFault(fleet);
             const auto quarters = *rc::gen::inRange(1, 24);
             for (int quarter = 0; quarter < quarters; ++quarter) {
                 fleet.run(Milliseconds{250});
-                assertInForceWhereServed(fleet, changes);
+                assertServingProxiesHold(fleet, changes);
             }
         }
         fleet.storeDown = false;
@@ -245,8 +247,8 @@
     cr_assert(holds);
 }
 
-// A process that was paused has requests in its buffers that it reads only now: they must not make its configuration look current.
-Test(spread, pausedProxyIsNotCurrentBeforeItHasAskedAgain)
+// After a process pause, old requests and replies are read from the buffers: they must not make the configuration look current.
+Test(gossip, pausedProxyIsNotCurrentBeforeItQueriesAgain)
 {
     FleetModel fleet{smallFleet};
     warmUp(fleet, 3);
@@ -263,11 +265,11 @@
     cr_assert(paused.configurationFreshness(wokenAt) == ConfigurationFreshnessState::Isolated);
 }
 
-Test(spread, largeFleetWithCutWatchesWithinItsBudget)
+Test(gossip, largeFleetWithInterruptedWatchesStaysWithinItsBudget)
 {
     FleetModel fleet{largeFleet};
     warmUp(fleet, 20);
-    // A third of the watchers, all of one failure domain among them, do not hear the store.
+    // About a third of the watchers, including all of one failure domain, cannot reach the store.
     std::size_t watchers = 0;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         if (fleet.node(node).isWatcher()) {
@@ -281,16 +283,16 @@
     std::vector<Revision> revisions;
     for (int change = 0; change < changes; ++change) {
         const auto by = static_cast<std::size_t>(change) * 211 % fleet.size();
-        revisions.push_back(fleet.accept(by, "changed-" + std::to_string(change)));
-        fleet.run(changeEvery);
+        revisions.push_back(fleet.writeThrough(by, "changed-" + std::to_string(change)));
+        fleet.run(changeInterval);
     }
-    const auto span = secondsOf(changeEvery) * changes;
-    const auto reads = mostStoreCalls(fleet);
+    const auto span = secondsOf(changeInterval) * changes;
+    const auto reads = peakStoreCallsPerSecond(fleet);
     std::uint64_t total = 0;
-    std::uint64_t most = 0;
+    std::uint64_t peak = 0;
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         total += fleet.bytesOf(node);
-        most = std::max(most, fleet.bytesOf(node));
+        peak = std::max(peak, fleet.bytesOf(node));
     }
     cr_log_warn("%zu watchers; store calls a second: at most %zu", watchers, reads);
     fleet.run(inForceWithin);
@@ -298,20 +300,20 @@
     for (int change = 0; change < changes; ++change) {
         const auto revision = revisions[static_cast<std::size_t>(change)];
         slowest = std::max(slowest, secondsOf(fleet.lastInForceAt[revision] - fleet.changedAt[revision]));
-        cr_assert(fleet.holders(revision, "changed-" + std::to_string(change)) == fleet.size());
+        cr_assert(fleet.proxiesHolding(revision, "changed-" + std::to_string(change)) == fleet.size());
     }
     cr_log_warn("bytes a second in and out: mean %.0f, most loaded proxy %.0f; slowest change in force after %.2f s",
                 static_cast<double>(total) / span / static_cast<double>(fleet.size()),
-                static_cast<double>(most) / span,
+                static_cast<double>(peak) / span,
                 slowest);
     cr_assert(slowest <= secondsOf(inForceWithin));
-    cr_assert(static_cast<double>(most) / span < 11'000);
+    cr_assert(static_cast<double>(peak) / span < 11'000);
     cr_assert(reads < 500);
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
     cr_assert(fleet.reverted == 0);
 }
 
-Test(spread, regionCutForMinutesStopsAndCatchesUp)
+Test(gossip, regionCutOffForMinutesStopsServingAndCatchesUp)
 {
     FleetModel fleet{largeFleet};
     warmUp(fleet, 5);
@@ -320,9 +322,9 @@
     for (std::size_t node = 0; node < fleet.size(); ++node) {
         inRegion += fleet.regionOf(node) == 0 ? 1 : 0;
     }
-    const auto revision = fleet.accept(fleet.size() - 1, "changed");
+    const auto revision = fleet.writeThrough(fleet.size() - 1, "changed");
     fleet.run(inForceWithin);
-    cr_assert(fleet.holders(revision, "changed") == fleet.size() - inRegion);
+    cr_assert(fleet.proxiesHolding(revision, "changed") == fleet.size() - inRegion);
     fleet.run(ConfigurationFreshnessOptions{}.maxAge - inForceWithin + Seconds{1});
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Isolated) == inRegion);
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size() - inRegion);
@@ -332,31 +334,31 @@
     fleet.cutRegion(0, false);
     const auto healedAt = fleet.now();
     fleet.run(Seconds{10});
-    cr_assert(fleet.holders(revision, "changed") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "changed") == fleet.size());
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
-    cr_log_warn("caught up %.2f s after the cut was healed; store calls a second: at most %zu",
+    cr_log_warn("caught up %.2f s after the partition healed; store calls a second: at most %zu",
                 secondsOf(fleet.lastInForceAt[revision] - healedAt),
-                mostStoreCalls(fleet));
-    cr_assert(mostStoreCalls(fleet) < 2000);
+                peakStoreCallsPerSecond(fleet));
+    cr_assert(peakStoreCallsPerSecond(fleet) < 2000);
     cr_assert(fleet.reverted == 0);
 }
 
-Test(spread, storeOutageOfALargeFleetKeepsServingAndEndsWithoutAHerd)
+Test(gossip, largeFleetServesInAStoreOutageAndDoesNotOverloadTheStoreAfterIt)
 {
     FleetModel fleet{largeFleet};
     warmUp(fleet, 5);
-    const auto revision = fleet.accept(17, "changed");
+    const auto revision = fleet.writeThrough(17, "changed");
     fleet.storeDown = true;
     fleet.run(inForceWithin);
-    cr_assert(fleet.holders(revision, "changed") == fleet.size());
+    cr_assert(fleet.proxiesHolding(revision, "changed") == fleet.size());
     fleet.run(Seconds{56});
     cr_assert(fleet.countIn(ConfigurationFreshnessState::StoreSilent) == fleet.size());
-    const auto during = mostStoreCalls(fleet);
+    const auto during = peakStoreCallsPerSecond(fleet);
     fleet.resetCounts();
     fleet.storeDown = false;
     fleet.run(Seconds{15});
     cr_assert(fleet.countIn(ConfigurationFreshnessState::Current) == fleet.size());
-    cr_log_warn("store calls a second: at most %zu in the outage, at most %zu after it", during, mostStoreCalls(fleet));
+    cr_log_warn("store calls a second: at most %zu in the outage, at most %zu after it", during, peakStoreCallsPerSecond(fleet));
     cr_assert(during < 1000);
-    cr_assert(mostStoreCalls(fleet) < 1000);
+    cr_assert(peakStoreCallsPerSecond(fleet) < 1000);
 }
--- a/tests/configuration/test_state.cpp
+++ b/tests/configuration/test_state.cpp
@@ -1,4 +1,4 @@
-// Tests of the known configuration: any order of events, never back.
+// Tests of the known configuration: no order of events reverts an object.
 #include "configuration/state.h"
 
 #include <criterion/criterion.h>
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Test(configuration, staleListAfterNewerWatchEvent)
+Test(configuration, staleListingAfterANewerChangeIsIgnored)
 {
     ConfigurationState state;
     state.applyListing({Revision{5}, {objectAt("x", 5)}});
@@ -40,7 +40,7 @@
     cr_assert(state.find(keyOf("y")) != nullptr);
 }
 
-Test(configuration, listingKeepsWhatAPeerToldAfterIt)
+Test(configuration, listingKeepsNewerChangesOfPeers)
 {
     ConfigurationState state;
     state.applyChange(objectAt("new", 12));
@@ -50,7 +50,7 @@
     cr_assert(state.digest().highest == Revision{12});
 }
 
-Test(configuration, deletionThenLatePeerWithTheOlderRecord)
+Test(configuration, peerWithAnOlderVersionDoesNotUndoADeletion)
 {
     ConfigurationState state{{.maxTombstones = 2}};
     state.applyListing({Revision{5}, {objectAt("x", 3)}});
@@ -71,49 +71,49 @@
 Test(configuration, peerFromBeforeTheOldestTombstoneGetsAllObjects)
 {
     ConfigurationState state{{.maxTombstones = 1}};
-    ConfigurationState late;
+    ConfigurationState outdatedPeer;
     const StoreListing first{Revision{3}, {objectAt("x", 1), objectAt("y", 2), objectAt("z", 3)}};
     state.applyListing(first);
-    late.applyListing(first);
+    outdatedPeer.applyListing(first);
     state.applyChanges({Revision{3}, Revision{6}, {deletionAt("x", 4), deletionAt("y", 5), objectAt("z", 6)}, false});
-    const auto delta = state.deltaFor(late.digest());
+    const auto delta = state.deltaFor(outdatedPeer.digest());
     cr_assert(delta.isFullState);
-    cr_assert(late.applyDelta(delta).size() == 3);
-    cr_assert(late.digest().sameContent(state.digest()));
+    cr_assert(outdatedPeer.applyDelta(delta).size() == 3);
+    cr_assert(outdatedPeer.digest().sameContent(state.digest()));
 }
 
 Test(configuration, deltaAcrossAListingCarriesItsDeletions)
 {
     ConfigurationState state;
-    ConfigurationState late;
+    ConfigurationState outdatedPeer;
     const StoreListing first{Revision{3}, {objectAt("x", 1), objectAt("y", 2), objectAt("z", 3)}};
     state.applyListing(first);
-    late.applyListing(first);
+    outdatedPeer.applyListing(first);
     state.applyListing({Revision{9}, {objectAt("y", 2), objectAt("w", 8)}});
-    const auto delta = state.deltaFor(late.digest());
+    const auto delta = state.deltaFor(outdatedPeer.digest());
     cr_assert(!delta.isFullState);
-    cr_assert(late.applyDelta(delta).size() == 3);
-    cr_assert(late.digest().sameContent(state.digest()));
+    cr_assert(outdatedPeer.applyDelta(delta).size() == 3);
+    cr_assert(outdatedPeer.digest().sameContent(state.digest()));
 }
 
-Test(configuration, peerThatHeardInsideAGapGetsAllObjects)
+Test(configuration, peerWithAChangeInsideAGapGetsAllObjects)
 {
     ConfigurationState state;
-    ConfigurationState late;
+    ConfigurationState outdatedPeer;
     const StoreListing first{Revision{3}, {objectAt("x", 1)}};
     state.applyListing(first);
-    late.applyListing(first);
-    // Made at 5 and deleted at 6: only the late one heard of it, the listing at 9 shows nothing.
-    late.applyChange(objectAt("brief", 5));
+    outdatedPeer.applyListing(first);
+    // Created at 5 and deleted at 6: only the outdated peer knows it; the listing at 9 does not show it.
+    outdatedPeer.applyChange(objectAt("brief", 5));
     state.applyListing({Revision{9}, {objectAt("x", 1)}});
-    late.applyDelta(state.deltaFor(late.digest()));
-    cr_assert(late.find(keyOf("brief")) == nullptr);
-    cr_assert(late.digest().sameContent(state.digest()));
+    outdatedPeer.applyDelta(state.deltaFor(outdatedPeer.digest()));
+    cr_assert(outdatedPeer.find(keyOf("brief")) == nullptr);
+    cr_assert(outdatedPeer.digest().sameContent(state.digest()));
 }
 
 namespace {
 
-/// A store's history, from which nodes hear in any order.
+/// A store's history, parts of which nodes receive in any order.
 struct History {
     std::vector<StoredObject> changes;
 
@@ -160,33 +160,36 @@
     return history;
 }
 
-using Seen = std::map<ObjectKey, std::pair<Revision, bool>>;
+using AppliedVersions = std::map<ObjectKey, std::pair<Revision, bool>>;
 
-/// Asserts that no object went back to an older version and no deleted one came back.
-void assertNeverBack(const ConfigurationState &state, const std::vector<StoredObject> &applied, Seen &seen, Revision completeBefore)
+/// Asserts that no object went back to an older version and no deleted one reappeared.
+void assertNoneReverts(const ConfigurationState &state,
+                       const std::vector<StoredObject> &applied,
+                       AppliedVersions &appliedVersions,
+                       Revision completeBefore)
 {
     for (const auto &change : applied) {
-        const auto earlier = seen.find(change.key());
-        if (earlier != seen.end()) {
+        const auto earlier = appliedVersions.find(change.key());
+        if (earlier != appliedVersions.end()) {
             RC_ASSERT(change.version > earlier->second.first);
         }
-        seen[change.key()] = {change.version, change.deleted};
+        appliedVersions[change.key()] = {change.version, change.deleted};
     }
     RC_ASSERT(state.digest().complete >= completeBefore);
 }
 
 } // namespace
 
-Test(configuration, allNodesConvergeAndNoneGoesBack)
+Test(configuration, allNodesConvergeAndNoneReverts)
 {
     // Read by rapidcheck at its first check; each test has its own process.
     setenv("RC_PARAMS", "max_success=10000", 0);
-    const bool holds = rc::check("nodes converge, none goes back", [] {
+    const bool holds = rc::check("nodes converge, none reverts", [] {
         const auto length = *rc::gen::inRange<std::size_t>(1, 40);
         const auto history = randomHistory(length);
         constexpr std::size_t nodes = 4;
         std::vector<ConfigurationState> states(nodes, ConfigurationState{{.maxTombstones = 3}});
-        std::vector<Seen> seen(nodes);
+        std::vector<AppliedVersions> appliedVersions(nodes);
         const auto steps = *rc::gen::inRange(0, 80);
         const auto revision = [&] {
             return *rc::gen::inRange<std::uint64_t>(0, length + 1);
@@ -219,15 +222,15 @@
                 applied = states[node].applyDelta(states[peer].fullState());
                 break;
             }
-            assertNeverBack(states[node], applied, seen[node], before);
+            assertNoneReverts(states[node], applied, appliedVersions[node], before);
         }
-        // One node hears the store again; the others hear only that node.
+        // One node gets a new listing from the store; the others get deltas only from that node.
         states[0].applyListing(history.listingAt(length));
         for (std::size_t node = 1; node < nodes; ++node) {
             for (std::size_t round = 0; round <= length && states[node].digest().complete.value < length; ++round) {
                 const auto before = states[node].digest().complete;
                 const auto applied = states[node].applyDelta(states[0].deltaFor(states[node].digest()));
-                assertNeverBack(states[node], applied, seen[node], before);
+                assertNoneReverts(states[node], applied, appliedVersions[node], before);
             }
         }
         const auto truth = history.listingAt(length);
--- a/tests/status/test_status.cpp
+++ b/tests/status/test_status.cpp
@@ -1,4 +1,4 @@
-// Tests of stop plans' progress and of the queue of status records.
+// Tests of the progress of stop plans and of the queue of status records.
 #include "status/plans.h"
 #include "status/statusqueue.h"
 
@@ -54,7 +54,7 @@
     cr_assert(plans[0].member == MemberName{"b"});
 }
 
-Test(status, secondPlanThatWouldTakeTheMajorityWaits)
+Test(status, secondPlanWaitsWhenNoMajorityWouldRemain)
 {
     const auto catalog =
         catalogWith({group,
@@ -66,7 +66,7 @@
     cr_assert(!plans[1].due);
 }
 
-Test(status, planIsDoneOnceTheMemberNeitherLeadsNorWorks)
+Test(status, planIsDoneOnceTheMemberIsDrainedAndNotPrimary)
 {
     cr_assert(planProgress({false, false, true}) == PlanProgress::Waiting);
     cr_assert(planProgress({true, true, true}) == PlanProgress::Draining);
@@ -74,7 +74,7 @@
     cr_assert(planProgress({true, false, true}) == PlanProgress::Done);
 }
 
-Test(status, newerRecordTakesTheOldersPlace)
+Test(status, newerRecordReplacesTheOlderOne)
 {
     StatusQueue queue;
     cr_assert(queue.add(planStatus("p", PlanProgress::Waiting)));
@@ -85,7 +85,7 @@
     cr_assert(!queue.next(TimePoint{Seconds{1}}).has_value());
 }
 
-Test(status, writesKeepTheirIntervalAndBackOff)
+Test(status, writesAreSpacedAndBackOffAfterAFailure)
 {
     StatusQueue queue({Milliseconds{200}, Milliseconds{500}, Milliseconds{1'000}, 2});
     cr_assert(queue.add(planStatus("p", PlanProgress::Waiting)));
@@ -104,9 +104,9 @@
 {
     StatusQueue queue;
     cr_assert(queue.add(planStatus("p", PlanProgress::Waiting)));
-    auto old = queue.next(TimePoint{});
+    auto olderRecord = queue.next(TimePoint{});
     cr_assert(queue.add(planStatus("p", PlanProgress::Done)));
-    queue.failed(*old, TimePoint{});
+    queue.failed(*olderRecord, TimePoint{});
     const auto record = queue.next(TimePoint{Seconds{60}});
     cr_assert(record.has_value());
     cr_assert(std::get<PlanStatus>(record->spec).progress == PlanProgress::Done);
--- a/tests/store/modelstore.h
+++ b/tests/store/modelstore.h
@@ -12,7 +12,7 @@
 class ModelStore
 {
 public:
-    /// Makes the write as the store would.
+    /// Applies the write as the store would.
     WriteReply apply(const StoreWrite &write)
     {
         const auto current = versionOf(write.key);
@@ -62,7 +62,7 @@
         return changes;
     }
 
-    /// Forgets the history up to now: watches from before it are too old.
+    /// Drops the history up to now: watches from earlier revisions are too old.
     void compact()
     {
         oldest_ = revision_;
--- a/tests/store/test_missedchangedetector.cpp
+++ b/tests/store/test_missedchangedetector.cpp
@@ -1,4 +1,4 @@
-// A watch that missed what others know of is found out.
+// Tests that a watch that missed changes known to peers is detected.
 #include "store/catalogrevisions.h"
 #include "store/missedchangedetector.h"
 
@@ -17,43 +17,44 @@
 
 } // namespace
 
-Test(store, aWatchThatBringsTheNewsInTimeIsLeftAlone)
+Test(store, watchThatDeliversWithinTheGraceIsKept)
 {
-    MissedChangeDetector missed(grace);
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{5}, at(0)));
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{5}, at(499)));
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{7}, at(600)));
+    MissedChangeDetector detector(grace);
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{5}, at(0)));
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{5}, at(499)));
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{7}, at(600)));
 }
 
-Test(store, aSilentWatchIsMadeAnewAfterTheGrace)
+Test(store, silentWatchIsRestartedAfterTheGrace)
 {
-    MissedChangeDetector missed(grace);
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{5}, at(0)));
-    cr_assert(missed.onPeerRevision(Revision{7}, Revision{5}, at(500)));
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{5}, at(600)), "the new watch gets time, too");
-    cr_assert(missed.onPeerRevision(Revision{7}, Revision{5}, at(1'000)));
+    MissedChangeDetector detector(grace);
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{5}, at(0)));
+    cr_assert(detector.onPeerRevision(Revision{7}, Revision{5}, at(500)));
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{5}, at(600)), "the restarted watch gets the grace, too");
+    cr_assert(detector.onPeerRevision(Revision{7}, Revision{5}, at(1'000)));
 }
 
-Test(store, changesInQuickSuccessionAreNotMissedNews)
+Test(store, changesInQuickSuccessionAreNotMissed)
 {
-    MissedChangeDetector missed(grace);
+    MissedChangeDetector detector(grace);
     for (int change = 0; change < 20; ++change) {
         const auto known = static_cast<std::uint64_t>(change);
-        cr_assert(!missed.onPeerRevision(Revision{known + 1}, Revision{known}, at(change * 300)), "always one behind, never for long");
+        cr_assert(!detector.onPeerRevision(Revision{known + 1}, Revision{known}, at(change * 300)),
+                  "always one change behind, never longer than the grace");
     }
 }
 
-Test(store, newerNewsDoesNotGiveASilentWatchMoreTime)
+Test(store, newerRevisionDoesNotExtendTheGrace)
 {
-    MissedChangeDetector missed(grace);
-    cr_assert(!missed.onPeerRevision(Revision{7}, Revision{5}, at(0)));
-    cr_assert(!missed.onPeerRevision(Revision{8}, Revision{5}, at(300)));
-    cr_assert(missed.onPeerRevision(Revision{9}, Revision{5}, at(500)));
+    MissedChangeDetector detector(grace);
+    cr_assert(!detector.onPeerRevision(Revision{7}, Revision{5}, at(0)));
+    cr_assert(!detector.onPeerRevision(Revision{8}, Revision{5}, at(300)));
+    cr_assert(detector.onPeerRevision(Revision{9}, Revision{5}, at(500)));
 }
 
-Test(store, marksOnlyRise)
+Test(store, catalogRevisionsOnlyRise)
 {
-    CatalogRevisions marks{Revision{5}, Revision{9}};
-    marks.advanceTo({Revision{7}, Revision{3}});
-    cr_assert(marks == (CatalogRevisions{Revision{7}, Revision{9}}));
+    CatalogRevisions revisions{Revision{5}, Revision{9}};
+    revisions.advanceTo({Revision{7}, Revision{3}});
+    cr_assert(revisions == (CatalogRevisions{Revision{7}, Revision{9}}));
 }
--- a/tests/store/test_resolution.cpp
+++ b/tests/store/test_resolution.cpp
@@ -1,4 +1,4 @@
-// Tests of writes whose answers are lost, late or beaten by another writer.
+// Tests of writes whose replies are lost, whose requests are delayed, or which race with another writer.
 #include "modelstore.h"
 #include "store/resolution.h"
 #include "store/writer.h"
@@ -30,7 +30,7 @@
     return {key, {}, store.versionOf(key), {}, true};
 }
 
-/// How the model carries each attempt of one write.
+/// Delivers one attempt of a write to the model store.
 using Channel = std::function<WriteReply(const StoreWrite &)>;
 using Reader = std::function<ReadBackReply()>;
 
@@ -62,8 +62,8 @@
 
 constexpr WriteReply lostReply{WriteReplyKind::Lost, {}};
 
-/// A channel that loses the first answer, after the store took the write or before.
-Channel losingFirst(ModelStore &store, bool afterEffect)
+/// Returns a channel that loses the first reply, after the store applied the write or without applying it.
+Channel losingFirstReply(ModelStore &store, bool afterEffect)
 {
     return [&store, afterEffect, sent = 0](const StoreWrite &write) mutable {
         if (sent++ > 0) {
@@ -78,11 +78,11 @@
 
 } // namespace
 
-Test(resolution, lostAnswerThatTookEffectIsTold)
+Test(resolution, appliedWriteWithALostReplyIsReportedAsWritten)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
-    const auto outcome = run(writeOver(store, "mine"), losingFirst(store, true), readerOf(store));
+    const auto outcome = run(writeOver(store, "mine"), losingFirstReply(store, true), readerOf(store));
     cr_assert(bool(outcome));
     cr_assert((*outcome == StoreWritten{Revision{2}, true}));
     cr_assert(store.history().size() == 2);
@@ -92,13 +92,13 @@
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
-    const auto outcome = run(writeOver(store, "mine"), losingFirst(store, false), readerOf(store));
+    const auto outcome = run(writeOver(store, "mine"), losingFirstReply(store, false), readerOf(store));
     cr_assert(bool(outcome));
     cr_assert(outcome->version == Revision{2});
     cr_assert(store.history().size() == 2);
 }
 
-Test(resolution, lostAnswerThatAnotherWriterReplacedIsStillFound)
+Test(resolution, writeWithALostReplyIsFoundAfterAnotherWriterReplacedIt)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
@@ -112,7 +112,7 @@
     cr_assert(outcome->version == Revision{2});
 }
 
-Test(resolution, lostRequestBeatenByAnotherWriterIsAConflict)
+Test(resolution, lostRequestOvertakenByAnotherWriterIsAConflict)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
@@ -127,21 +127,21 @@
     cr_assert(outcome.error().currentVersion == 2);
 }
 
-Test(resolution, twoWritersRacingExactlyOneWins)
+Test(resolution, exactlyOneOfTwoRacingWritersWins)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
     const auto first = writeOver(store, "first");
     const auto second = writeOver(store, "second");
-    const auto firstOutcome = run(first, losingFirst(store, true), readerOf(store));
-    const auto secondOutcome = run(second, losingFirst(store, true), readerOf(store));
+    const auto firstOutcome = run(first, losingFirstReply(store, true), readerOf(store));
+    const auto secondOutcome = run(second, losingFirstReply(store, true), readerOf(store));
     cr_assert(bool(firstOutcome) != bool(secondOutcome));
     cr_assert(store.history().size() == 2);
     cr_assert(readWriterStamp(store.get(key)->value).nonce == WriterNonce{"first"});
     cr_assert(secondOutcome.error().kind == ErrorKind::Conflict);
 }
 
-Test(resolution, outageBeforeTheFirstByteIsSurelyNotApplied)
+Test(resolution, outageBeforeTheFirstByteIsReportedAsNotApplied)
 {
     ModelStore store;
     const auto send = [](const StoreWrite &) {
@@ -153,7 +153,7 @@
     cr_assert(outcome.error().retryAfter.has_value());
 }
 
-Test(resolution, outageAfterALostAnswerIsUnknown)
+Test(resolution, outageAfterALostReplyIsUnknown)
 {
     ModelStore store;
     const auto send = [](const StoreWrite &) {
@@ -167,15 +167,15 @@
 Test(resolution, lostCreationThatIsAbsentIsNotSentAgain)
 {
     ModelStore store;
-    const auto outcome = run(writeOver(store, "mine"), losingFirst(store, false), readerOf(store));
+    const auto outcome = run(writeOver(store, "mine"), losingFirstReply(store, false), readerOf(store));
     cr_assert(outcome.error().kind == ErrorKind::StoreOutcomeUnknown);
     cr_assert(store.history().empty());
 }
 
-Test(resolution, lostCreationThatTookEffectIsTold)
+Test(resolution, appliedCreationWithALostReplyIsReportedAsWritten)
 {
     ModelStore store;
-    const auto outcome = run(writeOver(store, "mine"), losingFirst(store, true), readerOf(store));
+    const auto outcome = run(writeOver(store, "mine"), losingFirstReply(store, true), readerOf(store));
     cr_assert(bool(outcome));
     cr_assert((*outcome == StoreWritten{Revision{1}, true}));
 }
@@ -184,24 +184,24 @@
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
-    const auto outcome = run(removalOf(store), losingFirst(store, true), readerOf(store));
+    const auto outcome = run(removalOf(store), losingFirstReply(store, true), readerOf(store));
     cr_assert(bool(outcome));
     cr_assert(outcome->resolved);
     cr_assert(!store.get(key).has_value());
 }
 
-// Three writers race; requests and answers are lost, and lost requests may arrive later at any moment.
-Test(resolution, verdictsAreTrueUnderLossAndDelay)
+// Three writers race; requests and replies are lost, and lost requests may arrive at any later moment.
+Test(resolution, outcomesAreCorrectUnderLossAndDelay)
 {
     setenv("RC_PARAMS", "max_success=5000", 0);
-    const bool holds = rc::check("verdicts are true", [] {
+    const bool holds = rc::check("outcomes are correct", [] {
         ModelStore store;
-        std::vector<StoreWrite> late;
-        std::vector<std::pair<StoreWrite, Result<StoreWritten>>> verdicts;
-        const auto deliverLate = [&] {
-            if (!late.empty() && *rc::gen::inRange(0, 2) == 0) {
-                (void)store.apply(late.back());
-                late.pop_back();
+        std::vector<StoreWrite> delayed;
+        std::vector<std::pair<StoreWrite, Result<StoreWritten>>> outcomes;
+        const auto deliverDelayed = [&] {
+            if (!delayed.empty() && *rc::gen::inRange(0, 2) == 0) {
+                (void)store.apply(delayed.back());
+                delayed.pop_back();
             }
         };
         int others = 0;
@@ -214,13 +214,13 @@
         };
         const auto send = [&](const StoreWrite &write) {
             otherWrites();
-            deliverLate();
+            deliverDelayed();
             switch (*rc::gen::inRange(0, 5)) {
             case 0:
                 (void)store.apply(write);
                 return lostReply;
             case 1:
-                late.push_back(write);
+                delayed.push_back(write);
                 return lostReply;
             case 2:
                 return WriteReply{WriteReplyKind::NotSent, {}};
@@ -230,17 +230,17 @@
         };
         const auto read = [&] {
             otherWrites();
-            deliverLate();
+            deliverDelayed();
             return *rc::gen::inRange(0, 4) == 0 ? ReadBackReply{} : ReadBackReply{true, store.get(key)};
         };
         for (int writer = 0; writer < 3; ++writer) {
             const auto write = writeOver(store, "mine" + std::to_string(writer));
-            verdicts.emplace_back(write, run(write, send, read));
+            outcomes.emplace_back(write, run(write, send, read));
         }
-        for (const auto &write : late) {
+        for (const auto &write : delayed) {
             (void)store.apply(write);
         }
-        for (const auto &[write, outcome] : verdicts) {
+        for (const auto &[write, outcome] : outcomes) {
             std::size_t effects = 0;
             Revision version;
             for (const auto &change : store.history()) {
--- a/tests/store/test_store.cpp
+++ b/tests/store/test_store.cpp
@@ -1,11 +1,11 @@
-// Tests of the store slice's values: object keys and the writer's mark.
+// Tests of the writer stamp in stored values.
 #include "store/writer.h"
 
 #include <criterion/criterion.h>
 
 using namespace cardamomstep;
 
-Test(store, writerMarkNamesReplacedVersions)
+Test(store, writerStampNamesReplacedVersions)
 {
     StoredObject object{ObjectKind{"group"}, ObjectName{"g"}, Revision{5}, R"({"a":1})", false};
     for (std::uint64_t round = 0; round < 20; ++round) {
@@ -15,13 +15,13 @@
         object.value = *value;
         object.version = Revision{10 + round};
     }
-    const auto mark = readWriterStamp(object.value);
-    cr_assert(mark.nonce == WriterNonce{"n19"});
-    cr_assert(mark.earlier.size() == maxEarlierWriters);
-    cr_assert((mark.earlier[0] == EarlierWriter{WriterNonce{"n18"}, Revision{28}}));
+    const auto stamp = readWriterStamp(object.value);
+    cr_assert(stamp.nonce == WriterNonce{"n19"});
+    cr_assert(stamp.earlier.size() == maxEarlierWriters);
+    cr_assert((stamp.earlier[0] == EarlierWriter{WriterNonce{"n18"}, Revision{28}}));
 }
 
-Test(store, valuesThatAreNoObjectsTakeNoMark)
+Test(store, valuesThatAreNotObjectsGetNoStamp)
 {
     cr_assert(!withWriterStamp("[1]", WriterNonce{"n"}, nullptr));
     cr_assert(!withWriterStamp("{", WriterNonce{"n"}, nullptr));
--- a/tests/store/test_storeclient.cpp
+++ b/tests/store/test_storeclient.cpp
@@ -1,4 +1,4 @@
-// Tests of the store client against a small fake store over HTTP.
+// Tests of the store client against a fake store over HTTP.
 #include "http/server.h"
 #include "modelstore.h"
 #include "store/storeclient.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Milliseconds patience{5000};
+constexpr Milliseconds callTimeout{5000};
 const ObjectKey key{ObjectKind{"group"}, ObjectName{"ledger-1"}};
 
 Json jsonOf(const StoredObject &object)
@@ -39,7 +39,7 @@
     return list;
 }
 
-/// The platform's interface over a ModelStore; can answer with a fault after a change took effect.
+/// The platform's interface on top of a ModelStore; can reply with an error although a change took effect.
 class FakeStore
 {
 public:
@@ -49,9 +49,9 @@
         cr_assert(bool(server_));
     }
 
-    /// Number of further changes whose answers are lost.
-    std::atomic<int> lostAnswers{0};
-    /// Status of all answers; 0 for ordinary ones.
+    /// Number of further changes whose replies are lost.
+    std::atomic<int> lostReplies{0};
+    /// Status of all replies; 0 for regular ones.
     std::atomic<int> forcedStatus{0};
     std::atomic<int> requests{0};
     std::string lastFrom;
@@ -82,8 +82,8 @@
         }
         const bool removal = request.method == "DELETE";
         const auto reply = store_.apply({key, request.body, Revision{std::stoull(request.header("if-match"))}, {}, removal});
-        if (lostAnswers > 0) {
-            --lostAnswers;
+        if (lostReplies > 0) {
+            --lostReplies;
             return {503, {}, "{}"};
         }
         return {reply.kind == WriteReplyKind::Written ? 200 : 412, {}, Json{{"version", reply.version.value}}.dump()};
@@ -110,45 +110,46 @@
 {
     FakeStore fake{"127.0.0.1:18201"};
     StoreClient store{optionsFor("127.0.0.1:18201")};
-    cr_assert(store.get(key, patience).error().kind == ErrorKind::NotFound);
-    const auto put = store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, patience);
+    cr_assert(store.get(key, callTimeout).error().kind == ErrorKind::NotFound);
+    const auto put = store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, callTimeout);
     cr_assert((bool(put) && *put == StoreWritten{Revision{1}, false}));
-    const auto read = store.get(key, patience);
+    const auto read = store.get(key, callTimeout);
     cr_assert((bool(read) && read->version == Revision{1} && readWriterStamp(read->value).nonce == WriterNonce{"n1"}));
-    const auto listing = store.list({}, patience);
+    const auto listing = store.list({}, callTimeout);
     cr_assert((bool(listing) && listing->objects.size() == 1 && listing->revision == Revision{1}));
-    cr_assert(store.put(key, valueBy("n2"), {}, WriterNonce{"n2"}, patience).error().kind == ErrorKind::Conflict);
-    cr_assert(bool(store.remove(key, Revision{1}, patience)));
+    cr_assert(store.put(key, valueBy("n2"), {}, WriterNonce{"n2"}, callTimeout).error().kind == ErrorKind::Conflict);
+    cr_assert(bool(store.remove(key, Revision{1}, callTimeout)));
     const auto changes = store.watch(Revision{1}, Milliseconds{10});
     cr_assert((bool(changes) && changes->changes.size() == 1 && changes->changes[0].deleted));
-    const auto instances = store.instances(patience);
+    const auto instances = store.instances(callTimeout);
     cr_assert((bool(instances) && instances->size() == 1 && instances->front().state == ListedState::Leaving));
     cr_assert(fake.lastFrom == "p1/a");
 }
 
-Test(storeclient, lostAnswersAreResolved)
+Test(storeclient, writesWithLostRepliesAreResolved)
 {
     FakeStore fake{"127.0.0.1:18202"};
     StoreClient store{optionsFor("127.0.0.1:18202")};
-    fake.lostAnswers = 1;
-    const auto created = store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, patience);
+    fake.lostReplies = 1;
+    const auto created = store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, callTimeout);
     cr_assert((bool(created) && *created == StoreWritten{Revision{1}, true}));
-    const auto held = store.get(key, patience);
-    fake.lostAnswers = 2;
-    const auto changed = store.put(key, valueBy("n2", &*held), Revision{1}, WriterNonce{"n2"}, patience);
+    const auto stored = store.get(key, callTimeout);
+    fake.lostReplies = 2;
+    const auto changed = store.put(key, valueBy("n2", &*stored), Revision{1}, WriterNonce{"n2"}, callTimeout);
     cr_assert((bool(changed) && *changed == StoreWritten{Revision{2}, true}));
     cr_assert(store.counts().resolved == 2);
 }
 
-Test(storeclient, racingThreadsExactlyOneWins)
+Test(storeclient, exactlyOneOfRacingThreadsWins)
 {
     FakeStore fake{"127.0.0.1:18203"};
     StoreClient store{optionsFor("127.0.0.1:18203")};
     std::atomic<int> won{0};
     std::vector<std::thread> writers;
     for (int writer = 0; writer < 6; ++writer) {
-        writers.emplace_back(
-            [&, nonce = "n" + std::to_string(writer)] { won += store.put(key, valueBy(nonce), {}, WriterNonce{nonce}, patience) ? 1 : 0; });
+        writers.emplace_back([&, nonce = "n" + std::to_string(writer)] {
+            won += store.put(key, valueBy(nonce), {}, WriterNonce{nonce}, callTimeout) ? 1 : 0;
+        });
     }
     for (auto &writer : writers) {
         writer.join();
@@ -156,23 +157,23 @@
     cr_assert(won == 1);
 }
 
-Test(storeclient, outageIsToldWithATimeToComeBack)
+Test(storeclient, outageIsReportedWithARetryAfter)
 {
-    StoreClient nobody{optionsFor("127.0.0.1:18204")};
-    const auto read = nobody.get(key, Milliseconds{200});
+    StoreClient unreachable{optionsFor("127.0.0.1:18204")};
+    const auto read = unreachable.get(key, Milliseconds{200});
     cr_assert(read.error().kind == ErrorKind::StoreUnavailable);
     cr_assert(read.error().retryAfter.has_value());
-    const auto put = nobody.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, Milliseconds{200});
+    const auto put = unreachable.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, Milliseconds{200});
     cr_assert(put.error().kind == ErrorKind::StoreUnavailable);
     cr_assert(put.error().ran == Ran::No);
     FakeStore fake{"127.0.0.1:18205"};
     fake.forcedStatus = 503;
     StoreClient store{optionsFor("127.0.0.1:18205")};
-    cr_assert(store.list({}, patience).error().kind == ErrorKind::StoreUnavailable);
+    cr_assert(store.list({}, callTimeout).error().kind == ErrorKind::StoreUnavailable);
     cr_assert(store.put(key, valueBy("n1"), {}, WriterNonce{"n1"}, Milliseconds{200}).error().kind == ErrorKind::StoreOutcomeUnknown);
 }
 
-Test(storeclient, quickCallsWaitForTheBudgetWhereItComesInTime)
+Test(storeclient, callsWaitForTheBudgetWithinTheirTimeout)
 {
     FakeStore fake{"127.0.0.1:18207"};
     auto options = optionsFor("127.0.0.1:18207");
@@ -180,23 +181,23 @@
     StoreClient client{options};
     Revision revision;
     for (int call = 0; call < 5; ++call) {
-        const auto listed = client.list(ObjectKind{}, patience);
+        const auto listed = client.list(ObjectKind{}, callTimeout);
         cr_assert(bool(listed), "read %d", call);
         const auto nonce = "n" + std::to_string(call);
-        revision = client.put(key, valueBy(nonce), revision, WriterNonce{nonce}, patience)->version;
+        revision = client.put(key, valueBy(nonce), revision, WriterNonce{nonce}, callTimeout)->version;
     }
 }
 
-Test(storeclient, callsAboveTheBudgetAreRefusedHere)
+Test(storeclient, callsAboveTheBudgetAreRefusedLocally)
 {
     FakeStore fake{"127.0.0.1:18206"};
     auto options = optionsFor("127.0.0.1:18206");
     options.budget = {{0.001, 3}, {0.001, 1}};
     StoreClient store{options};
     for (int call = 0; call < 10; ++call) {
-        (void)store.get(key, patience);
+        (void)store.get(key, callTimeout);
     }
-    const auto refused = store.get(key, patience);
+    const auto refused = store.get(key, callTimeout);
     cr_assert(refused.error().kind == ErrorKind::StoreUnavailable);
     cr_assert(refused.error().retryAfter > Milliseconds{1000});
     cr_assert(fake.requests == 3);
--- a/tests/store/test_follow.cpp
+++ b/tests/store/test_watchresume.cpp
@@ -1,4 +1,4 @@
-// Tests of following the store: resume after a 410, stale answers, the call budget and the end of an outage.
+// Tests of keeping up with the store: resuming after a 410, stale replies, the call budget and the load after an outage.
 #include "modelstore.h"
 #include "store/backoff.h"
 #include "store/callbudget.h"
@@ -16,7 +16,7 @@
 
 constexpr TimePoint start{};
 constexpr std::size_t fleetSize = 3500;
-/// What the store takes: about two thousand reads a second.
+/// The store serves about two thousand reads a second.
 constexpr int storeReadsPerSecond = 2000;
 
 } // namespace
@@ -38,7 +38,7 @@
     cr_assert(std::holds_alternative<WatchAfter>(resume.next({}, start)));
 }
 
-Test(watchresume, goneLeadsToAListing)
+Test(watchresume, tooOldRevisionLeadsToAListing)
 {
     WatchResume resume{{}, 1};
     cr_assert(resume.onChanges({Revision{7}, {}, {}, true}, Revision{7}, start) == StoreReplyKind::TooOld);
@@ -47,7 +47,7 @@
     cr_assert(std::holds_alternative<WatchAfter>(resume.next(Revision{9}, start)));
 }
 
-Test(watchresume, staleListingAfterGoneIsAskedAgain)
+Test(watchresume, staleListingAfterATooOldRevisionIsRequestedAgain)
 {
     WatchResume resume{{}, 1};
     (void)resume.onChanges({Revision{7}, {}, {}, true}, Revision{7}, start);
@@ -57,13 +57,13 @@
     cr_assert(std::holds_alternative<ListAll>(resume.next(Revision{7}, std::get<DelayUntil>(step).time)));
 }
 
-Test(watchresume, staleChangesPauseAndGoOnFromTheSameRevision)
+Test(watchresume, watchResumesFromTheSameRevisionAfterStaleChanges)
 {
     WatchResume resume{{}, 1};
     cr_assert(resume.onChanges({Revision{7}, Revision{4}, {}, false}, Revision{7}, start) == StoreReplyKind::Stale);
-    const auto pause = resume.next(Revision{7}, start);
-    cr_assert(std::holds_alternative<DelayUntil>(pause));
-    const auto step = resume.next(Revision{7}, std::get<DelayUntil>(pause).time);
+    const auto delay = resume.next(Revision{7}, start);
+    cr_assert(std::holds_alternative<DelayUntil>(delay));
+    const auto step = resume.next(Revision{7}, std::get<DelayUntil>(delay).time);
     cr_assert((step == StoreStep{WatchAfter{Revision{7}, WatchResumeOptions{}.watchTimeout}}));
 }
 
@@ -90,7 +90,7 @@
     cr_assert(holds);
 }
 
-Test(callbudget, wholeFleetStaysWithinTheStoresRates)
+Test(callbudget, budgetsOfTheWholeFleetStayWithinTheStoresRates)
 {
     for (const std::size_t proxies : {std::size_t{1}, std::size_t{7}, std::size_t{100}, fleetSize}) {
         const auto options = callBudgetFor(proxies);
@@ -104,7 +104,7 @@
 
 namespace {
 
-/// Calls in each second when the store comes back at \a outageEnd and every proxy needs \a callsAfter reads at once.
+/// Returns the calls in each second when the store recovers at \a outageEnd and every proxy then needs \a callsAfter reads.
 std::vector<int> callsPerSecondAround(Seconds outageEnd, int callsAfter)
 {
     using Attempt = std::pair<TimePoint, std::size_t>;
@@ -112,7 +112,7 @@
     std::vector<Random> randoms;
     std::vector<Backoff> backoffs(fleetSize, Backoff{BackoffOptions{}});
     std::vector<CallBudget> budgets(fleetSize, CallBudget{callBudgetFor(fleetSize)});
-    std::vector<int> left(fleetSize, callsAfter);
+    std::vector<int> remaining(fleetSize, callsAfter);
     for (std::size_t node = 0; node < fleetSize; ++node) {
         randoms.emplace_back(node + 1);
         attempts.push({start, node});
@@ -132,7 +132,7 @@
         ++perSecond[second];
         if (now < start + outageEnd) {
             attempts.push({now + backoffs[node].next(randoms[node]), node});
-        } else if (--left[node] > 0) {
+        } else if (--remaining[node] > 0) {
             attempts.push({now + Milliseconds{2}, node});
         }
     }
@@ -141,8 +141,8 @@
 
 } // namespace
 
-// Every proxy calls, which is the worst case: only the few that watch do so in fact.
-Test(backoff, fleetDoesNotReturnAtOnceWhenAnOutageEnds)
+// Worst case: every proxy calls the store, whereas normally only the few watchers do.
+Test(backoff, fleetStaysWithinTheStoresRatesWhenAnOutageEnds)
 {
     constexpr Seconds outageEnd{180};
     const auto perSecond = callsPerSecondAround(outageEnd, 3);
