--- a/src/connections/fwd.h
+++ b/src/connections/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the connections slice.
+// Forward declarations of the connections module.
 #pragma once
 
 namespace cardamomstep {
--- a/src/connections/key.h
+++ b/src/connections/key.h
@@ -1,11 +1,11 @@
-// The name of one endpoint connection within a proxy.
+// The key of one endpoint connection within a proxy.
 #pragma once
 
 #include <cstdint>
 
 namespace cardamomstep {
 
-/// A connection to an endpoint, as pools and transactions name it; never used twice in one process.
+/// Identifies a connection to an endpoint in pools and transactions. Never reused within one process.
 using ConnectionKey = std::uint64_t;
 
 } // namespace cardamomstep
--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Doublings of the pause after which it grows no more.
-constexpr std::uint32_t mostDoublings = 8;
+/// The number of doublings after which the backoff no longer grows.
+constexpr std::uint32_t maxDoublings = 8;
 
 } // namespace
 
@@ -34,23 +34,24 @@
         entry->since = now;
         return ReuseConnection{entry->key};
     }
-    const TimePoint openedAt = std::max(now, pausedUntil_) + limits_.expectedOpenTime;
-    const bool mayOpen = open() < allowed_ && opening() < limits_.maxOpening && now >= pausedUntil_;
+    const TimePoint openedAt = std::max(now, nextOpenAt_) + limits_.expectedOpenTime;
+    const bool mayOpen = open() < allowed_ && opening() < limits_.maxOpening && now >= nextOpenAt_;
     if (mayOpen && openedAt < deadline) {
         entries_.push_back(Entry{nextKey_, Phase::Opening, now});
         return OpenConnection{nextKey_++};
     }
-    const bool someWillComeBack = !entries_.empty();
-    if (now >= deadline || (!someWillComeBack && openedAt >= deadline)) {
+    const bool mayBecomeAvailable = !entries_.empty();
+    if (now >= deadline || (!mayBecomeAvailable && openedAt >= deadline)) {
         const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.expectedOpenTime);
-        return NoConnection{Error{ErrorKind::EndpointUnreachable, "no connection to the member in time"}.withRetryAfter(wait)};
+        return NoConnection{
+            Error{ErrorKind::EndpointUnreachable, "no connection to the member is available before the deadline"}.withRetryAfter(wait)};
     }
     if (allowed_ == 0) {
-        const Error error{ErrorKind::EndpointUnreachable, "this proxy has no share of the member's connections"};
-        return NoConnection{Error{error}.withRetryAfter(limits_.pauseAfterRefusal)};
+        const Error error{ErrorKind::EndpointUnreachable, "this proxy has no quota of the member's connections"};
+        return NoConnection{Error{error}.withRetryAfter(limits_.initialBackoff)};
     }
-    const TimePoint askAgain = now < pausedUntil_ ? pausedUntil_ : now + limits_.expectedOpenTime;
-    return AwaitConnection{std::min(askAgain, deadline)};
+    const TimePoint retryAt = now < nextOpenAt_ ? nextOpenAt_ : now + limits_.expectedOpenTime;
+    return AwaitConnection{std::min(retryAt, deadline)};
 }
 
 void ConnectionPool::opened(ConnectionKey key, TimePoint now)
@@ -65,9 +66,9 @@
 void ConnectionPool::openFailed(ConnectionKey key, ConnectionFault fault, TimePoint now)
 {
     closed(key);
-    const auto doublings = fault == ConnectionFault::NoConnection ? 0U : std::min(failures_, mostDoublings);
-    const auto pause = std::min(limits_.maxPause, limits_.pauseAfterRefusal * (1U << doublings));
-    pausedUntil_ = std::max<TimePoint>(pausedUntil_, now + pause);
+    const auto doublings = fault == ConnectionFault::NoConnection ? 0U : std::min(failures_, maxDoublings);
+    const auto backoff = std::min(limits_.maxBackoff, limits_.initialBackoff * (1U << doublings));
+    nextOpenAt_ = std::max<TimePoint>(nextOpenAt_, now + backoff);
     ++failures_;
 }
 
@@ -88,8 +89,8 @@
 
 void ConnectionPool::closed(ConnectionKey key)
 {
-    const auto gone = std::remove_if(entries_.begin(), entries_.end(), [&](const Entry &entry) { return entry.key == key; });
-    entries_.erase(gone, entries_.end());
+    const auto removed = std::remove_if(entries_.begin(), entries_.end(), [&](const Entry &entry) { return entry.key == key; });
+    entries_.erase(removed, entries_.end());
 }
 
 std::vector<ConnectionKey> ConnectionPool::wake(TimePoint now)
@@ -144,13 +145,13 @@
 
 ConnectionPool::Entry *ConnectionPool::newestIdle() noexcept
 {
-    Entry *freshest = nullptr;
+    Entry *newest = nullptr;
     for (auto &entry : entries_) {
-        if (entry.phase == Phase::Idle && (freshest == nullptr || entry.since > freshest->since)) {
-            freshest = &entry;
+        if (entry.phase == Phase::Idle && (newest == nullptr || entry.since > newest->since)) {
+            newest = &entry;
         }
     }
-    return freshest;
+    return newest;
 }
 
 ConnectionPool::Entry *ConnectionPool::oldestIdle() noexcept
--- a/src/connections/pool.h
+++ b/src/connections/pool.h
@@ -1,4 +1,4 @@
-// The accounting of one proxy's connections to one group member.
+// Accounting of one proxy's connections to one group member.
 #pragma once
 
 #include "base/ids.h"
@@ -16,7 +16,7 @@
 
 namespace cardamomstep {
 
-/// Use this idle connection; give it back with giveBack() or closed().
+/// Use this idle connection; report release() or closed() afterwards.
 struct ReuseConnection {
     ConnectionKey key = 0;
 
@@ -30,42 +30,42 @@
     [[nodiscard]] bool operator==(const OpenConnection &) const = default;
 };
 
-/// Ask again when a connection is given back or closed, at the latest at `until`.
+/// Call acquire() again when a connection is released or closed, at the latest at `until`.
 struct AwaitConnection {
     TimePoint until;
 
     [[nodiscard]] bool operator==(const AwaitConnection &) const = default;
 };
 
-/// The member cannot be reached in time.
+/// No connection to the member is available before the deadline.
 struct NoConnection {
     Error error;
 
     [[nodiscard]] bool operator==(const NoConnection &) const = default;
 };
 
-/// How a request gets a connection.
+/// The result of a request for a connection.
 using ConnectionStep = std::variant<ReuseConnection, OpenConnection, AwaitConnection, NoConnection>;
 
 /// Settings of a connection pool.
 struct PoolLimits {
-    /// Connections that may be in the course of being opened.
+    /// The maximum number of connections that are being opened at the same time.
     std::uint32_t maxOpening = 2;
-    /// Time that opening a connection takes.
+    /// The expected time to open a connection.
     Milliseconds expectedOpenTime{12};
-    /// Idle connections beyond `keepIdle` are closed after this time.
+    /// Time after which an idle connection is closed, while more than `minIdle` are idle.
     Milliseconds idleTimeout{10'000};
     std::uint32_t minIdle = 1;
-    /// Pause after the member refused a connection at its limit, and first pause after a failed open.
-    Milliseconds pauseAfterRefusal{100};
-    /// Longest pause after repeated failures.
-    Milliseconds maxPause{2'000};
+    /// Delay of the next open after the member refused a connection at its limit, and first delay after any other failed open.
+    Milliseconds initialBackoff{100};
+    /// Longest delay after repeated failures.
+    Milliseconds maxBackoff{2'000};
 };
 
 /// Connections of this proxy to one member.
 ///
 /// Invariant: busy + idle + opening connections never exceed the allowance, unless the allowance was lowered; then
-/// idle ones are closed at once and busy ones as they come back.
+/// idle ones are closed at once and busy ones when they are released.
 class ConnectionPool
 {
 public:
@@ -74,31 +74,31 @@
     {
     }
 
-    /// Sets how many connections may be open; see ConnectionShare::allowed(). Returns connections to close.
+    /// Sets how many connections may be open; see ConnectionQuota::allowed(). Returns the idle connections to close.
     [[nodiscard]] std::vector<ConnectionKey> setAllowed(std::uint32_t allowed, TimePoint now);
 
-    /// Asks for a connection for a request that must have it by \a deadline.
+    /// Requests a connection that must be available by \a deadline.
     [[nodiscard]] ConnectionStep acquire(TimePoint deadline, TimePoint now);
 
-    /// The connection is open and in use by the request that opened it.
+    /// Records that the connection is open; the request that opened it uses it.
     void opened(ConnectionKey key, TimePoint now);
 
-    /// The connection could not be opened.
+    /// Records that the connection could not be opened; the next open is delayed.
     void openFailed(ConnectionKey key, ConnectionFault fault, TimePoint now);
 
-    /// A request ended cleanly; true when the connection was kept, false when it must be closed now.
+    /// Releases a connection whose request ended cleanly. Returns true when it is kept, false when it must be closed now.
     [[nodiscard]] bool release(ConnectionKey key, TimePoint now);
 
-    /// A connection was closed or broke, in whatever state it was.
+    /// Removes a connection that was closed or broke, in any state.
     void closed(ConnectionKey key);
 
-    /// Returns idle connections to close; to be called at nextWake().
+    /// Returns the idle connections to close. To be called at nextWake().
     [[nodiscard]] std::vector<ConnectionKey> wake(TimePoint now);
 
-    /// When an idle connection has been idle for too long.
+    /// The time at which the next idle connection is to be closed, if any.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
-    /// Connections that are open or being opened.
+    /// The number of connections that are open or being opened.
     [[nodiscard]] std::uint32_t open() const noexcept
     {
         return static_cast<std::uint32_t>(entries_.size());
@@ -132,8 +132,9 @@
     std::uint32_t allowed_ = 0;
     ConnectionKey nextKey_ = 1;
     std::vector<Entry> entries_;
-    /// No open is tried before this time.
-    TimePoint pausedUntil_;
+    /// No connection is opened before this time.
+    TimePoint nextOpenAt_;
+    /// Failed opens since the last successful one.
     std::uint32_t failures_ = 0;
 };
 
--- a/src/connections/quota.cpp
+++ b/src/connections/quota.cpp
@@ -1,4 +1,4 @@
-// Division of a member's connection limit among its holders.
+// Division of a member's connection limit among the owners of its group.
 #include "connections/quota.h"
 
 #include <algorithm>
@@ -88,9 +88,9 @@
             claim.earlierAllocation = 0;
         }
     }
-    const auto gone =
+    const auto removed =
         std::remove_if(claims_.begin(), claims_.end(), [](const Claim &claim) { return claim.quota == 0 && claim.earlierAllocation == 0; });
-    claims_.erase(gone, claims_.end());
+    claims_.erase(removed, claims_.end());
 }
 
 } // namespace cardamomstep
--- a/src/connections/quota.h
+++ b/src/connections/quota.h
@@ -1,4 +1,4 @@
-// How the proxies that own a group divide a member's connection limit among them.
+// Division of a member's connection limit among the proxies that own its group.
 #pragma once
 
 #include "base/ids.h"
@@ -11,49 +11,50 @@
 
 namespace cardamomstep {
 
-/// The part of \a limit for \a self among \a holders; 0 when it is not one of them.
+/// Returns the quota of \a self when \a limit is divided among \a owners; 0 when it is not one of them.
 ///
-/// The parts add up to \a limit. What does not divide evenly goes to the holders that come first by name.
+/// The quotas add up to \a limit. The remainder of the division goes to the owners that come first by name.
 [[nodiscard]] std::uint32_t quotaOf(std::uint32_t limit, const std::vector<InstanceName> &owners, const InstanceName &self);
 
-/// One proxy's view of its own share, which shrinks at once and grows only into what others have released.
+/// One proxy's quota of a member's connections: it shrinks at once and grows only by what other proxies have released.
 ///
-/// Nobody grants a share. Each holder works it out from the list of owners and leaves untouched what any other proxy may still
-/// hold: its part by the current list, and, until that proxy says that it holds less or the expiry time has passed, its
-/// part by earlier lists and what it last said to hold.
-/// The sum of all holdings stays within the limit while every proxy that is or was a holder hears of each list, and has
-/// closed what is beyond its new part, within the expiry time. Where that does not hold, for example for a holder that
-/// started a moment ago and never saw the earlier list, the member's own limit is the last guard: it refuses the connection, and the pool
-/// waits.
+/// No coordinator assigns quotas. Each owner computes its quota from the list of owners and leaves unused what any other proxy may
+/// still have open: that proxy's quota by the current list and, until the proxy reports a smaller allocation or the expiry time has
+/// passed, its quota by earlier lists and the allocation that it last reported.
+/// The connections of all proxies stay within the limit as long as every present or former owner receives each list, and closes the
+/// connections beyond its new quota, within the expiry time. Where that does not hold, for example for an owner that has just started
+/// and never received the earlier list, the member's own limit is the last safeguard: it refuses the connection, and the pool backs off.
 class ConnectionQuota
 {
 public:
     ConnectionQuota(InstanceName self, std::uint32_t limit, Milliseconds expiry);
 
-    /// Takes in the current owners of the group.
+    /// Sets the current owners of the group.
     void setOwners(const std::vector<InstanceName> &owners, TimePoint now);
 
-    /// What to tell the other holders, given the connections that are open: the most that may be open until another list arrives.
+    /// Returns the allocation to report to the other owners while \a open connections are open: the most that may be open until the
+    /// next list of owners arrives.
     [[nodiscard]] std::uint32_t allocation(std::uint32_t open) const noexcept
     {
         return open < quota_ ? quota_ : open;
     }
 
-    /// Takes in what another proxy's mayHold() says.
+    /// Records the allocation() that another proxy reported.
     void onPeerAllocation(const InstanceName &other, std::uint32_t connections, TimePoint now);
 
-    /// Connections that this proxy may have open now.
+    /// The number of connections that this proxy may have open now.
     [[nodiscard]] std::uint32_t allowed(TimePoint now) const;
 
-    /// When the first earlier claim expires.
+    /// The time at which the first allocation from earlier expires, if any.
     [[nodiscard]] std::optional<TimePoint> nextWake(TimePoint now) const noexcept;
 
 private:
+    /// What another proxy may have open.
     struct Claim {
         InstanceName owner;
-        /// Part by the current list; 0 for a former holder.
+        /// Quota by the current list; 0 for a former owner.
         std::uint32_t quota = 0;
-        /// What it may hold from earlier, until `earlierUntil`.
+        /// Connections that it may have open from earlier, until `earlierExpiresAt`.
         std::uint32_t earlierAllocation = 0;
         TimePoint earlierExpiresAt;
     };
@@ -64,9 +65,9 @@
     InstanceName self_;
     std::uint32_t limit_;
     Milliseconds expiry_;
-    /// This proxy's part by the current list.
+    /// This proxy's quota by the current list.
     std::uint32_t quota_ = 0;
-    /// What others may hold; never contains self_.
+    /// The other proxies' claims; never contains self_.
     std::vector<Claim> claims_;
 };
 
--- a/src/connections/silence.cpp
+++ b/src/connections/silence.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/// Pause between probes of a suspect member, in times of overdueAfter().
-constexpr int probePause = 2;
+/// Interval between probes of a suspected member, in multiples of overdueAfter().
+constexpr int probeInterval = 2;
 
 } // namespace
 
-void SilenceDetector::began(ConnectionKey key, TimePoint now, Microseconds extra)
+void SilenceDetector::exchangeStarted(ConnectionKey key, TimePoint now, Microseconds extraTime)
 {
     closed(key);
-    exchanges_.push_back(Exchange{key, now, now + overdueAfter() + extra});
+    exchanges_.push_back(Exchange{key, now, now + overdueAfter() + extraTime});
 }
 
 std::vector<SilenceAction> SilenceDetector::replied(ConnectionKey key, TimePoint now)
@@ -25,7 +25,7 @@
     if (found == exchanges_.end()) {
         return actions;
     }
-    replyTime_.observe(now - found->began);
+    replyTime_.observe(now - found->startedAt);
     exchanges_.erase(found);
     clearSuspicion(actions);
     return actions;
@@ -33,26 +33,27 @@
 
 void SilenceDetector::closed(ConnectionKey key)
 {
-    const auto gone = std::remove_if(exchanges_.begin(), exchanges_.end(), [&](const Exchange &exchange) { return exchange.key == key; });
-    exchanges_.erase(gone, exchanges_.end());
+    const auto removed =
+        std::remove_if(exchanges_.begin(), exchanges_.end(), [&](const Exchange &exchange) { return exchange.key == key; });
+    exchanges_.erase(removed, exchanges_.end());
 }
 
 std::vector<SilenceAction> SilenceDetector::probeReplied(TimePoint now)
 {
     std::vector<SilenceAction> actions;
-    if (!probeBegan_) {
+    if (!probeStartedAt_) {
         return actions;
     }
     for (const auto &exchange : exchanges_) {
-        if (exchange.overdueAt <= *probeBegan_) {
+        if (exchange.overdueAt <= *probeStartedAt_) {
             actions.emplace_back(CloseSilentConnection{exchange.key});
         }
     }
     for (const auto &action : actions) {
         closed(std::get<CloseSilentConnection>(action).key);
     }
-    probeBegan_.reset();
-    nextProbe_ = now;
+    probeStartedAt_.reset();
+    nextProbeAt_ = now;
     clearSuspicion(actions);
     return actions;
 }
@@ -60,11 +61,11 @@
 std::vector<SilenceAction> SilenceDetector::probeFailed(TimePoint now)
 {
     std::vector<SilenceAction> actions;
-    if (!probeBegan_) {
+    if (!probeStartedAt_) {
         return actions;
     }
-    probeBegan_.reset();
-    nextProbe_ = now + probePause * overdueAfter();
+    probeStartedAt_.reset();
+    nextProbeAt_ = now + probeInterval * overdueAfter();
     if (!memberSuspect_) {
         memberSuspect_ = true;
         actions.emplace_back(MemberSuspected{});
@@ -86,18 +87,18 @@
             break;
         }
     }
-    probeBegan_ = now;
+    probeStartedAt_ = now;
     actions.emplace_back(ProbeMember{suspect});
     return actions;
 }
 
 std::optional<TimePoint> SilenceDetector::nextWake() const noexcept
 {
-    if (probeBegan_) {
+    if (probeStartedAt_) {
         return std::nullopt;
     }
     if (memberSuspect_) {
-        return nextProbe_;
+        return nextProbeAt_;
     }
     std::optional<TimePoint> first;
     for (const auto &exchange : exchanges_) {
--- a/src/connections/silence.h
+++ b/src/connections/silence.h
@@ -1,4 +1,4 @@
-// Detects connections that have gone silent, and tells a silent connection from a silent member.
+// Detects connections that are open but get no replies, and distinguishes a silent connection from a silent member.
 #pragma once
 
 #include "base/time.h"
@@ -13,46 +13,47 @@
 
 namespace cardamomstep {
 
-/// Probe the member on a new connection, then report probeAnswered() or probeFailed().
+/// Probe the member on a new connection, then report probeReplied() or probeFailed().
 struct ProbeMember {
+    /// A connection with an overdue exchange; 0 when a suspected member is probed again and no exchange is overdue.
     ConnectionKey suspect = 0;
 
     [[nodiscard]] bool operator==(const ProbeMember &) const = default;
 };
 
-/// The connection is silent though the member answers: move its work and close it.
+/// The connection is silent although the member replies: move its work to another connection and close it.
 struct CloseSilentConnection {
     ConnectionKey key = 0;
 
     [[nodiscard]] bool operator==(const CloseSilentConnection &) const = default;
 };
 
-/// Neither the connection nor a new one gets an answer: the member is suspect.
+/// Neither the connection nor the probe on a new one got a reply: the member is suspected.
 struct MemberSuspected {
     [[nodiscard]] bool operator==(const MemberSuspected &) const = default;
 };
 
-/// The member answers again.
+/// The member replies again.
 struct MemberRecovered {
     [[nodiscard]] bool operator==(const MemberRecovered &) const = default;
 };
 
-/// What to do about silence.
+/// An action in response to overdue replies.
 using SilenceAction = std::variant<ProbeMember, CloseSilentConnection, MemberSuspected, MemberRecovered>;
 
 /// Settings of a silence detector.
 struct SilenceLimits {
-    /// Bounds of the time after which an answer is overdue.
+    /// Bounds of overdueAfter().
     Milliseconds minOverdueTime{60};
     Milliseconds maxOverdueTime{2'000};
-    /// Deviations above the mean that are still usual.
+    /// Deviations above the mean reply time after which a reply is overdue.
     double overdueDeviations = 8;
 };
 
-/// Watches the exchanges with one member.
+/// Monitors the exchanges with one member.
 ///
-/// An exchange without an answer by its expected time makes its connection suspect; a probe on a new connection decides. One probe runs at
-/// a time.
+/// An overdue exchange makes its connection suspected; a probe on a new connection then shows whether the member replies. One probe runs
+/// at a time.
 class SilenceDetector
 {
 public:
@@ -61,28 +62,28 @@
     {
     }
 
-    /// An exchange began on \a key; \a extra is time that the request itself is known to need.
-    void began(ConnectionKey key, TimePoint now, Microseconds extra = Microseconds{0});
+    /// Records that an exchange started on \a key; \a extraTime is time that the request itself is known to need.
+    void exchangeStarted(ConnectionKey key, TimePoint now, Microseconds extraTime = Microseconds{0});
 
-    /// An answer arrived on \a key.
+    /// Records that a reply arrived on \a key.
     [[nodiscard]] std::vector<SilenceAction> replied(ConnectionKey key, TimePoint now);
 
-    /// The connection is gone.
+    /// Removes the exchange of a closed connection.
     void closed(ConnectionKey key);
 
-    /// The probe got its answer.
+    /// Handles a reply to the probe.
     [[nodiscard]] std::vector<SilenceAction> probeReplied(TimePoint now);
 
-    /// The probe failed or got no answer in overdueAfter().
+    /// Handles a probe that failed or got no reply within overdueAfter().
     [[nodiscard]] std::vector<SilenceAction> probeFailed(TimePoint now);
 
-    /// Finds overdue exchanges; to be called at nextWake().
+    /// Starts a probe when one is due. To be called at nextWake().
     [[nodiscard]] std::vector<SilenceAction> wake(TimePoint now);
 
-    /// When the next exchange becomes overdue; nothing while a probe runs.
+    /// The time at which the next probe is due; nothing while a probe runs.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
-    /// Time after which an answer is overdue.
+    /// Time after which a reply is overdue.
     [[nodiscard]] Microseconds overdueAfter() const noexcept;
 
     [[nodiscard]] bool memberSuspect() const noexcept
@@ -93,7 +94,7 @@
 private:
     struct Exchange {
         ConnectionKey key = 0;
-        TimePoint began;
+        TimePoint startedAt;
         TimePoint overdueAt;
     };
 
@@ -101,12 +102,12 @@
 
     SilenceLimits limits_;
     SmoothedTime replyTime_;
-    /// Exchanges without an answer, at most one for each connection.
+    /// Exchanges without a reply, at most one for each connection.
     std::vector<Exchange> exchanges_;
-    /// When the running probe began; absent while none runs.
-    std::optional<TimePoint> probeBegan_;
-    /// No probe before this time while the member is suspect.
-    TimePoint nextProbe_;
+    /// When the running probe started; absent while none runs.
+    std::optional<TimePoint> probeStartedAt_;
+    /// No probe before this time while the member is suspected.
+    TimePoint nextProbeAt_;
     bool memberSuspect_ = false;
 };
 
--- a/src/connections/smoothedtime.h
+++ b/src/connections/smoothedtime.h
@@ -8,19 +8,19 @@
 
 namespace cardamomstep {
 
-/// Smoothed mean and mean deviation of a duration, as TCP keeps them for its round trip.
+/// Smoothed mean and mean deviation of a duration, as TCP computes them for its round-trip time.
 class SmoothedTime
 {
 public:
     SmoothedTime() = default;
 
-    /// Starts from \a first until something is measured.
-    explicit SmoothedTime(Microseconds first) noexcept
-        : mean_(static_cast<double>(first.count()))
+    /// Uses \a initial as the mean until the first measurement.
+    explicit SmoothedTime(Microseconds initial) noexcept
+        : mean_(static_cast<double>(initial.count()))
     {
     }
 
-    /// Takes in one measured duration.
+    /// Adds one measured duration.
     void observe(Microseconds measured) noexcept
     {
         const auto value = static_cast<double>(measured.count());
@@ -35,14 +35,14 @@
         deviation_ += deviationGain * ((distance < 0 ? -distance : distance) - deviation_);
     }
 
-    /// Raises the mean to \a least, after a measurement proved it too low.
-    void raiseTo(Microseconds least) noexcept
+    /// Raises the mean to at least \a minimum, after a measurement showed that it is too low.
+    void raiseTo(Microseconds minimum) noexcept
     {
         observed_ = true;
-        mean_ = std::max(mean_, static_cast<double>(least.count()));
+        mean_ = std::max(mean_, static_cast<double>(minimum.count()));
     }
 
-    /// True once something was measured.
+    /// True after the first measurement.
     [[nodiscard]] bool observed() const noexcept
     {
         return observed_;
@@ -53,7 +53,7 @@
         return Microseconds{static_cast<std::int64_t>(mean_)};
     }
 
-    /// The mean with \a factor deviations on top.
+    /// The mean plus \a factor deviations.
     [[nodiscard]] Microseconds withMargin(double factor) const noexcept
     {
         return Microseconds{static_cast<std::int64_t>(mean_ + factor * deviation_)};
--- a/src/owner/memberconnections.cpp
+++ b/src/owner/memberconnections.cpp
@@ -103,7 +103,7 @@
 
 void MemberConnections::onExchangeStarted(ConnectionKey key, TimePoint now)
 {
-    silence_.began(key, now);
+    silence_.exchangeStarted(key, now);
 }
 
 void MemberConnections::onReply(ConnectionKey key, TimePoint now)
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -1,4 +1,4 @@
-// Tests of connection shares, the pool's accounting and the detection of silence.
+// Tests of connection quotas, the pool's accounting and the detection of silent connections.
 #include "connections/pool.h"
 #include "connections/quota.h"
 #include "connections/silence.h"
@@ -40,56 +40,58 @@
 
 } // namespace
 
-Test(connections, sharesAddUpToTheLimit)
+Test(connections, quotasAddUpToTheLimit)
 {
-    const bool holds = rc::check("shares add up", [](std::uint16_t limit) {
+    const bool holds = rc::check("quotas add up", [](std::uint16_t limit) {
         const auto count = *rc::gen::inRange<std::size_t>(1, 8);
-        std::vector<InstanceName> holders;
+        std::vector<InstanceName> owners;
         for (std::size_t index = 0; index < count; ++index) {
-            holders.push_back(proxy(index));
+            owners.push_back(proxy(index));
         }
         std::uint32_t sum = 0;
-        for (const auto &holder : holders) {
-            sum += quotaOf(limit, holders, holder);
+        for (const auto &owner : owners) {
+            sum += quotaOf(limit, owners, owner);
         }
         RC_ASSERT(sum == limit);
-        RC_ASSERT(quotaOf(limit, holders, InstanceName{"other"}) == 0U);
+        RC_ASSERT(quotaOf(limit, owners, InstanceName{"other"}) == 0U);
     });
     cr_assert(holds);
 }
 
-Test(connections, aShareGrowsOnlyAfterAReleaseOrExpiry)
+Test(connections, aQuotaGrowsOnlyAfterAReleaseOrExpiry)
 {
-    ConnectionQuota share{proxy(0), 16, Milliseconds{1'000}};
-    share.setOwners({proxy(0), proxy(1)}, at(0));
-    cr_assert(share.allowed(at(0)) == 8);
-    share.setOwners({proxy(0)}, at(10));
-    cr_assert(share.allowed(at(10)) == 8);
-    cr_assert(share.nextWake(at(10)) == at(1'010));
-    share.onPeerAllocation(proxy(1), 3, at(20));
-    cr_assert(share.allowed(at(20)) == 13);
-    cr_assert(share.allowed(at(1'020)) == 16);
-    share.onPeerAllocation(proxy(1), 0, at(30));
-    cr_assert(share.allowed(at(30)) == 16);
-    share.setOwners({proxy(0), proxy(1)}, at(40));
-    cr_assert(share.allowed(at(40)) == 8, "it shrinks at once");
+    ConnectionQuota quota{proxy(0), 16, Milliseconds{1'000}};
+    quota.setOwners({proxy(0), proxy(1)}, at(0));
+    cr_assert(quota.allowed(at(0)) == 8);
+    quota.setOwners({proxy(0)}, at(10));
+    cr_assert(quota.allowed(at(10)) == 8);
+    cr_assert(quota.nextWake(at(10)) == at(1'010));
+    quota.onPeerAllocation(proxy(1), 3, at(20));
+    cr_assert(quota.allowed(at(20)) == 13);
+    cr_assert(quota.allowed(at(1'020)) == 16);
+    quota.onPeerAllocation(proxy(1), 0, at(30));
+    cr_assert(quota.allowed(at(30)) == 16);
+    quota.setOwners({proxy(0), proxy(1)}, at(40));
+    cr_assert(quota.allowed(at(40)) == 8, "it shrinks at once");
 }
 
 namespace {
 
-// Proxies that hear of ownership changes late and close what is too much late, in virtual time.
+// Proxies that learn of ownership changes, and close their excess connections, with delays; in virtual time.
 struct Fleet {
     static constexpr std::uint32_t limit = 16;
     static constexpr std::size_t count = 5;
-    static constexpr std::int64_t hearsWithin = 300;
-    static constexpr std::int64_t closesWithin = 200;
+    static constexpr std::int64_t maxReceiveDelay = 300;
+    static constexpr std::int64_t maxCloseDelay = 200;
     static constexpr std::int64_t expiry = 1'000;
 
     struct Proxy {
-        ConnectionQuota share;
+        ConnectionQuota quota;
         std::uint32_t open = 0;
-        std::vector<std::pair<std::int64_t, std::vector<InstanceName>>> news;
-        std::int64_t tooManySince = -1;
+        /// Lists of owners with the times at which they arrive.
+        std::vector<std::pair<std::int64_t, std::vector<InstanceName>>> pendingLists;
+        /// When the open connections began to exceed the allowance; -1 while they do not.
+        std::int64_t excessSince = -1;
     };
 
     std::vector<Proxy> proxies;
@@ -103,43 +105,43 @@
         }
     }
 
-    void change(const std::vector<InstanceName> &holders, std::int64_t now)
+    void change(const std::vector<InstanceName> &owners, std::int64_t now)
     {
-        for (auto &one : proxies) {
-            const auto heard = now + *rc::gen::inRange<std::int64_t>(0, hearsWithin);
-            const auto earliest = one.news.empty() ? now : one.news.back().first;
-            one.news.emplace_back(std::max(heard, earliest), holders);
+        for (auto &instance : proxies) {
+            const auto receivedAt = now + *rc::gen::inRange<std::int64_t>(0, maxReceiveDelay);
+            const auto earliest = instance.pendingLists.empty() ? now : instance.pendingLists.back().first;
+            instance.pendingLists.emplace_back(std::max(receivedAt, earliest), owners);
         }
     }
 
     void step(std::size_t index, std::int64_t now)
     {
-        auto &one = proxies[index];
-        while (!one.news.empty() && one.news.front().first <= now) {
-            one.share.setOwners(one.news.front().second, at(one.news.front().first));
-            one.news.erase(one.news.begin());
+        auto &instance = proxies[index];
+        while (!instance.pendingLists.empty() && instance.pendingLists.front().first <= now) {
+            instance.quota.setOwners(instance.pendingLists.front().second, at(instance.pendingLists.front().first));
+            instance.pendingLists.erase(instance.pendingLists.begin());
         }
-        const auto allowed = one.share.allowed(at(now));
-        if (one.open <= allowed) {
-            one.tooManySince = -1;
-            one.open = std::min(allowed, one.open + *rc::gen::inRange(0U, 4U));
+        const auto allowed = instance.quota.allowed(at(now));
+        if (instance.open <= allowed) {
+            instance.excessSince = -1;
+            instance.open = std::min(allowed, instance.open + *rc::gen::inRange(0U, 4U));
             return;
         }
-        one.tooManySince = one.tooManySince < 0 ? now : one.tooManySince;
-        const bool mustClose = now - one.tooManySince >= closesWithin;
-        one.open = mustClose ? allowed : one.open - *rc::gen::inRange(0U, one.open - allowed + 1);
+        instance.excessSince = instance.excessSince < 0 ? now : instance.excessSince;
+        const bool mustClose = now - instance.excessSince >= maxCloseDelay;
+        instance.open = mustClose ? allowed : instance.open - *rc::gen::inRange(0U, instance.open - allowed + 1);
     }
 
     void announce(std::size_t from, std::size_t to, std::int64_t now)
     {
-        proxies[to].share.onPeerAllocation(proxy(from), proxies[from].share.allocation(proxies[from].open), at(now));
+        proxies[to].quota.onPeerAllocation(proxy(from), proxies[from].quota.allocation(proxies[from].open), at(now));
     }
 
     [[nodiscard]] std::uint32_t open() const
     {
         std::uint32_t sum = 0;
-        for (const auto &one : proxies) {
-            sum += one.open;
+        for (const auto &instance : proxies) {
+            sum += instance.open;
         }
         return sum;
     }
@@ -147,13 +149,13 @@
 
 } // namespace
 
-Test(connections, theLimitHoldsThroughChangesOfOwnership)
+Test(connections, theLimitHoldsDuringOwnershipChanges)
 {
     const bool holds = rc::check("the limit holds", []() {
         Fleet fleet;
-        std::vector<InstanceName> holders{proxy(0), proxy(1)};
+        std::vector<InstanceName> owners{proxy(0), proxy(1)};
         for (std::size_t index = 0; index < Fleet::count; ++index) {
-            fleet.proxies[index].share.setOwners(holders, at(0));
+            fleet.proxies[index].quota.setOwners(owners, at(0));
         }
         std::int64_t now = 0;
         for (int round = 0; round < 300; ++round) {
@@ -161,11 +163,11 @@
             if (*rc::gen::inRange(0, 40) == 0) {
                 const auto size = *rc::gen::inRange<std::size_t>(1, 4);
                 const auto first = *rc::gen::inRange<std::size_t>(0, Fleet::count);
-                holders.clear();
+                owners.clear();
                 for (std::size_t index = 0; index < size; ++index) {
-                    holders.push_back(proxy((first + index) % Fleet::count));
+                    owners.push_back(proxy((first + index) % Fleet::count));
                 }
-                fleet.change(holders, now);
+                fleet.change(owners, now);
             }
             for (std::size_t index = 0; index < Fleet::count; ++index) {
                 fleet.step(index, now);
@@ -183,13 +185,13 @@
     ConnectionPool pool;
     (void)pool.setAllowed(4, at(0));
     const auto key = openedKey(pool.acquire(at(500), at(0)));
-    cr_assert(!pool.release(key, at(1)) && !pool.release(key + 1, at(1)), "only a connection in use can be given back");
+    cr_assert(!pool.release(key, at(1)) && !pool.release(key + 1, at(1)), "only a connection in use can be released");
     pool.opened(key, at(12));
     cr_assert(pool.release(key, at(20)));
     cr_assert(pool.acquire(at(500), at(30)) == (ConnectionStep{ReuseConnection{key}}));
 }
 
-Test(connections, opensArePacedAndNeverTooMany)
+Test(connections, concurrentOpensAndOpenConnectionsAreLimited)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(3, at(0));
@@ -204,7 +206,7 @@
     cr_assert(is<NoConnection>(pool.acquire(at(24), at(24))));
 }
 
-Test(connections, theMembersOwnLimitPausesOpens)
+Test(connections, aRefusalAtTheMembersLimitDelaysOpens)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(8, at(0));
@@ -212,13 +214,13 @@
     pool.openFailed(key, ConnectionFault::NoConnection, at(5));
     cr_assert(pool.open() == 0);
     cr_assert(pool.acquire(at(500), at(6)) == (ConnectionStep{AwaitConnection{at(105)}}));
-    const auto tooLate = pool.acquire(at(100), at(6));
-    cr_assert(is<NoConnection>(tooLate));
-    cr_assert(std::get<NoConnection>(tooLate).error.ran == Ran::No && std::get<NoConnection>(tooLate).error.retryAfter);
+    const auto unavailable = pool.acquire(at(100), at(6));
+    cr_assert(is<NoConnection>(unavailable));
+    cr_assert(std::get<NoConnection>(unavailable).error.ran == Ran::No && std::get<NoConnection>(unavailable).error.retryAfter);
     cr_assert(is<OpenConnection>(pool.acquire(at(500), at(105))));
 }
 
-Test(connections, aLoweredAllowanceClosesIdleOnesAtOnceAndBusyOnesAsTheyComeBack)
+Test(connections, aLoweredAllowanceClosesIdleConnectionsAtOnceAndBusyOnesOnRelease)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(3, at(0));
@@ -232,7 +234,7 @@
     cr_assert(pool.open() == 0);
 }
 
-Test(connections, longIdleConnectionsAreClosedDownToAFew)
+Test(connections, idleConnectionsBeyondTheMinimumAreClosedAfterTheTimeout)
 {
     ConnectionPool pool;
     (void)pool.setAllowed(4, at(0));
@@ -254,11 +256,11 @@
     const bool holds = rc::check("pool accounting", []() {
         ConnectionPool pool;
         std::uint32_t allowed = 0;
-        std::uint32_t mostOpen = 0;
+        std::uint32_t maxOpen = 0;
         std::vector<ConnectionKey> opening;
         std::vector<ConnectionKey> busy;
         std::int64_t now = 0;
-        const auto takeOne = [](std::vector<ConnectionKey> &keys) {
+        const auto popKey = [](std::vector<ConnectionKey> &keys) {
             const auto key = keys.back();
             keys.pop_back();
             return key;
@@ -269,31 +271,31 @@
             if (event == 0) {
                 allowed = *rc::gen::inRange(0U, 6U);
                 (void)pool.setAllowed(allowed, at(now));
-                mostOpen = std::max(allowed, pool.open());
+                maxOpen = std::max(allowed, pool.open());
             } else if (event == 1 && !opening.empty()) {
-                pool.openFailed(takeOne(opening), *rc::gen::element(ConnectionFault::NoConnection, ConnectionFault::Refused), at(now));
+                pool.openFailed(popKey(opening), *rc::gen::element(ConnectionFault::NoConnection, ConnectionFault::Refused), at(now));
             } else if (event == 2 && !opening.empty()) {
-                busy.push_back(takeOne(opening));
+                busy.push_back(popKey(opening));
                 pool.opened(busy.back(), at(now));
             } else if (event == 3 && !busy.empty()) {
-                (void)pool.release(takeOne(busy), at(now));
+                (void)pool.release(popKey(busy), at(now));
             } else if (event == 4 && !busy.empty()) {
-                pool.closed(takeOne(busy));
+                pool.closed(popKey(busy));
             } else if (event == 5) {
                 (void)pool.wake(at(now));
             } else {
-                const auto taken = pool.acquire(at(now + 200), at(now));
-                if (const auto *open = std::get_if<OpenConnection>(&taken)) {
+                const auto acquired = pool.acquire(at(now + 200), at(now));
+                if (const auto *open = std::get_if<OpenConnection>(&acquired)) {
                     opening.push_back(open->key);
-                } else if (const auto *reused = std::get_if<ReuseConnection>(&taken)) {
+                } else if (const auto *reused = std::get_if<ReuseConnection>(&acquired)) {
                     RC_ASSERT(std::find(busy.begin(), busy.end(), reused->key) == busy.end());
                     busy.push_back(reused->key);
-                } else if (const auto *await = std::get_if<AwaitConnection>(&taken)) {
+                } else if (const auto *await = std::get_if<AwaitConnection>(&acquired)) {
                     RC_ASSERT(await->until > at(now));
                 }
             }
             RC_ASSERT(pool.open() == opening.size() + busy.size() + pool.idle());
-            RC_ASSERT(pool.open() <= std::max(allowed, mostOpen));
+            RC_ASSERT(pool.open() <= std::max(allowed, maxOpen));
             RC_ASSERT(pool.opening() <= 2U);
         }
     });
@@ -308,7 +310,7 @@
 {
     SilenceDetector detector;
     for (int round = 0; round < 50; ++round) {
-        detector.began(1, at(round * 100));
+        detector.exchangeStarted(1, at(round * 100));
         cr_assert(detector.replied(1, at(round * 100 + 8)).empty());
     }
     return detector;
@@ -316,46 +318,46 @@
 
 } // namespace
 
-Test(connections, theExpectedTimeFollowsWhatWasMeasured)
+Test(connections, theOverdueTimeFollowsMeasuredReplyTimes)
 {
     SilenceDetector fresh;
     cr_assert(fresh.overdueAfter() == Milliseconds{2'000});
     cr_assert(trainedDetector().overdueAfter() == Milliseconds{60});
 }
 
-Test(connections, aSilentConnectionIsClosedOnceTheMemberAnswersElsewhere)
+Test(connections, aSilentConnectionIsClosedOnceTheMemberRepliesToAProbe)
 {
     auto detector = trainedDetector();
-    detector.began(7, at(10'000));
-    detector.began(8, at(10'055));
+    detector.exchangeStarted(7, at(10'000));
+    detector.exchangeStarted(8, at(10'055));
     cr_assert(detector.nextWake() == at(10'060));
     cr_assert(detector.wake(at(10'060)) == (Actions{ProbeMember{7}}));
     cr_assert(!detector.nextWake());
     cr_assert(detector.probeReplied(at(10'080)) == (Actions{CloseSilentConnection{7}}));
     cr_assert(!detector.memberSuspect());
-    cr_assert(detector.nextWake() == at(10'115), "the younger exchange goes on");
+    cr_assert(detector.nextWake() == at(10'115), "the younger exchange is still monitored");
 }
 
-Test(connections, aSilentMemberIsSuspectUntilItAnswers)
+Test(connections, aSilentMemberIsSuspectedUntilItReplies)
 {
     auto detector = trainedDetector();
-    detector.began(7, at(10'000));
+    detector.exchangeStarted(7, at(10'000));
     (void)detector.wake(at(10'060));
     cr_assert(detector.probeFailed(at(10'120)) == (Actions{MemberSuspected{}}));
     detector.closed(7);
     const auto again = detector.nextWake();
     cr_assert(again == at(10'240));
     cr_assert(detector.wake(*again) == (Actions{ProbeMember{0}}));
-    cr_assert(detector.probeFailed(at(10'300)).empty(), "it is said once");
+    cr_assert(detector.probeFailed(at(10'300)).empty(), "the suspicion is reported once");
     (void)detector.wake(*detector.nextWake());
     cr_assert(detector.probeReplied(at(10'500)) == (Actions{MemberRecovered{}}));
     cr_assert(!detector.nextWake());
 }
 
-Test(connections, aLateAnswerClearsTheSuspicion)
+Test(connections, anOverdueReplyClearsTheSuspicion)
 {
     auto detector = trainedDetector();
-    detector.began(7, at(10'000));
+    detector.exchangeStarted(7, at(10'000));
     (void)detector.wake(at(10'060));
     (void)detector.probeFailed(at(10'120));
     cr_assert(detector.replied(7, at(10'130)) == (Actions{MemberRecovered{}}));
