--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -59,7 +59,7 @@
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
             return toAnswer(*answer);
         }
-        if (const auto *sending = std::get_if<SendStoreWrite>(&step)) {
+        if (const auto *sending = std::get_if<SendWrite>(&step)) {
             step = performSend(attempt, sending->term, send);
         } else if (const auto *query = std::get_if<QueryOutcome>(&step)) {
             step = performQueryOutcome(attempt, *query);
@@ -126,7 +126,7 @@
         return answer;
     }
     // After an unsent try, look again at who is primary.
-    return std::holds_alternative<SendStoreWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
+    return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
 WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const QueryOutcome &query)
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -1,4 +1,4 @@
-// Admission by deadline, service time and shares.
+// Admission by deadline, service time and guaranteed shares.
 #include "requests/admission.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Deviations above the mean that a new request must have room for.
+/// Deviations above the mean service time that must fit before a new request's deadline.
 constexpr double acceptanceMargin = 2;
 
 } // namespace
@@ -27,7 +27,7 @@
 {
     Actions actions;
     auto &state = laneOf(lane);
-    settleCredits(state, now);
+    accrueCredits(state, now);
     state.slots = std::max(slots, 1U);
     dispatch(state, now, actions);
     return actions;
@@ -35,20 +35,20 @@
 
 void AdmissionQueue::setShares(const std::vector<ServiceShare> &shares)
 {
-    const auto before = std::move(shares_);
+    const auto oldShares = std::move(shares_);
     shares_ = shares;
-    double rest = 1;
+    double remainder = 1;
     for (const auto &share : shares) {
-        rest -= share.guaranteed;
+        remainder -= share.guaranteed;
     }
-    shares_.push_back(ServiceShare{ServiceName{}, std::max(rest, 0.0)});
+    shares_.push_back(ServiceShare{ServiceName{}, std::max(remainder, 0.0)});
     for (auto &lane : lanes_) {
         lane.credits.assign(shares_.size(), static_cast<double>(limits_.maxShareCredit.count()));
         for (auto &waiting : lane.waiting) {
-            waiting.share = shareOf(before[waiting.share].service);
+            waiting.share = shareOf(oldShares[waiting.share].service);
         }
         for (auto &running : lane.running) {
-            running.share = shareOf(before[running.share].service);
+            running.share = shareOf(oldShares[running.share].service);
         }
     }
 }
@@ -57,17 +57,18 @@
 {
     Actions actions;
     auto &lane = laneOf(request.lane);
-    settleCredits(lane, now);
+    accrueCredits(lane, now);
     expire(lane, now, actions);
     const Waiting candidate{request.ticket, shareOf(request.service), request.deadline};
     if (!fits(lane, candidate, now) || !evictFor(lane, candidate, now, actions)) {
         actions.emplace_back(refuse(lane, request.ticket, now));
         return actions;
     }
-    const auto place = std::upper_bound(lane.waiting.begin(), lane.waiting.end(), candidate, [](const Waiting &left, const Waiting &right) {
-        return left.deadline < right.deadline;
-    });
-    lane.waiting.insert(place, candidate);
+    const auto insertAt =
+        std::upper_bound(lane.waiting.begin(), lane.waiting.end(), candidate, [](const Waiting &left, const Waiting &right) {
+            return left.deadline < right.deadline;
+        });
+    lane.waiting.insert(insertAt, candidate);
     dispatch(lane, now, actions);
     return actions;
 }
@@ -81,10 +82,10 @@
         if (done == lane.running.end()) {
             continue;
         }
-        const auto held = now - done->since;
-        settleCredits(lane, now);
-        charge(lane, done->share, held);
-        lane.serviceTime.observe(held);
+        const auto slotTime = now - done->since;
+        accrueCredits(lane, now);
+        charge(lane, done->share, slotTime);
+        lane.serviceTime.observe(slotTime);
         lane.running.erase(done);
         dispatch(lane, now, actions);
         break;
@@ -95,9 +96,9 @@
 std::vector<AdmissionAction> AdmissionQueue::cancel(std::uint64_t ticket, TimePoint now)
 {
     for (auto &lane : lanes_) {
-        const auto gone =
+        const auto removed =
             std::remove_if(lane.waiting.begin(), lane.waiting.end(), [&](const Waiting &waiting) { return waiting.ticket == ticket; });
-        lane.waiting.erase(gone, lane.waiting.end());
+        lane.waiting.erase(removed, lane.waiting.end());
     }
     return wake(now);
 }
@@ -106,7 +107,7 @@
 {
     Actions actions;
     for (auto &lane : lanes_) {
-        settleCredits(lane, now);
+        accrueCredits(lane, now);
         dispatch(lane, now, actions);
     }
     return actions;
@@ -165,20 +166,20 @@
     return lane.credits[share] > 0;
 }
 
-void AdmissionQueue::settleCredits(LaneState &lane, TimePoint now) const
+void AdmissionQueue::accrueCredits(LaneState &lane, TimePoint now) const
 {
-    const auto passed = static_cast<double>((now - lane.settledAt).count()) * lane.slots;
-    lane.settledAt = now;
-    const auto most = static_cast<double>(limits_.maxShareCredit.count());
+    const auto elapsed = static_cast<double>((now - lane.accruedAt).count()) * lane.slots;
+    lane.accruedAt = now;
+    const auto maxCredit = static_cast<double>(limits_.maxShareCredit.count());
     for (std::size_t index = 0; index < shares_.size(); ++index) {
-        lane.credits[index] = std::min(most, lane.credits[index] + passed * shares_[index].guaranteed);
+        lane.credits[index] = std::min(maxCredit, lane.credits[index] + elapsed * shares_[index].guaranteed);
     }
 }
 
 void AdmissionQueue::charge(LaneState &lane, std::size_t share, Microseconds used) const
 {
-    const auto most = static_cast<double>(limits_.maxShareCredit.count());
-    lane.credits[share] = std::max(-most, lane.credits[share] - static_cast<double>(used.count()));
+    const auto maxCredit = static_cast<double>(limits_.maxShareCredit.count());
+    lane.credits[share] = std::max(-maxCredit, lane.credits[share] - static_cast<double>(used.count()));
 }
 
 void AdmissionQueue::expire(LaneState &lane, TimePoint now, Actions &actions) const
@@ -186,11 +187,11 @@
     const auto mean = lane.serviceTime.mean();
     const auto slots = static_cast<std::int64_t>(lane.slots);
     const bool slotFree = lane.running.size() < lane.slots;
-    // Those in credit go first; a request whose turn would come after its deadline is told so now.
+    // Requests of services in credit go first; a request that would start after its deadline is refused now.
     auto preferredStart = slotFree ? now : now + backlog(lane, now) / slots;
-    auto lentStart = preferredStart + mean * static_cast<std::int64_t>(preferredWaiting(lane)) / slots;
-    const auto hopeless = [&](const Waiting &waiting) {
-        auto &start = inCredit(lane, waiting.share) ? preferredStart : lentStart;
+    auto otherStart = preferredStart + mean * static_cast<std::int64_t>(preferredWaiting(lane)) / slots;
+    const auto cannotFinish = [&](const Waiting &waiting) {
+        auto &start = inCredit(lane, waiting.share) ? preferredStart : otherStart;
         const bool tooLate = now + mean >= waiting.deadline || start >= waiting.deadline;
         if (tooLate) {
             actions.emplace_back(refuse(lane, waiting.ticket, now));
@@ -199,21 +200,21 @@
         }
         return tooLate;
     };
-    lane.waiting.erase(std::remove_if(lane.waiting.begin(), lane.waiting.end(), hopeless), lane.waiting.end());
+    lane.waiting.erase(std::remove_if(lane.waiting.begin(), lane.waiting.end(), cannotFinish), lane.waiting.end());
 }
 
 void AdmissionQueue::dispatch(LaneState &lane, TimePoint now, Actions &actions) const
 {
     expire(lane, now, actions);
     while (!lane.waiting.empty() && lane.running.size() < lane.slots) {
-        const auto next = lane.waiting.begin() + static_cast<std::ptrdiff_t>(nextInLine(lane));
+        const auto next = lane.waiting.begin() + static_cast<std::ptrdiff_t>(nextToAdmit(lane));
         lane.running.push_back(Running{next->ticket, next->share, now});
         actions.emplace_back(Admitted{next->ticket});
         lane.waiting.erase(next);
     }
 }
 
-std::size_t AdmissionQueue::nextInLine(const LaneState &lane) const noexcept
+std::size_t AdmissionQueue::nextToAdmit(const LaneState &lane) const noexcept
 {
     for (std::size_t index = 0; index < lane.waiting.size(); ++index) {
         if (inCredit(lane, lane.waiting[index].share)) {
@@ -259,30 +260,30 @@
     const auto slots = static_cast<std::int64_t>(lane.slots);
     auto start = now + backlog(lane, now) / slots;
     auto ownStart = start;
-    bool pushesOut = false;
+    bool displacesOther = false;
     std::uint32_t ahead = 0;
-    const auto take = [&](const Waiting &waiting) {
+    const auto schedule = [&](const Waiting &waiting) {
         const bool waitingPreferred = inCredit(lane, waiting.share);
         const bool before = waitingPreferred != preferred ? waitingPreferred : waiting.deadline <= candidate.deadline;
         if (before) {
             ownStart += mean / slots;
             ++ahead;
         } else if (waitingPreferred || !preferred) {
-            const bool madeIt = start + mean <= waiting.deadline;
-            pushesOut = pushesOut || (madeIt && start + mean / slots + mean > waiting.deadline);
+            const bool wasInTime = start + mean <= waiting.deadline;
+            displacesOther = displacesOther || (wasInTime && start + mean / slots + mean > waiting.deadline);
         }
         start += mean / slots;
     };
     for (const bool tier : {true, false}) {
         for (const auto &waiting : lane.waiting) {
             if (inCredit(lane, waiting.share) == tier) {
-                take(waiting);
+                schedule(waiting);
             }
         }
     }
-    // The times of those ahead vary independently, so their sum varies by the root of their number.
-    const auto spread = std::sqrt(1.0 + ahead / static_cast<double>(lane.slots));
-    return !pushesOut && ownStart + lane.serviceTime.withMargin(acceptanceMargin * spread) <= candidate.deadline;
+    // The service times of the requests ahead vary independently, so the deviation of their sum grows with the root of their number.
+    const auto variation = std::sqrt(1.0 + ahead / static_cast<double>(lane.slots));
+    return !displacesOther && ownStart + lane.serviceTime.withMargin(acceptanceMargin * variation) <= candidate.deadline;
 }
 
 Microseconds AdmissionQueue::backlog(const LaneState &lane, TimePoint now) const noexcept
@@ -298,8 +299,8 @@
 Refused AdmissionQueue::refuse(const LaneState &lane, std::uint64_t ticket, TimePoint now) const
 {
     const auto queued = lane.serviceTime.mean() * static_cast<std::int64_t>(lane.waiting.size());
-    const auto drained = wholeMilliseconds((backlog(lane, now) + queued) / static_cast<std::int64_t>(lane.slots));
-    const auto retryAfter = std::clamp(drained, limits_.minRetryAfter, limits_.maxRetryAfter);
+    const auto drainTime = wholeMilliseconds((backlog(lane, now) + queued) / static_cast<std::int64_t>(lane.slots));
+    const auto retryAfter = std::clamp(drainTime, limits_.minRetryAfter, limits_.maxRetryAfter);
     return Refused{ticket, Error{ErrorKind::Overloaded, "the request would not finish within its window"}.withRetryAfter(retryAfter)};
 }
 
--- a/src/requests/admission.h
+++ b/src/requests/admission.h
@@ -1,4 +1,4 @@
-// Admission to a database group: who may run now, who waits, and who is told at once to come back.
+// Admission to a database group: which requests run now, which wait, and which are refused at once with a retry-after.
 #pragma once
 
 #include "base/ids.h"
@@ -26,11 +26,11 @@
 
 /// A request that wants a slot.
 struct AdmissionRequest {
-    /// The shell's name for the request; unique while the request is in the queue or in service.
+    /// Identifies the request; unique while the request is waiting or running.
     std::uint64_t ticket = 0;
     Lane lane = Lane::Primary;
     ServiceName service;
-    /// When the answer must have left this process.
+    /// The time by which the answer must have left this process.
     TimePoint deadline;
 };
 
@@ -44,70 +44,70 @@
 /// The request did not run and left the queue.
 struct Refused {
     std::uint64_t ticket = 0;
-    /// ErrorKind::Overloaded with a time to come back.
+    /// ErrorKind::Overloaded with a retry-after.
     Error error;
 
     [[nodiscard]] bool operator==(const Refused &) const = default;
 };
 
-/// What became of a request.
+/// The result of a request for a slot.
 using AdmissionAction = std::variant<Admitted, Refused>;
 
-/// The part of each lane that a service is promised.
+/// The share of each lane that a service is guaranteed.
 struct ServiceShare {
     ServiceName service;
-    /// Fraction of the lane's slots, from 0 to 1; what it leaves unused is lent to others.
+    /// Fraction of the lane's slots, from 0 to 1; other services use what the service leaves unused.
     double guaranteed = 0;
 };
 
 /// Settings of an admission queue.
 struct AdmissionLimits {
-    /// Requests that may wait in one lane.
+    /// The maximum number of requests that wait in one lane.
     std::uint32_t maxWaiting = 64;
-    /// Estimate of one request's time in a slot before any was measured.
+    /// Estimated time of one request in a slot until the first measurement.
     Microseconds initialServiceTime{5'000};
-    /// Shortest and longest time to come back that a refusal names.
+    /// Bounds of the retry-after of a refusal.
     Milliseconds minRetryAfter{10};
     Milliseconds maxRetryAfter{5'000};
-    /// How much slot time a service may save up, or overdraw, against its share.
+    /// The maximum slot time that a service may save up, or overdraw, against its share.
     Microseconds maxShareCredit{200'000};
 };
 
 /// Slots and the short queue in front of them, for one database group.
 ///
-/// Requests wait in order of deadline. A request is refused as soon as it cannot finish within its window: on arrival, when
-/// those in front of it take too long or when it would push out one that was accepted before, and later when the estimate grows.
-/// Services that are below their guaranteed part go first; what they leave is lent.
+/// Requests wait in order of deadline. A request is refused as soon as it cannot finish within its window: on arrival, when the requests
+/// ahead of it take too long or when it would make one that was accepted before miss its deadline, and later when the estimate grows.
+/// Services below their guaranteed share go first; other services use what they leave.
 class AdmissionQueue
 {
 public:
     explicit AdmissionQueue(const AdmissionLimits &limits = {});
 
-    /// Sets how many requests of \a lane may run at once; a smaller number waits for running ones to finish.
+    /// Sets how many requests of \a lane may run at once. When the number is lowered, running requests are not interrupted.
     [[nodiscard]] std::vector<AdmissionAction> setSlots(Lane lane, std::uint32_t slots, TimePoint now);
 
-    /// Sets the guaranteed parts; services not listed have none. The parts should add up to at most 1.
+    /// Sets the guaranteed shares; services not listed have none. The shares should add up to at most 1.
     void setShares(const std::vector<ServiceShare> &shares);
 
-    /// Takes in a new request.
+    /// Adds a new request.
     [[nodiscard]] std::vector<AdmissionAction> request(const AdmissionRequest &request, TimePoint now);
 
-    /// Takes in that an admitted request gave its slot back, whatever its outcome.
+    /// Releases the slot of an admitted request, whatever its outcome.
     [[nodiscard]] std::vector<AdmissionAction> finished(std::uint64_t ticket, TimePoint now);
 
-    /// Takes in that a waiting request is no longer wanted; an unknown ticket is ignored.
+    /// Removes a waiting request; an unknown ticket is ignored.
     [[nodiscard]] std::vector<AdmissionAction> cancel(std::uint64_t ticket, TimePoint now);
 
-    /// Expires waiting requests; to be called at nextWake().
+    /// Refuses waiting requests that can no longer finish in time. To be called at nextWake().
     [[nodiscard]] std::vector<AdmissionAction> wake(TimePoint now);
 
-    /// When the first waiting request can no longer make it.
+    /// The time from which the waiting request with the earliest deadline can no longer finish in time.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
     [[nodiscard]] std::uint32_t waiting(Lane lane) const noexcept;
     [[nodiscard]] std::uint32_t running(Lane lane) const noexcept;
 
-    /// Time that a request is expected to hold a slot, with a margin for its variation.
+    /// The expected time of a request in a slot, with a margin for its variation.
     [[nodiscard]] Microseconds expectedService(Lane lane) const noexcept;
 
 private:
@@ -130,9 +130,9 @@
         /// Invariant: at most `slots`, unless the number of slots was lowered.
         std::vector<Running> running;
         SmoothedTime serviceTime;
-        /// Slot time in microseconds that each share has saved (positive) or overdrawn (negative) up to `settledAt`.
+        /// Slot time in microseconds that each share has saved (positive) or overdrawn (negative) up to `accruedAt`.
         std::vector<double> credits;
-        TimePoint settledAt;
+        TimePoint accruedAt;
     };
 
     using Actions = std::vector<AdmissionAction>;
@@ -141,19 +141,19 @@
     [[nodiscard]] const LaneState &laneOf(Lane lane) const noexcept;
     [[nodiscard]] std::size_t shareOf(const ServiceName &service) const noexcept;
     [[nodiscard]] bool inCredit(const LaneState &lane, std::size_t share) const noexcept;
-    void settleCredits(LaneState &lane, TimePoint now) const;
+    void accrueCredits(LaneState &lane, TimePoint now) const;
     void charge(LaneState &lane, std::size_t share, Microseconds used) const;
     void expire(LaneState &lane, TimePoint now, Actions &actions) const;
     void dispatch(LaneState &lane, TimePoint now, Actions &actions) const;
     [[nodiscard]] bool evictFor(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const;
     [[nodiscard]] std::size_t preferredWaiting(const LaneState &lane) const noexcept;
-    [[nodiscard]] std::size_t nextInLine(const LaneState &lane) const noexcept;
+    [[nodiscard]] std::size_t nextToAdmit(const LaneState &lane) const noexcept;
     [[nodiscard]] bool fits(const LaneState &lane, const Waiting &candidate, TimePoint now) const;
     [[nodiscard]] Microseconds backlog(const LaneState &lane, TimePoint now) const noexcept;
     [[nodiscard]] Refused refuse(const LaneState &lane, std::uint64_t ticket, TimePoint now) const;
 
     AdmissionLimits limits_;
-    /// Guaranteed parts; the last one is for all services without one of their own.
+    /// Guaranteed shares; the last one is for all services without one of their own.
     std::vector<ServiceShare> shares_;
     std::array<LaneState, laneCount> lanes_;
 };
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Above every real term: the term at which a request was sent when it is not known.
+/// Greater than every real term; stands for the term at which a request was sent when that term is not known.
 constexpr Term anyTerm{std::numeric_limits<std::uint64_t>::max(), std::numeric_limits<std::uint64_t>::max()};
 
 } // namespace
@@ -31,13 +31,13 @@
     }
     if (failure.notSent) {
         if (failure.fault == ConnectionFault::Refused && !requirements_.commit) {
-            return waitForNext(sentTerm_, ErrorKind::EndpointUnreachable, now);
+            return waitForNewerPrimary(sentTerm_, ErrorKind::EndpointUnreachable, now);
         }
         return sendAgain(Error{ErrorKind::EndpointUnreachable, failure.description}, now);
     }
     recordMaybeRan(sentTerm_);
-    const bool again = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
-    if (again && budget_->take()) {
+    const bool mayResend = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
+    if (mayResend && budget_->take()) {
         return sendOrWait(now);
     }
     return resolve(now, now);
@@ -156,7 +156,7 @@
 
 bool WriteAttempt::inFlight() const noexcept
 {
-    return std::holds_alternative<SendStoreWrite>(step_);
+    return std::holds_alternative<SendWrite>(step_);
 }
 
 WriteStep WriteAttempt::setStep(WriteStep step)
@@ -177,10 +177,10 @@
     }
     sentTerm_ = leader_.term;
     ++sends_;
-    return setStep(SendStoreWrite{sentTerm_});
+    return setStep(SendWrite{sentTerm_});
 }
 
-WriteStep WriteAttempt::sendAgain(Error otherwise, TimePoint now)
+WriteStep WriteAttempt::sendAgain(Error unsentError, TimePoint now)
 {
     if (maybeRanTerm_) {
         return resolve(now, now);
@@ -188,15 +188,15 @@
     if (requirements_.commit) {
         return fail(Error{ErrorKind::TransactionAborted, "the transaction's connection was lost before the commit was sent"});
     }
-    // Each primary is tried once for free; only trying the same one again can multiply load.
-    const bool samePrimary = leader_.term == sentTerm_;
-    if (!hasTimeFor(requirements_.exchangeTime, now) || (samePrimary && !budget_->take())) {
-        return fail(std::move(otherwise));
+    // The first send to each primary needs no retry budget; only repeated sends to the same one can multiply its load.
+    const bool toSamePrimary = leader_.term == sentTerm_;
+    if (!hasTimeFor(requirements_.exchangeTime, now) || (toSamePrimary && !budget_->take())) {
+        return fail(std::move(unsentError));
     }
     return sendOrWait(now);
 }
 
-WriteStep WriteAttempt::waitForNext(const Term &above, ErrorKind kind, TimePoint now)
+WriteStep WriteAttempt::waitForNewerPrimary(const Term &above, ErrorKind kind, TimePoint now)
 {
     refusedUpTo_ = std::max(refusedUpTo_, above);
     errorIfNotRun_ = kind;
@@ -245,7 +245,7 @@
     if (requirements_.commit) {
         return fail(Error{ErrorKind::TransactionAborted, "the primary was superseded before the commit ran"});
     }
-    return waitForNext(sentTerm_, ErrorKind::Superseded, now);
+    return waitForNewerPrimary(sentTerm_, ErrorKind::Superseded, now);
 }
 
 WriteStep WriteAttempt::onOutcomeFound(const OutcomeReply &reply, TimePoint now)
@@ -255,9 +255,9 @@
         return resolve(now + requirements_.outcomeQueryInterval, now);
     }
     if (requirements_.fingerprint && reply.fingerprint != *requirements_.fingerprint) {
-        const bool ours = reply.report.adopted == *maybeRanTerm_ || provesAbsence(reply);
-        return fail(
-            Error{ErrorKind::RequestIdReused, "the request id stands in the log with another body"}.withRan(ours ? Ran::No : Ran::Unknown));
+        const bool knownNotRun = reply.report.adopted == *maybeRanTerm_ || provesAbsence(reply);
+        return fail(Error{ErrorKind::RequestIdReused, "the request id stands in the log with another body"}.withRan(
+            knownNotRun ? Ran::No : Ran::Unknown));
     }
     result_.position = reply.position;
     result_.rows = reply.rows;
@@ -271,8 +271,8 @@
         if (requirements_.goal == WriteGoal::QueryOutcome) {
             return failUnknown("the request is not in the primary's log and may still arrive there");
         }
-        const bool again = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
-        return again && budget_->take() ? sendOrWait(now) : resolve(now + requirements_.outcomeQueryInterval, now);
+        const bool mayResend = requirements_.idempotent && !requirements_.commit && hasTimeFor(requirements_.exchangeTime, now);
+        return mayResend && budget_->take() ? sendOrWait(now) : resolve(now + requirements_.outcomeQueryInterval, now);
     }
     maybeRanTerm_.reset();
     if (requirements_.goal == WriteGoal::QueryOutcome) {
@@ -289,8 +289,8 @@
 
 bool WriteAttempt::provesAbsence(const OutcomeReply &reply) const noexcept
 {
-    const bool covered = leader_.startReplicated && reply.report.log.term == leader_.term;
-    return covered && maybeRanTerm_ && leader_.term > *maybeRanTerm_;
+    const bool newTermReplicated = leader_.startReplicated && reply.report.log.term == leader_.term;
+    return newTermReplicated && maybeRanTerm_ && leader_.term > *maybeRanTerm_;
 }
 
 WriteStep WriteAttempt::fail(Error error)
@@ -307,23 +307,23 @@
     return setStep(std::move(answer));
 }
 
-WriteStep WriteAttempt::failUnknown(std::string why)
+WriteStep WriteAttempt::failUnknown(std::string reason)
 {
     if (maybeRanTerm_ == anyTerm) {
         maybeRanTerm_.reset();
     }
-    return fail(Error{ErrorKind::OutcomeUnknown, std::move(why)});
+    return fail(Error{ErrorKind::OutcomeUnknown, std::move(reason)});
 }
 
 std::string WriteAttempt::describeWait() const
 {
     if (const auto *waiting = std::get_if<WaitQuorum>(&step_)) {
-        return "a majority was not seen to hold " + toText(waiting->position);
+        return "replication to a quorum was not confirmed for log position " + toText(waiting->position);
     }
     if (const auto *query = std::get_if<QueryOutcome>(&step_)) {
-        return "the primary of term " + toText(query->term) + " did not tell it";
+        return "the primary of term " + toText(query->term) + " did not report it";
     }
-    return inFlight() ? "the primary did not reply" : "there was no primary to ask";
+    return inFlight() ? "the primary did not reply" : "there was no primary to query";
 }
 
 WriteStep WriteAttempt::giveUp()
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -1,4 +1,4 @@
-// One write on its way to the primary: sent at most once unless proof allows more, answered truthfully.
+// One write to the primary: sent again only when it provably did not run or is idempotent, and answered only with what is proved.
 #pragma once
 
 #include "base/error.h"
@@ -16,7 +16,7 @@
 
 namespace cardamomstep {
 
-/// The group's primary, as the groups slice sees it.
+/// The group's primary, as the groups module knows it.
 struct LeaderInfo {
     /// Term of the primary; number 0 when there is none.
     Term term;
@@ -26,14 +26,14 @@
     [[nodiscard]] bool operator==(const LeaderInfo &) const = default;
 };
 
-/// Send the request to the primary of \a term.
-struct SendStoreWrite {
+/// Send the request to the primary of `term`.
+struct SendWrite {
     Term term;
 
-    [[nodiscard]] bool operator==(const SendStoreWrite &) const = default;
+    [[nodiscard]] bool operator==(const SendWrite &) const = default;
 };
 
-/// Ask the primary of \a term for the outcome of the request id, no earlier than \a notBefore.
+/// Query the primary of `term` for the outcome of the request id, no earlier than `notBefore`.
 struct QueryOutcome {
     Term term;
     TimePoint notBefore;
@@ -41,26 +41,26 @@
     [[nodiscard]] bool operator==(const QueryOutcome &) const = default;
 };
 
-/// Wait until a majority of members has adopted no higher term than \a mark's and has logs at or beyond \a mark.
+/// Wait until a majority of members has adopted no higher term than that of `position` and has logs at or beyond `position`.
 struct WaitQuorum {
     LogPosition position;
 
     [[nodiscard]] bool operator==(const WaitQuorum &) const = default;
 };
 
-/// Wait for a primary with a term above \a above, or for one of that term whose start entry is covered.
+/// Wait for a primary with a term above `above`.
 struct WaitPrimary {
     Term above;
 
     [[nodiscard]] bool operator==(const WaitPrimary &) const = default;
 };
 
-/// Answer the caller; the attempt is over.
+/// Answer the caller; the attempt has ended.
 struct AnswerWrite {
     Ran ran = Ran::Unknown;
     /// Set unless the write is acknowledged.
     std::optional<Error> error;
-    /// Entry that holds the effect, when it ran.
+    /// The log entry that holds the effect, when it ran.
     LogPosition position;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
@@ -71,45 +71,45 @@
 };
 
 /// The next step of a write.
-using WriteStep = std::variant<SendStoreWrite, QueryOutcome, WaitQuorum, WaitPrimary, AnswerWrite>;
+using WriteStep = std::variant<SendWrite, QueryOutcome, WaitQuorum, WaitPrimary, AnswerWrite>;
 
-/// What the caller wants of an attempt.
+/// The purpose of an attempt.
 enum class WriteGoal : std::uint8_t {
     Run, ///< Run the write.
-    QueryOutcome, ///< Only tell whether a request that was sent earlier ran.
+    QueryOutcome, ///< Only determine whether a request that was sent earlier ran.
 };
 
-/// What a write is and how long it may take.
+/// The properties of a write and its time limits.
 struct WriteRequirements {
     WriteGoal goal = WriteGoal::Run;
-    /// For WriteGoal::Ask: the highest term at which the request may have been sent; absent when that is not known.
+    /// For WriteGoal::QueryOutcome: the highest term at which the request may have been sent; absent when that is not known.
     std::optional<Term> sentTerm;
-    /// Absent for WriteGoal::Ask when the body is not known.
+    /// Absent for WriteGoal::QueryOutcome when the body is not known.
     std::optional<std::uint64_t> fingerprint;
     bool idempotent = false;
-    /// A commit: its connection is gone after a failure, so it is never sent twice.
+    /// A commit: its connection is closed after a failure, so it is never sent twice.
     bool commit = false;
-    /// When the answer must have left.
+    /// The time by which the answer must have left.
     TimePoint deadline;
     /// Expected time of one exchange with a member.
     Microseconds exchangeTime{8'000};
-    /// Kept back from the window for the answer's own way.
+    /// Time reserved in the window for the answer's return path.
     Microseconds answerMargin{2'000};
-    /// Pause between two outcome questions.
+    /// Time between two outcome queries.
     Microseconds outcomeQueryInterval{20'000};
-    /// When a caller should ask for an unknown outcome or come back after a refusal.
+    /// Retry-after of errors without one of their own: when to query an unknown outcome, or to repeat a refused request.
     Milliseconds retryAfter{200};
 };
 
-/// Carries one write from its arrival to its answer.
+/// Drives one write from its arrival to its answer.
 ///
-/// Every input returns the next step. Inputs that do not fit the state return the current step again. The rules:
+/// Every input returns the next step. Inputs that do not apply to the state return the current step again. The rules:
 /// - A write that may have run is not sent again before there is proof that it did not: the request's log entry is absent at a
-///   member whose log has an entry of a term above the sent one, and that term's start entry is covered by a majority. Every later
-///   primary descends from that start entry, and the members refuse the old term, so the request can never take effect.
+///   member whose log has an entry of a term above the sent one, and that term's start entry is replicated to a majority. Every later
+///   primary's log contains that start entry, and the members refuse the old term, so the request can never take effect.
 /// - `Ran::No` needs that proof, or a refusal, or a failure before the first byte left, for each time it was sent.
 /// - Idempotent writes are sent again within their window, while the retry budget lasts.
-/// - A write is acknowledged once its entry is covered at the term of the primary that holds it.
+/// - A write is acknowledged once its entry is replicated to a majority at the term of the primary that holds it.
 /// - Once the window is too short for another step, the attempt answers at once.
 class WriteAttempt
 {
@@ -120,39 +120,39 @@
     {
     }
 
-    /// Begins; \a view may have no primary yet.
+    /// Starts the attempt; \a leader may have no primary yet.
     [[nodiscard]] WriteStep start(const LeaderInfo &leader, TimePoint now);
 
-    /// The exchange that SendWrite asked for failed.
+    /// Handles the failure of the exchange that SendWrite requested.
     ///
     /// Call primaryChanged() first when the primary may have changed meanwhile, so that the same one is not tried again.
     [[nodiscard]] WriteStep sendFailed(const ConnectionFailure &failure, TimePoint now);
 
-    /// The member replied to what SendWrite sent; the shell has checked the exchange id and that the reply is whole.
+    /// Handles the member's reply to SendWrite; the I/O layer has checked the exchange id and that the reply is complete.
     [[nodiscard]] WriteStep replied(const MemberReply &reply, TimePoint now);
 
-    /// \a mark, as WaitCoverage named it, is covered.
+    /// Records that \a position, as requested by WaitQuorum, is replicated to a majority.
     [[nodiscard]] WriteStep replicated(const LogPosition &position);
 
-    /// Coverage is not expected before \a expected; answers at once when that is too late.
+    /// Records that replication is not expected before \a expected; answers at once when that is too late.
     [[nodiscard]] WriteStep replicationExpected(TimePoint expected, TimePoint now);
 
-    /// The group's primary or its coverage changed.
+    /// Records a change of the group's primary or of LeaderInfo::startReplicated.
     [[nodiscard]] WriteStep primaryChanged(const LeaderInfo &leader, TimePoint now);
 
-    /// A member replied to the outcome question.
+    /// Handles a member's reply to the outcome query.
     [[nodiscard]] WriteStep onOutcome(const OutcomeReply &reply, TimePoint now);
 
-    /// The outcome question failed.
+    /// Handles the failure of the outcome query.
     [[nodiscard]] WriteStep onOutcomeFailed(TimePoint now);
 
-    /// Gives up when it is time to; to be called at nextWake().
+    /// Answers when the window has ended. To be called at nextWake().
     [[nodiscard]] WriteStep wake(TimePoint now);
 
-    /// When the attempt answers on its own; nothing once it has answered.
+    /// The time at which the attempt answers without further input; nothing once it has answered.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
-    /// Number of times that SendWrite was returned.
+    /// The number of times that the request was to be sent.
     [[nodiscard]] std::uint32_t sends() const noexcept
     {
         return sends_;
@@ -165,8 +165,8 @@
     [[nodiscard]] bool inFlight() const noexcept;
     [[nodiscard]] WriteStep setStep(WriteStep step);
     [[nodiscard]] WriteStep sendOrWait(TimePoint now);
-    [[nodiscard]] WriteStep sendAgain(Error failure, TimePoint now);
-    [[nodiscard]] WriteStep waitForNext(const Term &above, ErrorKind kind, TimePoint now);
+    [[nodiscard]] WriteStep sendAgain(Error unsentError, TimePoint now);
+    [[nodiscard]] WriteStep waitForNewerPrimary(const Term &above, ErrorKind kind, TimePoint now);
     [[nodiscard]] WriteStep resolve(TimePoint notBefore, TimePoint now);
     [[nodiscard]] WriteStep awaitQuorum(const LogPosition &entry, const Term &leader, TimePoint now);
     [[nodiscard]] WriteStep onRefused(const MemberReply &reply, TimePoint now);
@@ -174,8 +174,8 @@
     [[nodiscard]] WriteStep onOutcomeAbsent(const OutcomeReply &reply, TimePoint now);
     [[nodiscard]] bool provesAbsence(const OutcomeReply &reply) const noexcept;
     [[nodiscard]] WriteStep fail(Error error);
-    [[nodiscard]] WriteStep failUnknown(std::string why);
-    /// What the attempt was waiting for, for people.
+    [[nodiscard]] WriteStep failUnknown(std::string reason);
+    /// Describes the current wait, for error messages.
     [[nodiscard]] std::string describeWait() const;
     [[nodiscard]] WriteStep giveUp();
     void recordMaybeRan(const Term &term) noexcept;
@@ -186,16 +186,16 @@
     LeaderInfo leader_;
     /// Term of the newest send.
     Term sentTerm_;
-    /// Primaries up to this term refused the request or are gone; it is sent to a later one only.
+    /// Primaries up to this term refused the request or are down; it is only sent to a later one.
     Term refusedUpTo_;
-    /// What is answered when no later primary comes in time and nothing ran.
+    /// The error of the answer when the window ends and nothing ran.
     ErrorKind errorIfNotRun_ = ErrorKind::NoPrimary;
     /// Highest term of a send that may have run; absent while none may have.
     std::optional<Term> maybeRanTerm_;
     std::uint32_t sends_ = 0;
-    /// What will be answered once it is covered.
+    /// The answer once the write is replicated.
     AnswerWrite result_;
-    /// The newest step; repeated for inputs that change nothing.
+    /// The current step; returned again for inputs that change nothing.
     WriteStep step_ = WaitPrimary{};
 };
 
--- a/src/requests/deadline.h
+++ b/src/requests/deadline.h
@@ -1,4 +1,4 @@
-// Windows carried over hops: each hop passes on what remains, less the time of the way back.
+// Request windows across hops: each hop forwards the remaining time, less an allowance for the hop itself.
 #pragma once
 
 #include "base/time.h"
@@ -16,18 +16,18 @@
     /// Shortest allowance, for scheduling at both ends.
     static constexpr Microseconds minAllowance{500};
 
-    explicit HopMargin(Microseconds first = Microseconds{4'000}) noexcept
-        : roundTrip_(first)
+    explicit HopMargin(Microseconds initial = Microseconds{4'000}) noexcept
+        : roundTrip_(initial)
     {
     }
 
-    /// Takes in the measured time of a hop there and back, without the work at the far end.
+    /// Adds a measured round trip of a hop, without the processing time at the remote end.
     void observe(Microseconds roundTrip) noexcept
     {
         roundTrip_.observe(roundTrip);
     }
 
-    /// Time to keep back from the window: there and back, with a margin.
+    /// Time to subtract from the window: one round trip with a margin.
     [[nodiscard]] Microseconds allowance() const noexcept
     {
         const auto margin = roundTrip_.withMargin(2);
@@ -38,13 +38,13 @@
     SmoothedTime roundTrip_;
 };
 
-/// The deadline of a request that arrived at \a arrived with \a window.
+/// Returns the deadline of a request that arrived at \a arrived with \a window.
 [[nodiscard]] constexpr TimePoint deadlineOf(TimePoint arrived, Milliseconds window) noexcept
 {
     return arrived + window;
 }
 
-/// The window to send along over a hop; zero means that the hop is no longer worth it.
+/// Returns the window to send over a hop; zero means that too little time is left for the hop.
 [[nodiscard]] inline Milliseconds windowOverHop(TimePoint deadline, TimePoint now, const HopMargin &margin) noexcept
 {
     return wholeMilliseconds(deadline - now - margin.allowance());
--- a/src/requests/fingerprint.cpp
+++ b/src/requests/fingerprint.cpp
@@ -1,4 +1,4 @@
-// The fingerprint of a request's body.
+// Computes the fingerprint of a request's body.
 #include "requests/fingerprint.h"
 
 #include "base/hash.h"
--- a/src/requests/fingerprint.h
+++ b/src/requests/fingerprint.h
@@ -8,10 +8,10 @@
 
 namespace cardamomstep {
 
-/// Hashes what a write would do: verb, service, operation, key, arguments and transaction.
+/// Returns a hash of what a write does: verb, service, operation, key, arguments and transaction.
 ///
-/// Window, session and accepted age are left out, since a caller may ask again with others. Each field is
-/// hashed with its length, so that text cannot move from one field to the next unseen.
+/// Window, session and accepted age are left out, since a caller may retry with other values. Each field is hashed with its length, so
+/// that text moved from one field to the next changes the hash.
 [[nodiscard]] std::uint64_t fingerprintOf(const Statement &statement) noexcept;
 
 } // namespace cardamomstep
--- a/src/requests/fwd.h
+++ b/src/requests/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the requests slice.
+// Forward declarations of the requests module.
 #pragma once
 
 #include <cstdint>
--- a/src/requests/retrybudget.h
+++ b/src/requests/retrybudget.h
@@ -1,4 +1,4 @@
-// The retry budget: how many retries the successes of late have earned.
+// The retry budget: limits retries to a fraction of recent successes.
 #pragma once
 
 #include "requests/fwd.h"
@@ -11,7 +11,7 @@
 struct RetryBudgetLimits {
     /// Retries earned by one success.
     double perSuccess = 0.1;
-    /// Most retries that can be saved up; also the balance at the start.
+    /// The maximum number of retries that can be saved up; also the initial balance.
     double maxBalance = 10;
 };
 
@@ -25,13 +25,13 @@
     {
     }
 
-    /// Takes in a request that succeeded.
+    /// Records a successful request.
     void succeeded() noexcept
     {
         balance_ = std::min(limits_.maxBalance, balance_ + limits_.perSuccess);
     }
 
-    /// Takes one retry; false when none is left.
+    /// Takes one retry; returns false when none is left.
     [[nodiscard]] bool take() noexcept
     {
         if (balance_ < 1) {
@@ -48,7 +48,7 @@
 
 private:
     RetryBudgetLimits limits_;
-    /// Invariant: from 0 to limits_.most.
+    /// Invariant: from 0 to limits_.maxBalance.
     double balance_;
 };
 
--- a/src/requests/transactions.cpp
+++ b/src/requests/transactions.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view idPrefix = "t1.";
 constexpr std::size_t nonceDigits = 16;
-constexpr Milliseconds retryAfterFull{100};
+constexpr Milliseconds retryAfterOverloaded{100};
 
 std::string nonceText(std::uint64_t nonce)
 {
@@ -46,7 +46,7 @@
 Result<OpenTransaction> TransactionRegistry::open(OpenTransaction transaction, TimePoint now)
 {
     if (!hasCapacity()) {
-        return Error{ErrorKind::Overloaded, "too many open transactions"}.withRetryAfter(retryAfterFull);
+        return Error{ErrorKind::Overloaded, "too many open transactions"}.withRetryAfter(retryAfterOverloaded);
     }
     if (byConnection_.count(transaction.connection) != 0) {
         return Error{ErrorKind::Internal, "the connection belongs to another transaction"};
@@ -74,7 +74,7 @@
     }
     auto &entry = found->second;
     if (entry.running) {
-        return Error{ErrorKind::Overloaded, "another statement of the transaction is running"}.withRetryAfter(retryAfterFull);
+        return Error{ErrorKind::Overloaded, "another statement of the transaction is running"}.withRetryAfter(retryAfterOverloaded);
     }
     if (now >= expiryOf(entry)) {
         return Error{ErrorKind::TransactionAborted, "the transaction reached its time limit"};
@@ -109,7 +109,7 @@
         return std::nullopt;
     }
     const auto id = found->second;
-    remember(id);
+    rememberAborted(id);
     close(id);
     return id;
 }
@@ -123,7 +123,7 @@
         }
     }
     for (const auto &closed : expired) {
-        remember(closed.id);
+        rememberAborted(closed.id);
         close(closed.id);
     }
     return expired;
@@ -131,20 +131,20 @@
 
 std::optional<CloseTransaction> TransactionRegistry::evictIdle(const GroupName &group, TimePoint now)
 {
-    const Entry *longest = nullptr;
+    const Entry *longestIdle = nullptr;
     for (const auto &[id, entry] : open_) {
         const bool idle = !entry.running && now - entry.lastUsed >= limits_.idleTimeoutUnderDemand;
-        if (entry.transaction.group == group && idle && (longest == nullptr || entry.lastUsed < longest->lastUsed)) {
-            longest = &entry;
+        if (entry.transaction.group == group && idle && (longestIdle == nullptr || entry.lastUsed < longestIdle->lastUsed)) {
+            longestIdle = &entry;
         }
     }
-    if (longest == nullptr) {
+    if (longestIdle == nullptr) {
         return std::nullopt;
     }
-    const CloseTransaction yielded{longest->transaction.id, longest->transaction.connection};
-    remember(yielded.id);
-    close(yielded.id);
-    return yielded;
+    const CloseTransaction evicted{longestIdle->transaction.id, longestIdle->transaction.connection};
+    rememberAborted(evicted.id);
+    close(evicted.id);
+    return evicted;
 }
 
 std::optional<TimePoint> TransactionRegistry::nextWake() const noexcept
@@ -161,14 +161,14 @@
 TimePoint TransactionRegistry::expiryOf(const Entry &entry) const noexcept
 {
     const TimePoint idleEnd = entry.lastUsed + limits_.idleTimeout;
-    const TimePoint totalEnd = entry.began + limits_.maxDuration;
+    const TimePoint totalEnd = entry.startedAt + limits_.maxDuration;
     return std::min(idleEnd, totalEnd);
 }
 
-void TransactionRegistry::remember(const TransactionId &id)
+void TransactionRegistry::rememberAborted(const TransactionId &id)
 {
     aborted_.push_back(id);
-    if (aborted_.size() > limits_.maxRemembered) {
+    if (aborted_.size() > limits_.maxRememberedAborts) {
         aborted_.pop_front();
     }
 }
--- a/src/requests/transactions.h
+++ b/src/requests/transactions.h
@@ -21,25 +21,25 @@
 
 /// Settings of a transaction registry.
 struct TransactionLimits {
-    /// Transactions open at once.
+    /// The maximum number of open transactions.
     std::size_t maxOpen = 1'000;
-    /// Longest pause between two statements.
+    /// Longest idle time between two statements.
     Milliseconds idleTimeout{5'000};
-    /// Longest pause while a request waits for a connection.
+    /// Longest idle time while a request waits for a connection.
     Milliseconds idleTimeoutUnderDemand{1'000};
-    /// Longest time from begin to the end.
+    /// Longest time from begin to end.
     Milliseconds maxDuration{30'000};
-    /// Ended transactions that are remembered, to tell an abort from an unknown id.
-    std::size_t maxRemembered = 1'000;
+    /// The number of aborted transactions that are remembered, to distinguish an abort from an unknown id.
+    std::size_t maxRememberedAborts = 1'000;
 };
 
-/// An open transaction, as the shell needs it.
+/// An open transaction, as the I/O layer needs it.
 struct OpenTransaction {
     TransactionId id;
     GroupName group;
     MemberName member;
     ConnectionKey connection = 0;
-    /// The member's own name for it.
+    /// The member's own id of the transaction.
     std::string memberTransaction;
     /// The primary's term when it began.
     Term term;
@@ -53,7 +53,7 @@
     [[nodiscard]] bool operator==(const CloseTransaction &) const = default;
 };
 
-/// Knows which connection belongs to which transaction.
+/// Maps each open transaction to its connection.
 ///
 /// Ids have the form `t1.OWNER.NONCE`, so any proxy can forward a statement to the owner. A connection belongs to at most one
 /// transaction and a transaction runs one statement at a time, so statements never mix.
@@ -62,7 +62,7 @@
 public:
     TransactionRegistry(InstanceName owner, std::uint64_t seed, const TransactionLimits &limits = {});
 
-    /// The owner named in \a id; nothing when the id is malformed.
+    /// Returns the owner named in \a id; nothing when the id is malformed.
     [[nodiscard]] static std::optional<InstanceName> ownerOf(const TransactionId &id);
 
     /// Adds a transaction that began on \a transaction's connection; its id is set here.
@@ -70,10 +70,10 @@
     /// The errors are ErrorKind::Overloaded at the limit and ErrorKind::Internal for a connection that is pinned already.
     [[nodiscard]] Result<OpenTransaction> open(OpenTransaction transaction, TimePoint now);
 
-    /// True when another transaction can be opened; to be asked before a begin is sent.
+    /// True when another transaction can be opened; to be checked before a begin is sent.
     [[nodiscard]] bool hasCapacity() const noexcept;
 
-    /// Begins a statement in the transaction.
+    /// Starts a statement in the transaction.
     ///
     /// The errors are ErrorKind::TransactionUnknown, ErrorKind::TransactionAborted, and ErrorKind::Overloaded while another statement of
     /// the same transaction runs; nothing ran in any of these cases.
@@ -82,19 +82,19 @@
     /// Ends the statement that runs in the transaction.
     void endStatement(const TransactionId &id, TimePoint now);
 
-    /// Removes a transaction that was committed or rolled back; the connection is free again.
+    /// Removes a transaction that was committed or rolled back; its connection is no longer pinned.
     void close(const TransactionId &id);
 
-    /// Takes in that a connection broke; its transaction is aborted. Returns its id, if it had one.
+    /// Aborts the transaction of a broken connection. Returns the transaction's id, if there was one.
     std::optional<TransactionId> connectionLost(ConnectionKey connection);
 
-    /// Aborts transactions over their limits, except while a statement runs; to be called at nextWake().
+    /// Aborts transactions over their time limits, except while a statement runs. To be called at nextWake().
     [[nodiscard]] std::vector<CloseTransaction> wake(TimePoint now);
 
-    /// Aborts the transaction of \a group that has been idle the longest, if it is over the limit for times of demand.
+    /// Aborts the transaction of \a group that has been idle the longest, if for at least `idleTimeoutUnderDemand`.
     [[nodiscard]] std::optional<CloseTransaction> evictIdle(const GroupName &group, TimePoint now);
 
-    /// When the first transaction reaches a limit.
+    /// The time at which the next transaction reaches a time limit, if any.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
     [[nodiscard]] std::size_t size() const noexcept
@@ -105,13 +105,13 @@
 private:
     struct Entry {
         OpenTransaction transaction;
-        TimePoint began;
+        TimePoint startedAt;
         TimePoint lastUsed;
         bool running = false;
     };
 
     [[nodiscard]] TimePoint expiryOf(const Entry &entry) const noexcept;
-    void remember(const TransactionId &id);
+    void rememberAborted(const TransactionId &id);
 
     InstanceName owner_;
     Random random_;
@@ -119,7 +119,7 @@
     std::map<TransactionId, Entry> open_;
     /// Invariant: maps each connection in open_ to its one transaction.
     std::map<ConnectionKey, TransactionId> byConnection_;
-    /// Aborted transactions, oldest first; at most limits_.remembered.
+    /// Aborted transactions, oldest first; at most limits_.maxRememberedAborts.
     std::deque<TransactionId> aborted_;
 };
 
--- a/tests/requests/test_admission.cpp
+++ b/tests/requests/test_admission.cpp
@@ -1,4 +1,4 @@
-// Tests of admission: single rules, random operation, and goodput and fairness in virtual time.
+// Tests of admission: single rules, random operations, and goodput and fairness in virtual time.
 #include "requests/admission.h"
 
 #include "base/random.h"
@@ -56,7 +56,7 @@
 
 } // namespace
 
-Test(requests, waitingRequestsGoByDeadline)
+Test(requests, waitingRequestsRunInOrderOfDeadline)
 {
     AdmissionQueue queue;
     cr_assert(admitted(queue.request(requestOf(1, 900'000), at(0))) == Tickets{1});
@@ -67,7 +67,7 @@
     cr_assert(queue.running(Lane::Primary) == 1 && queue.waiting(Lane::Primary) == 0);
 }
 
-Test(requests, lanesDoNotTakeEachOthersSlots)
+Test(requests, lanesDoNotUseEachOthersSlots)
 {
     AdmissionQueue queue;
     (void)queue.setSlots(Lane::Replica, 2, at(0));
@@ -81,20 +81,20 @@
     cr_assert(admitted(queue.request(requestOf(4, 900'000), at(0))) == Tickets{4});
 }
 
-Test(requests, whatCannotFinishIsRefusedAtOnceWithATimeToComeBack)
+Test(requests, aRequestThatCannotFinishIsRefusedAtOnceWithARetryAfter)
 {
     AdmissionQueue queue;
     const auto tooShort = refused(queue.request(requestOf(1, 1'000), at(0)));
     cr_assert(tooShort.size() == 1 && tooShort[0].error.kind == ErrorKind::Overloaded);
     cr_assert(tooShort[0].error.ran == Ran::No && tooShort[0].error.retryAfter);
-    std::size_t turnedAway = 0;
+    std::size_t refusedCount = 0;
     for (std::uint64_t ticket = 2; ticket < 40; ++ticket) {
-        turnedAway += refused(queue.request(requestOf(ticket, 50'000), at(0))).size();
+        refusedCount += refused(queue.request(requestOf(ticket, 50'000), at(0))).size();
     }
-    cr_assert(turnedAway > 25, "about ten requests of 5 ms fit 50 ms");
+    cr_assert(refusedCount > 25, "about ten requests of 5 ms fit 50 ms");
 }
 
-Test(requests, aNewcomerDoesNotPushOutAnAcceptedRequest)
+Test(requests, aNewRequestDoesNotDisplaceAnAcceptedOne)
 {
     AdmissionQueue queue;
     (void)queue.request(requestOf(1, 900'000), at(0));
@@ -103,7 +103,7 @@
     cr_assert(refused(queue.request(requestOf(4, 900'000), at(0))).empty());
 }
 
-Test(requests, waitingRequestsExpireWhenTheyCannotMakeItAnyMore)
+Test(requests, waitingRequestsExpireWhenTheyCanNoLongerFinish)
 {
     AdmissionQueue queue;
     (void)queue.request(requestOf(1, 900'000), at(0));
@@ -111,12 +111,12 @@
     const auto due = queue.nextWake();
     cr_assert(due == at(15'000));
     cr_assert(queue.wake(at(14'999)).empty());
-    const auto gone = refused(queue.wake(*due));
-    cr_assert(gone.size() == 1 && gone[0].ticket == 2);
+    const auto removed = refused(queue.wake(*due));
+    cr_assert(removed.size() == 1 && removed[0].ticket == 2);
     cr_assert(!queue.nextWake());
 }
 
-Test(requests, aServiceBelowItsPartGoesBeforeOneOnLentSlots)
+Test(requests, aServiceBelowItsShareGoesBeforeOneThatExceedsIts)
 {
     AdmissionLimits limits;
     limits.maxShareCredit = Microseconds{10'000};
@@ -124,7 +124,7 @@
     queue.setShares({{ServiceName{"small"}, 0.1}, {ServiceName{"large"}, 0.9}});
     (void)queue.request(requestOf(1, 900'000, "small"), at(0));
     (void)queue.request(requestOf(2, 910'000, "small"), at(0));
-    cr_assert(admitted(queue.finished(1, at(40'000))) == Tickets{2}, "small has overdrawn its part, but nobody else waits");
+    cr_assert(admitted(queue.finished(1, at(40'000))) == Tickets{2}, "small has overdrawn its share, but no other service waits");
     (void)queue.request(requestOf(3, 700'000, "small"), at(40'000));
     (void)queue.request(requestOf(4, 800'000, "large"), at(40'000));
     cr_assert(admitted(queue.finished(2, at(45'000))) == Tickets{4});
@@ -142,7 +142,7 @@
 }
 
 // Every ticket gets at most one admission or refusal, slots are never exceeded, and nothing waits past its deadline.
-Test(requests, theQueueKeepsItsPromisesUnderRandomOperation)
+Test(requests, theQueueKeepsItsGuaranteesUnderRandomOperations)
 {
     const bool holds = rc::check("admission", []() {
         AdmissionQueue queue;
@@ -151,7 +151,7 @@
         std::map<std::uint64_t, std::int64_t> waiting;
         std::set<std::uint64_t> running;
         std::int64_t now = 0;
-        const auto take = [&](const std::vector<AdmissionAction> &actions) {
+        const auto apply = [&](const std::vector<AdmissionAction> &actions) {
             for (const auto ticket : admitted(actions)) {
                 RC_ASSERT(waiting.count(ticket) == 1U);
                 RC_ASSERT(waiting[ticket] > now);
@@ -167,7 +167,7 @@
         for (int step = 1; step <= steps; ++step) {
             now += *rc::gen::inRange(0, 4'000);
             if (const auto due = queue.nextWake(); due && *due <= at(now)) {
-                take(queue.wake(at(now)));
+                apply(queue.wake(at(now)));
             }
             const auto ticket = static_cast<std::uint64_t>(step);
             switch (*rc::gen::inRange(0, 5)) {
@@ -175,18 +175,18 @@
                 if (!running.empty()) {
                     const auto done = *running.begin();
                     running.erase(done);
-                    take(queue.finished(done, at(now)));
+                    apply(queue.finished(done, at(now)));
                 }
                 break;
             case 1:
                 slots = *rc::gen::inRange(1U, 4U);
-                take(queue.setSlots(Lane::Primary, slots, at(now)));
+                apply(queue.setSlots(Lane::Primary, slots, at(now)));
                 break;
             default:
                 const auto *service = *rc::gen::element("a", "b", "c");
                 const auto deadline = now + *rc::gen::inRange(0, 60'000);
                 waiting[ticket] = deadline;
-                take(queue.request(requestOf(ticket, deadline, service), at(now)));
+                apply(queue.request(requestOf(ticket, deadline, service), at(now)));
             }
             RC_ASSERT(queue.waiting(Lane::Primary) == waiting.size());
             RC_ASSERT(queue.running(Lane::Primary) == running.size());
@@ -204,11 +204,11 @@
 
 struct Stream {
     std::string service;
-    /// Requests a second.
+    /// Requests per second.
     double rate = 0;
     std::int64_t window = 100'000;
-    /// The stream sends only while the phase of this length is odd; 0 sends always.
-    std::int64_t phase = 0;
+    /// Microseconds; the stream sends only in every second interval of this length, or always when it is 0.
+    std::int64_t burstInterval = 0;
 };
 
 struct Load {
@@ -226,7 +226,7 @@
     std::uint64_t refusedOnArrival = 0;
     std::uint64_t expired = 0;
     /// Refused after more than half of the window.
-    std::uint64_t held = 0;
+    std::uint64_t refusedLate = 0;
 };
 
 std::int64_t exponential(Random &random, double mean)
@@ -235,11 +235,11 @@
     return static_cast<std::int64_t>(-std::log(uniform) * mean);
 }
 
-// Plays a load against one lane; service times vary, half fixed and half exponential.
-class Bench
+// Simulates a load on one lane; half of each service time is fixed and half is exponentially distributed.
+class LaneSimulation
 {
 public:
-    explicit Bench(const Load &load)
+    explicit LaneSimulation(const Load &load)
         : load_(load)
         , random_(11)
     {
@@ -250,7 +250,7 @@
         }
     }
 
-    std::map<std::string, Outcome> play()
+    std::map<std::string, Outcome> simulate()
     {
         while (!arrivals_.empty() || !ends_.empty()) {
             const auto arrival = arrivals_.empty() ? never : arrivals_.begin()->first;
@@ -259,7 +259,7 @@
             const auto wake = due ? due->time_since_epoch().count() : never;
             now_ = std::min({arrival, end, wake});
             if (wake == now_) {
-                take(queue_.wake(at(now_)), 0);
+                apply(queue_.wake(at(now_)), 0);
             } else if (end == now_) {
                 finish();
             } else {
@@ -282,8 +282,8 @@
     {
         const auto &source = load_.streams[stream];
         auto time = from + 1 + exponential(random_, 1'000'000 / source.rate);
-        if (source.phase > 0 && (time / source.phase) % 2 == 0) {
-            time = (time / source.phase + 1) * source.phase;
+        if (source.burstInterval > 0 && (time / source.burstInterval) % 2 == 0) {
+            time = (time / source.burstInterval + 1) * source.burstInterval;
         }
         return time;
     }
@@ -299,8 +299,8 @@
         const auto ticket = ++lastTicket_;
         pending_[ticket] = Pending{source.service, now_, now_ + source.window};
         ++outcomes_[source.service].offered;
-        take(queue_.request(AdmissionRequest{ticket, Lane::Primary, ServiceName{source.service}, at(now_ + source.window)}, at(now_)),
-             ticket);
+        apply(queue_.request(AdmissionRequest{ticket, Lane::Primary, ServiceName{source.service}, at(now_ + source.window)}, at(now_)),
+              ticket);
     }
 
     void finish()
@@ -311,19 +311,19 @@
         pending_.erase(ticket);
         auto &outcome = outcomes_[done.service];
         ++(now_ <= done.deadline ? outcome.inTime : outcome.late);
-        take(queue_.finished(ticket, at(now_)), 0);
+        apply(queue_.finished(ticket, at(now_)), 0);
     }
 
-    void take(const std::vector<AdmissionAction> &actions, std::uint64_t arriving)
+    void apply(const std::vector<AdmissionAction> &actions, std::uint64_t arriving)
     {
         for (const auto ticket : admitted(actions)) {
-            const auto taken = static_cast<std::int64_t>(load_.meanService / 2) + exponential(random_, load_.meanService / 2);
-            ends_.emplace(now_ + taken, ticket);
+            const auto slotTime = static_cast<std::int64_t>(load_.meanService / 2) + exponential(random_, load_.meanService / 2);
+            ends_.emplace(now_ + slotTime, ticket);
         }
         for (const auto &one : refused(actions)) {
-            const auto &gone = pending_[one.ticket];
-            auto &outcome = outcomes_[gone.service];
-            outcome.held += now_ - gone.arrived > gone.deadline - now_ ? 1 : 0;
+            const auto &removed = pending_[one.ticket];
+            auto &outcome = outcomes_[removed.service];
+            outcome.refusedLate += now_ - removed.arrived > removed.deadline - now_ ? 1 : 0;
             ++(one.ticket == arriving ? outcome.refusedOnArrival : outcome.expired);
             pending_.erase(one.ticket);
         }
@@ -345,7 +345,7 @@
     return static_cast<double>(count) * 1'000'000 / static_cast<double>(load.length);
 }
 
-// The same kind of load in arrival order without any refusal.
+// Goodput of the same kind of load when served in arrival order without any refusal.
 double fifoGoodput(const Load &load, double rate, std::int64_t window)
 {
     Random random{11};
@@ -353,10 +353,10 @@
     std::uint64_t inTime = 0;
     for (std::int64_t now = 0; now < load.length; now += 1 + exponential(random, 1'000'000 / rate)) {
         const auto slot = std::min_element(freeAt.begin(), freeAt.end());
-        const auto taken = static_cast<std::int64_t>(load.meanService / 2) + exponential(random, load.meanService / 2);
-        *slot = std::max(now, *slot) + taken;
-        const auto own = random.below(10) < 7 ? window : 3 * window;
-        inTime += *slot <= now + own ? 1 : 0;
+        const auto slotTime = static_cast<std::int64_t>(load.meanService / 2) + exponential(random, load.meanService / 2);
+        *slot = std::max(now, *slot) + slotTime;
+        const auto requestWindow = random.below(10) < 7 ? window : 3 * window;
+        inTime += *slot <= now + requestWindow ? 1 : 0;
     }
     return perSecond(inTime, load);
 }
@@ -364,27 +364,27 @@
 void goodputUnderOverload(const char *name, std::uint32_t slots, double meanService, std::int64_t window)
 {
     double peak = 0;
-    for (const double times : {1.0, 2.0, 5.0}) {
+    for (const double loadFactor : {1.0, 2.0, 5.0}) {
         Load load;
         load.slots = slots;
         load.meanService = meanService;
         const auto capacity = slots * 1'000'000 / meanService;
-        load.streams = {{"s", capacity * times * 0.7, window}, {"s", capacity * times * 0.3, 3 * window}};
-        const auto outcome = Bench{load}.play()["s"];
+        load.streams = {{"s", capacity * loadFactor * 0.7, window}, {"s", capacity * loadFactor * 0.3, 3 * window}};
+        const auto outcome = LaneSimulation{load}.simulate()["s"];
         const auto goodput = perSecond(outcome.inTime, load);
         peak = std::max(peak, goodput);
         std::printf("admission %-10s %.0fx: %6.1f/s of %6.1f/s in time (fifo %6.1f/s), %llu late, %llu refused on arrival, %llu later "
                     "(%llu in the second "
                     "half of the window)\n",
                     name,
-                    times,
+                    loadFactor,
                     goodput,
                     capacity,
-                    fifoGoodput(load, capacity * times, window),
+                    fifoGoodput(load, capacity * loadFactor, window),
                     static_cast<unsigned long long>(outcome.late),
                     static_cast<unsigned long long>(outcome.refusedOnArrival),
                     static_cast<unsigned long long>(outcome.expired),
-                    static_cast<unsigned long long>(outcome.held));
+                    static_cast<unsigned long long>(outcome.refusedLate));
         cr_assert(goodput >= 0.9 * peak);
         cr_assert(goodput >= 0.8 * capacity);
     }
@@ -406,7 +406,7 @@
     std::map<std::string, Outcome> split;
 };
 
-// Two services on three slots: shared with guaranteed parts, or one slot for "a" and two for "b" on their own.
+// Two services on three slots: shared with guaranteed shares, or split into one slot for "a" and two for "b".
 Compared compare(const std::vector<Stream> &streams)
 {
     Compared result;
@@ -414,12 +414,12 @@
     load.slots = 3;
     load.streams = streams;
     load.shares = {{ServiceName{"a"}, 1.0 / 3}, {ServiceName{"b"}, 2.0 / 3}};
-    result.shared = Bench{load}.play();
+    result.shared = LaneSimulation{load}.simulate();
     for (const auto &stream : streams) {
-        Load part;
-        part.slots = stream.service == "a" ? 1 : 2;
-        part.streams = {stream};
-        result.split[stream.service] = Bench{part}.play()[stream.service];
+        Load splitLoad;
+        splitLoad.slots = stream.service == "a" ? 1 : 2;
+        splitLoad.streams = {stream};
+        result.split[stream.service] = LaneSimulation{splitLoad}.simulate()[stream.service];
     }
     return result;
 }
@@ -433,11 +433,11 @@
     return sum;
 }
 
-Compared printed(const char *name, const std::vector<Stream> &streams)
+Compared compareAndPrint(const char *name, const std::vector<Stream> &streams)
 {
     auto result = compare(streams);
     for (const auto *service : {"a", "b"}) {
-        std::printf("shares %-22s %s: offered %llu, in time %llu lent, %llu split\n",
+        std::printf("shares %-22s %s: offered %llu, in time %llu shared, %llu split\n",
                     name,
                     service,
                     static_cast<unsigned long long>(result.shared[service].offered),
@@ -449,17 +449,17 @@
 
 } // namespace
 
-Test(requests, lentSlotsBeatAStaticSplitAndKeepTheGuarantee)
+Test(requests, sharedSlotsExceedAStaticSplitAndKeepTheGuarantee)
 {
-    // One service bursts while the other is quiet.
-    auto bursts = printed("one bursts", {{"a", 500, 100'000, 2'000'000}, {"b", 100}});
+    // One service sends bursts while the other sends little.
+    auto bursts = compareAndPrint("one bursts", {{"a", 500, 100'000, 2'000'000}, {"b", 100}});
     cr_assert(total(bursts.shared) > total(bursts.split));
-    // One service floods; the other stays within its part.
-    auto flood = printed("one floods", {{"a", 3'000}, {"b", 350}});
+    // One service floods; the other stays within its share.
+    auto flood = compareAndPrint("one floods", {{"a", 3'000}, {"b", 350}});
     cr_assert(static_cast<double>(flood.shared["b"].inTime) >= 0.97 * static_cast<double>(flood.split["b"].inTime));
     cr_assert(total(flood.shared) >= total(flood.split));
-    // Both flood: each gets at least nearly its part.
-    auto both = printed("both flood", {{"a", 2'000}, {"b", 2'000}});
+    // Both flood: each gets at least nearly its share.
+    auto both = compareAndPrint("both flood", {{"a", 2'000}, {"b", 2'000}});
     cr_assert(static_cast<double>(both.shared["a"].inTime) >= 0.9 * static_cast<double>(both.split["a"].inTime));
     cr_assert(static_cast<double>(both.shared["b"].inTime) >= 0.9 * static_cast<double>(both.split["b"].inTime));
 }
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -1,4 +1,4 @@
-// Tests of the at-most-once machine: each rule by itself, then random interleavings against a small model of a group.
+// Tests of the at-most-once state machine: each rule by itself, then random interleavings against a small model of a group.
 #include "requests/attempt.h"
 
 #include <criterion/criterion.h>
@@ -26,20 +26,20 @@
     return Term{number, 9};
 }
 
-WriteRequirements needUntil(std::int64_t milliseconds, bool idempotent = false)
+WriteRequirements requirementsUntil(std::int64_t milliseconds, bool idempotent = false)
 {
-    WriteRequirements need;
-    need.fingerprint = ourFingerprint;
-    need.idempotent = idempotent;
-    need.deadline = at(milliseconds);
-    return need;
+    WriteRequirements requirements;
+    requirements.fingerprint = ourFingerprint;
+    requirements.idempotent = idempotent;
+    requirements.deadline = at(milliseconds);
+    return requirements;
 }
 
-MemberReply doneAt(const LogPosition &mark)
+MemberReply doneAt(const LogPosition &logPosition)
 {
     MemberReply reply;
-    reply.position = mark;
-    reply.adopted = mark.term;
+    reply.position = logPosition;
+    reply.adopted = logPosition.term;
     return reply;
 }
 
@@ -73,12 +73,12 @@
     return std::get<AnswerWrite>(step);
 }
 
-WriteStep covering(const LogPosition &mark)
+WriteStep waitForQuorum(const LogPosition &logPosition)
 {
-    return WaitQuorum{mark};
+    return WaitQuorum{logPosition};
 }
 
-WriteStep asking(const Term &term, TimePoint notBefore)
+WriteStep queryOutcome(const Term &term, TimePoint notBefore)
 {
     return QueryOutcome{term, notBefore};
 }
@@ -91,78 +91,78 @@
 
 } // namespace
 
-Test(requests, aWriteIsAcknowledgedOnlyOnceCovered)
+Test(requests, aWriteIsAcknowledgedOnlyOnceReplicated)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
-    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendStoreWrite{termOf(3)}});
+    WriteAttempt attempt{requirementsUntil(1000), budget};
+    cr_assert(attempt.start({termOf(3), true}, at(0)) == WriteStep{SendWrite{termOf(3)}});
     const LogPosition entry{termOf(3), 12};
-    cr_assert(attempt.replied(doneAt(entry), at(5)) == covering(entry));
+    cr_assert(attempt.replied(doneAt(entry), at(5)) == waitForQuorum(entry));
     cr_assert(is<WaitQuorum>(attempt.replicated(LogPosition{termOf(3), 11})));
     const auto answer = answerOf(attempt.replicated(entry));
     cr_assert(answer.ran == Ran::Yes && !answer.error && answer.position == entry);
 }
 
-Test(requests, aRepeatedEntryOfAnOlderTermNeedsCoverageOfTheCurrentOne)
+Test(requests, aRepeatedEntryOfAnOlderTermNeedsReplicationAtTheCurrentOne)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(5), true}, at(0));
     auto reply = doneAt(LogPosition{termOf(3), 12});
     reply.repeated = true;
-    cr_assert(attempt.replied(reply, at(5)) == covering(LogPosition{termOf(5), 0}));
+    cr_assert(attempt.replied(reply, at(5)) == waitForQuorum(LogPosition{termOf(5), 0}));
 }
 
-Test(requests, aLostAnswerIsAskedForAndNeverResent)
+Test(requests, aWriteWhoseReplyWasLostIsQueriedAndNotResent)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(attempt.sendFailed(lost(), at(5)) == asking(termOf(3), at(5)));
+    cr_assert(attempt.sendFailed(lost(), at(5)) == queryOutcome(termOf(3), at(5)));
     // Absent at the same primary proves nothing: the request may still arrive.
     cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(3), std::nullopt), at(10))));
     const LogPosition entry{termOf(3), 12};
-    cr_assert(attempt.onOutcome(outcomeAt(termOf(3), entry), at(40)) == covering(entry));
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(3), entry), at(40)) == waitForQuorum(entry));
     cr_assert(answerOf(attempt.replicated(entry)).ran == Ran::Yes);
     cr_assert(attempt.sends() == 1);
 }
 
-Test(requests, aReplicasFindingIsNotFinal)
+Test(requests, anOutcomeFromAReplicaIsNotFinal)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.sendFailed(lost(), at(5));
-    auto onReplica = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
-    onReplica.report.role = MemberRole::Replica;
-    cr_assert(is<QueryOutcome>(attempt.onOutcome(onReplica, at(10))));
+    auto fromReplica = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
+    fromReplica.report.role = MemberRole::Replica;
+    cr_assert(is<QueryOutcome>(attempt.onOutcome(fromReplica, at(10))));
     auto superseded = outcomeAt(termOf(3), LogPosition{termOf(3), 12});
     superseded.report.adopted = termOf(4);
     cr_assert(is<QueryOutcome>(attempt.onOutcome(superseded, at(40))));
 }
 
-Test(requests, absenceUnderACoveredHigherTermIsTheProofThatAllowsAResend)
+Test(requests, absenceUnderAReplicatedHigherTermAllowsAResend)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.sendFailed(lost(), at(5));
     cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), false}, at(10))));
     cr_assert(is<QueryOutcome>(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(20))), "the start entry may still be lost");
     cr_assert(is<QueryOutcome>(attempt.primaryChanged({termOf(4), true}, at(30))));
-    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendStoreWrite{termOf(4)}});
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), std::nullopt), at(40)) == WriteStep{SendWrite{termOf(4)}});
     cr_assert(attempt.sends() == 2);
 }
 
-Test(requests, anAcknowledgementInWaitingIsCheckedAgainAfterAFailover)
+Test(requests, aWriteAwaitingReplicationIsCheckedAgainAfterAFailover)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
-    cr_assert(attempt.primaryChanged({termOf(4), true}, at(9)) == asking(termOf(4), at(9)));
+    cr_assert(attempt.primaryChanged({termOf(4), true}, at(9)) == queryOutcome(termOf(4), at(9)));
     const LogPosition entry{termOf(3), 12};
-    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), entry), at(20)) == covering(LogPosition{termOf(4), 0}));
+    cr_assert(attempt.onOutcome(outcomeAt(termOf(4), entry), at(20)) == waitForQuorum(LogPosition{termOf(4), 0}));
     const auto answer = answerOf(attempt.replicated(LogPosition{termOf(4), 0}));
     cr_assert(answer.ran == Ran::Yes && answer.position == entry);
 }
@@ -170,46 +170,46 @@
 Test(requests, failuresBeforeTheFirstByteAreNotRun)
 {
     RetryBudget budget{{0.1, 2}};
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
-    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(1))));
-    cr_assert(is<SendStoreWrite>(attempt.sendFailed(unsent, at(2))));
+    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(1))));
+    cr_assert(is<SendWrite>(attempt.sendFailed(unsent, at(2))));
     const auto answer = answerOf(attempt.sendFailed(unsent, at(3)));
     cr_assert(answer.ran == Ran::No && answer.error->kind == ErrorKind::EndpointUnreachable && answer.error->retryAfter);
 }
 
-Test(requests, anUnsentWriteGoesToANewPrimaryWithoutABudget)
+Test(requests, anUnsentWriteGoesToANewPrimaryWithoutRetryBudget)
 {
     RetryBudget budget{{0.1, 0}};
     const ConnectionFailure unsent{ConnectionFault::Closed, true, "not sent"};
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendStoreWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
-    const WriteStep atNew = SendStoreWrite{termOf(4)};
+    cr_assert(is<SendWrite>(attempt.primaryChanged({termOf(4), false}, at(1))));
+    const WriteStep atNew = SendWrite{termOf(4)};
     cr_assert(attempt.sendFailed(unsent, at(2)) == atNew);
     (void)attempt.primaryChanged({}, at(3));
     cr_assert(is<WaitPrimary>(attempt.sendFailed(unsent, at(4))));
-    const WriteStep atNext = SendStoreWrite{termOf(5)};
+    const WriteStep atNext = SendWrite{termOf(5)};
     cr_assert(attempt.primaryChanged({termOf(5), false}, at(9)) == atNext);
     const auto answer = answerOf(attempt.sendFailed(unsent, at(10)));
     cr_assert(answer.ran == Ran::No);
 }
 
-Test(requests, aSupersededPrimaryRefusalWaitsForTheNextOne)
+Test(requests, aRefusalByASupersededPrimaryWaitsForTheNextOne)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     cr_assert(attempt.replied(refusal(Refusal::LowerTerm), at(5)) == WriteStep{WaitPrimary{termOf(3)}});
     cr_assert(is<WaitPrimary>(attempt.primaryChanged({termOf(3), true}, at(6))));
-    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendStoreWrite{termOf(4)}});
+    cr_assert(attempt.primaryChanged({termOf(4), false}, at(90)) == WriteStep{SendWrite{termOf(4)}});
 }
 
-Test(requests, withoutAPrimaryTheAnswerIsNotRunAndInTime)
+Test(requests, withoutAPrimaryTheAnswerIsNotRunBeforeTheDeadline)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(100), budget};
+    WriteAttempt attempt{requirementsUntil(100), budget};
     cr_assert(is<WaitPrimary>(attempt.start({}, at(0))));
     const auto due = attempt.nextWake();
     cr_assert(due && *due < at(100));
@@ -221,16 +221,16 @@
 Test(requests, aWindowTooShortToSendIsNotRun)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(5), budget};
+    WriteAttempt attempt{requirementsUntil(5), budget};
     const auto answer = answerOf(attempt.start({termOf(3), true}, at(0)));
     cr_assert(answer.ran == Ran::No && answer.error->kind == ErrorKind::WindowTooShort);
     cr_assert(attempt.sends() == 0);
 }
 
-Test(requests, coverageThatComesTooLateIsToldAtOnce)
+Test(requests, replicationExpectedAfterTheDeadlineIsAnsweredAtOnce)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(1000), budget};
+    WriteAttempt attempt{requirementsUntil(1000), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     (void)attempt.replied(doneAt(LogPosition{termOf(3), 12}), at(5));
     cr_assert(is<WaitQuorum>(attempt.replicationExpected(at(500), at(6))));
@@ -239,10 +239,10 @@
     cr_assert(answer.error->retryAfter && answer.sentTerm == termOf(3));
 }
 
-Test(requests, aReplyThatNeverComesIsUnknown)
+Test(requests, withoutAReplyTheOutcomeIsUnknown)
 {
     RetryBudget budget;
-    WriteAttempt attempt{needUntil(100), budget};
+    WriteAttempt attempt{requirementsUntil(100), budget};
     (void)attempt.start({termOf(3), true}, at(0));
     const auto answer = answerOf(attempt.wake(*attempt.nextWake()));
     cr_assert(answer.ran == Ran::Unknown);
@@ -251,12 +251,12 @@
 Test(requests, aReusedRequestIdIsRefused)
 {
     RetryBudget budget;
-    WriteAttempt first{needUntil(1000), budget};
+    WriteAttempt first{requirementsUntil(1000), budget};
     (void)first.start({termOf(3), true}, at(0));
     const auto refused = answerOf(first.replied(refusal(Refusal::RequestIdReused), at(5)));
     cr_assert(refused.ran == Ran::No && refused.error->kind == ErrorKind::RequestIdReused);
 
-    WriteAttempt second{needUntil(1000), budget};
+    WriteAttempt second{requirementsUntil(1000), budget};
     (void)second.start({termOf(3), true}, at(0));
     (void)second.sendFailed(lost(), at(5));
     const auto found = answerOf(second.onOutcome(outcomeAt(termOf(3), LogPosition{termOf(3), 4}, ourFingerprint + 1), at(9)));
@@ -266,10 +266,10 @@
 Test(requests, idempotentWritesRetryWithinTheBudget)
 {
     RetryBudget budget{{0.1, 2}};
-    WriteAttempt attempt{needUntil(1000, true), budget};
+    WriteAttempt attempt{requirementsUntil(1000, true), budget};
     (void)attempt.start({termOf(3), true}, at(0));
-    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(10))));
-    cr_assert(is<SendStoreWrite>(attempt.sendFailed(lost(), at(20))));
+    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(10))));
+    cr_assert(is<SendWrite>(attempt.sendFailed(lost(), at(20))));
     cr_assert(is<QueryOutcome>(attempt.sendFailed(lost(), at(30))), "the budget is spent");
     cr_assert(attempt.sends() == 3);
 }
@@ -277,41 +277,41 @@
 Test(requests, commitsAreNeverSentTwice)
 {
     RetryBudget budget;
-    auto need = needUntil(1000, true);
-    need.commit = true;
-    WriteAttempt unsent{need, budget};
+    auto requirements = requirementsUntil(1000, true);
+    requirements.commit = true;
+    WriteAttempt unsent{requirements, budget};
     (void)unsent.start({termOf(3), true}, at(0));
     const auto aborted = answerOf(unsent.sendFailed({ConnectionFault::Closed, true, "not sent"}, at(1)));
     cr_assert(aborted.ran == Ran::No && aborted.error->kind == ErrorKind::TransactionAborted);
 
-    WriteAttempt sent{need, budget};
+    WriteAttempt sent{requirements, budget};
     (void)sent.start({termOf(3), true}, at(0));
     cr_assert(is<QueryOutcome>(sent.sendFailed(lost(), at(1))));
     (void)sent.primaryChanged({termOf(4), true}, at(5));
-    const auto gone = answerOf(sent.onOutcome(outcomeAt(termOf(4), std::nullopt), at(9)));
-    cr_assert(gone.ran == Ran::No && gone.error->kind == ErrorKind::TransactionAborted);
+    const auto notRun = answerOf(sent.onOutcome(outcomeAt(termOf(4), std::nullopt), at(9)));
+    cr_assert(notRun.ran == Ran::No && notRun.error->kind == ErrorKind::TransactionAborted);
     cr_assert(sent.sends() == 1);
 }
 
-Test(requests, anOutcomeQuestionClaimsNoMoreThanItKnows)
+Test(requests, anOutcomeQueryAnswersOnlyWhatIsProved)
 {
     RetryBudget budget;
-    auto need = needUntil(1000);
-    need.goal = WriteGoal::QueryOutcome;
-    need.fingerprint.reset();
+    auto requirements = requirementsUntil(1000);
+    requirements.goal = WriteGoal::QueryOutcome;
+    requirements.fingerprint.reset();
 
-    WriteAttempt unknown{need, budget};
+    WriteAttempt unknown{requirements, budget};
     cr_assert(is<QueryOutcome>(unknown.start({termOf(4), true}, at(0))));
-    const auto open = answerOf(unknown.onOutcome(outcomeAt(termOf(4), std::nullopt), at(8)));
-    cr_assert(open.ran == Ran::Unknown && !open.sentTerm);
+    const auto undecided = answerOf(unknown.onOutcome(outcomeAt(termOf(4), std::nullopt), at(8)));
+    cr_assert(undecided.ran == Ran::Unknown && !undecided.sentTerm);
 
-    need.sentTerm = termOf(3);
-    WriteAttempt proved{need, budget};
+    requirements.sentTerm = termOf(3);
+    WriteAttempt proved{requirements, budget};
     (void)proved.start({termOf(4), true}, at(0));
     const auto absent = answerOf(proved.onOutcome(outcomeAt(termOf(4), std::nullopt), at(8)));
     cr_assert(absent.ran == Ran::No && !absent.error);
 
-    WriteAttempt ran{need, budget};
+    WriteAttempt ran{requirements, budget};
     (void)ran.start({termOf(4), true}, at(0));
     (void)ran.onOutcome(outcomeAt(termOf(4), LogPosition{termOf(3), 8}), at(8));
     cr_assert(answerOf(ran.replicated(LogPosition{termOf(4), 0})).ran == Ran::Yes);
@@ -320,10 +320,11 @@
 
 namespace {
 
-// A group of three members as far as one request is concerned. Messages in flight may arrive at any time or never.
+// A model of a group of three members and one request. Messages in flight may arrive at any time or never.
 struct GroupModel {
     struct Entry {
         Term term;
+        /// True for the entry of the request under test.
         bool ours = false;
 
         bool operator==(const Entry &) const = default;
@@ -352,9 +353,9 @@
 
     std::array<Member, 3> members;
     /// Sends that have not arrived, by term.
-    std::vector<Term> flying;
+    std::vector<Term> inFlight;
     std::uint64_t nextTerm = 2;
-    /// Without it a second arrival leaves a second entry, so that a wrong resend is seen.
+    /// When false, a second arrival adds a second entry, so that a wrong resend is detected.
     bool detectsRepeats;
 
     explicit GroupModel(bool detects)
@@ -363,11 +364,11 @@
         members[0].leads = true;
     }
 
-    [[nodiscard]] bool covered(const Term &term, const LogPosition &mark) const
+    [[nodiscard]] bool hasQuorum(const Term &term, const LogPosition &logPosition) const
     {
-        const auto reached = std::count_if(
-            members.begin(), members.end(), [&](const Member &member) { return member.adopted == term && member.last() >= mark; });
-        return reached >= 2;
+        const auto confirming = std::count_if(
+            members.begin(), members.end(), [&](const Member &member) { return member.adopted == term && member.last() >= logPosition; });
+        return confirming >= 2;
     }
 
     // The primary that a majority has adopted, if any.
@@ -384,13 +385,13 @@
         return found;
     }
 
-    [[nodiscard]] LeaderInfo view() const
+    [[nodiscard]] LeaderInfo leaderInfo() const
     {
         const auto *leader = primary();
-        return leader == nullptr ? LeaderInfo{} : LeaderInfo{leader->adopted, covered(leader->adopted, LogPosition{leader->adopted, 0})};
+        return leader == nullptr ? LeaderInfo{} : LeaderInfo{leader->adopted, hasQuorum(leader->adopted, LogPosition{leader->adopted, 0})};
     }
 
-    // Runs a send at the member that leads its term, even when that member was superseded and does not know it.
+    // Executes a send at the member that leads its term, even when that member was superseded and does not know it.
     std::optional<MemberReply> arrive(const Term &term)
     {
         for (auto &member : members) {
@@ -429,12 +430,12 @@
     }
 };
 
-constexpr int lastStep = 60;
+constexpr int stepCount = 60;
 
-// Drives one attempt through random events and returns its answer; checks at each send that no earlier one can still last.
+// Drives one attempt through random events and returns its answer.
 AnswerWrite runRandomly(WriteAttempt &attempt, GroupModel &group)
 {
-    auto step = attempt.start(group.view(), at(0));
+    auto step = attempt.start(group.leaderInfo(), at(0));
     for (int time = 1; !is<AnswerWrite>(step); ++time) {
         const auto now = at(time * 20);
         const auto event = *rc::gen::inRange(0, 10);
@@ -443,23 +444,23 @@
             group.promote(first, (first + 1) % 3);
         } else if (event <= 3) {
             group.replicate(*rc::gen::inRange<std::size_t>(0, 3));
-        } else if (event == 4 && !group.flying.empty()) {
-            const auto term = group.flying.back();
-            group.flying.pop_back();
+        } else if (event == 4 && !group.inFlight.empty()) {
+            const auto term = group.inFlight.back();
+            group.inFlight.pop_back();
             (void)group.arrive(term);
         } else if (event == 5) {
-            step = attempt.primaryChanged(group.view(), now);
-        } else if (const auto *send = std::get_if<SendStoreWrite>(&step)) {
-            const auto fate = *rc::gen::inRange(0, 4);
-            if (fate == 0) {
-                group.flying.push_back(send->term);
+            step = attempt.primaryChanged(group.leaderInfo(), now);
+        } else if (const auto *send = std::get_if<SendWrite>(&step)) {
+            const auto delivery = *rc::gen::inRange(0, 4);
+            if (delivery == 0) {
+                group.inFlight.push_back(send->term);
             }
-            const auto reply = fate == 0 ? std::nullopt : group.arrive(send->term);
-            const bool replyLost = fate == 1;
+            const auto reply = delivery == 0 ? std::nullopt : group.arrive(send->term);
+            const bool replyLost = delivery == 1;
             step = reply && !replyLost ? attempt.replied(*reply, now) : attempt.sendFailed(lost(), now);
         } else if (const auto *waiting = std::get_if<WaitQuorum>(&step)) {
             const auto *leader = group.primary();
-            if (leader != nullptr && leader->adopted == waiting->position.term && group.covered(leader->adopted, waiting->position)) {
+            if (leader != nullptr && leader->adopted == waiting->position.term && group.hasQuorum(leader->adopted, waiting->position)) {
                 step = attempt.replicated(waiting->position);
             }
         } else if (is<QueryOutcome>(step)) {
@@ -477,14 +478,14 @@
     return std::get<AnswerWrite>(step);
 }
 
-// Lets everything in flight arrive and the group settle under further failovers; true when the effect lasts.
-bool effectLasts(GroupModel &group)
+// Delivers some of the messages in flight during further failovers; returns true when the effect is still in the log afterwards.
+bool isEffectDurable(GroupModel &group)
 {
     for (int round = 0; round < 6; ++round) {
-        const bool arrives = !group.flying.empty() && *rc::gen::arbitrary<bool>();
+        const bool arrives = !group.inFlight.empty() && *rc::gen::arbitrary<bool>();
         if (arrives) {
-            (void)group.arrive(group.flying.back());
-            group.flying.pop_back();
+            (void)group.arrive(group.inFlight.back());
+            group.inFlight.pop_back();
         }
         const auto first = *rc::gen::inRange<std::size_t>(0, 3);
         group.promote(first, (first + 1) % 3);
@@ -496,25 +497,25 @@
 
 } // namespace
 
-Test(requests, everyAnswerIsTrueUnderRandomFailovers)
+Test(requests, everyAnswerIsCorrectUnderRandomFailovers)
 {
     int yes = 0;
     int no = 0;
     int unknown = 0;
     int resent = 0;
-    const bool holds = rc::check("answers are true", [&]() {
+    const bool holds = rc::check("answers are correct", [&]() {
         RetryBudget budget;
         const bool idempotent = *rc::gen::arbitrary<bool>();
         GroupModel group{idempotent};
-        WriteAttempt attempt{needUntil(lastStep * 20, idempotent), budget};
+        WriteAttempt attempt{requirementsUntil(stepCount * 20, idempotent), budget};
         const auto answer = runRandomly(attempt, group);
-        const bool lasts = effectLasts(group);
+        const bool durable = isEffectDurable(group);
         yes += answer.ran == Ran::Yes ? 1 : 0;
         no += answer.ran == Ran::No ? 1 : 0;
         unknown += answer.ran == Ran::Unknown ? 1 : 0;
         resent += attempt.sends() > 1 ? 1 : 0;
-        RC_ASSERT(answer.ran != Ran::Yes || lasts);
-        RC_ASSERT(answer.ran != Ran::No || !lasts);
+        RC_ASSERT(answer.ran != Ran::Yes || durable);
+        RC_ASSERT(answer.ran != Ran::No || !durable);
         const auto entries =
             std::count_if(group.primary()->log.begin(), group.primary()->log.end(), [](const auto &entry) { return entry.ours; });
         RC_ASSERT(entries <= 1);
--- a/tests/requests/test_requests.cpp
+++ b/tests/requests/test_requests.cpp
@@ -40,34 +40,34 @@
 
 } // namespace
 
-Test(requests, retriesAreAFractionOfSuccesses)
+Test(requests, retriesAreLimitedToAFractionOfSuccesses)
 {
     RetryBudget budget{{0.1, 3}};
-    int taken = 0;
+    int retries = 0;
     for (int round = 0; round < 1000; ++round) {
-        taken += budget.take() ? 1 : 0;
+        retries += budget.take() ? 1 : 0;
     }
-    cr_assert(taken == 3, "without successes only the first balance is spent");
+    cr_assert(retries == 3, "without successes only the initial balance is spent");
     for (int round = 0; round < 1000; ++round) {
         budget.succeeded();
-        taken += budget.take() ? 1 : 0;
+        retries += budget.take() ? 1 : 0;
     }
-    cr_assert(taken <= 3 + 101);
-    cr_assert(taken >= 3 + 95);
+    cr_assert(retries <= 3 + 101);
+    cr_assert(retries >= 3 + 95);
 }
 
-Test(requests, fingerprintsTellBodiesApart)
+Test(requests, fingerprintsDistinguishBodies)
 {
     const auto plain = fingerprintOf(sampleStatement());
     auto other = sampleStatement();
     other.window = Milliseconds{9};
     other.session = "another";
     other.idempotent = true;
-    cr_assert(fingerprintOf(other) == plain, "how the caller asks is not part of the body");
+    cr_assert(fingerprintOf(other) == plain, "window, session and idempotence are not part of the body");
     other = sampleStatement();
     other.key = "trade-7{";
     other.arguments = R"("item":1})";
-    cr_assert(fingerprintOf(other) != plain, "text does not move between fields");
+    cr_assert(fingerprintOf(other) != plain, "text moved between fields changes the fingerprint");
     other = sampleStatement();
     other.verb = Verb::Commit;
     cr_assert(fingerprintOf(other) != plain);
@@ -107,8 +107,8 @@
     const auto second = registry.open(transactionOn(5), at(0));
     cr_assert(!second && second.error().kind == ErrorKind::Internal);
     cr_assert(bool(registry.beginStatement(first->id, at(1))));
-    const auto mixed = registry.beginStatement(first->id, at(1));
-    cr_assert(!mixed && mixed.error().kind == ErrorKind::Overloaded && mixed.error().ran == Ran::No);
+    const auto concurrent = registry.beginStatement(first->id, at(1));
+    cr_assert(!concurrent && concurrent.error().kind == ErrorKind::Overloaded && concurrent.error().ran == Ran::No);
     registry.endStatement(first->id, at(2));
     cr_assert(registry.beginStatement(first->id, at(3))->connection == 5);
     registry.close(first->id);
@@ -127,7 +127,7 @@
     cr_assert(!foreign && foreign.error().kind == ErrorKind::TransactionUnknown);
 }
 
-Test(requests, idleAndOldTransactionsAreClosedButNeverUnderAStatement)
+Test(requests, idleAndOldTransactionsAreClosedButNotWhileAStatementRuns)
 {
     TransactionLimits limits;
     limits.idleTimeout = Milliseconds{100};
@@ -139,13 +139,13 @@
     cr_assert(registry.nextWake() == at(100));
     const auto expired = registry.wake(at(100));
     cr_assert(expired.size() == 1 && expired[0] == (CloseTransaction{idle->id, 1}));
-    cr_assert(registry.wake(at(400)).empty(), "a running statement is not cut");
+    cr_assert(registry.wake(at(400)).empty(), "a running statement is not interrupted");
     registry.endStatement(busy->id, at(400));
     cr_assert(registry.wake(at(400)).size() == 1);
     cr_assert(registry.size() == 0 && !registry.nextWake());
 }
 
-Test(requests, anIdleTransactionYieldsItsConnectionOnDemandOnly)
+Test(requests, anIdleTransactionIsEvictedOnDemandOnly)
 {
     TransactionLimits limits;
     limits.idleTimeoutUnderDemand = Milliseconds{100};
@@ -156,10 +156,10 @@
     pinned.connection = 2;
     const auto newer = registry.open(pinned, at(10));
     cr_assert(!registry.evictIdle(GroupName{"g"}, at(99)), "not idle for long enough");
-    cr_assert(!registry.evictIdle(GroupName{"other"}, at(500)), "no transaction there");
+    cr_assert(!registry.evictIdle(GroupName{"other"}, at(500)), "the group has no transaction");
     cr_assert(registry.evictIdle(GroupName{"g"}, at(500)) == (CloseTransaction{older->id, 1}), "the longest idle one first");
     cr_assert(bool(registry.beginStatement(newer->id, at(500))));
-    cr_assert(!registry.evictIdle(GroupName{"g"}, at(900)), "a running statement is not cut");
+    cr_assert(!registry.evictIdle(GroupName{"g"}, at(900)), "a running statement is not interrupted");
     const auto later = registry.beginStatement(older->id, at(900));
     cr_assert(!later && later.error().kind == ErrorKind::TransactionAborted);
 }
@@ -168,7 +168,7 @@
 {
     TransactionLimits limits;
     limits.maxOpen = 2;
-    limits.maxRemembered = 1;
+    limits.maxRememberedAborts = 1;
     TransactionRegistry registry{InstanceName{"p"}, 1, limits};
     const auto first = registry.open(transactionOn(1), at(0));
     (void)registry.open(transactionOn(2), at(0));
@@ -177,10 +177,11 @@
     cr_assert(!third && third.error().kind == ErrorKind::Overloaded && third.error().retryAfter);
     (void)registry.connectionLost(1);
     (void)registry.connectionLost(2);
-    cr_assert(registry.beginStatement(first->id, at(1)).error().kind == ErrorKind::TransactionUnknown, "it was forgotten");
+    cr_assert(registry.beginStatement(first->id, at(1)).error().kind == ErrorKind::TransactionUnknown,
+              "only the newest aborted transactions are remembered");
 }
 
-// Whatever happens in whatever order, a statement runs on the connection its transaction began on, and alone.
+// Under random operations, a statement runs only on the connection on which its transaction began, and one at a time.
 Test(requests, statementsOfTransactionsNeverMix)
 {
     const bool holds = rc::check("no mixing", []() {
