--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -59,7 +59,7 @@
         if (const auto *answer = std::get_if<AnswerWrite>(&step)) {
             return toAnswer(*answer);
         }
-        if (const auto *sendStep = std::get_if<SendStoreWrite>(&step)) {
+        if (const auto *sendStep = std::get_if<SendWrite>(&step)) {
             step = performSend(attempt, sendStep->term, send);
         } else if (const auto *query = std::get_if<QueryOutcome>(&step)) {
             step = performQueryOutcome(attempt, *query);
@@ -127,7 +127,7 @@
         return answer;
     }
     // The request was not sent: check for a new primary before the next attempt.
-    return std::holds_alternative<SendStoreWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
+    return std::holds_alternative<SendWrite>(step) ? attempt.primaryChanged(core_.leader(), steadyNow()) : step;
 }
 
 WriteStep WriteFlow::performQueryOutcome(WriteAttempt &attempt, const QueryOutcome &query)
