--- a/src/groups/action.cpp
+++ b/src/groups/action.cpp
@@ -1,4 +1,4 @@
-// Names of reasons and events in logs and status records.
+// Texts of promotion reasons and audit events in logs and status records.
 #include "groups/action.h"
 
 namespace cardamomstep {
--- a/src/groups/action.h
+++ b/src/groups/action.h
@@ -1,4 +1,4 @@
-// What a group's monitor asks its shell to do.
+// The actions that a group's monitor requests from its I/O layer.
 #pragma once
 
 #include "base/ids.h"
@@ -20,45 +20,45 @@
     Follow,
 };
 
-/// Why a promotion takes place.
+/// Why a group gets a new primary.
 enum class PromotionReason : std::uint8_t {
-    Observed, ///< Another owner promoted; this one only saw the result.
+    Observed, ///< Another owner promoted; this one observed the result.
     Bootstrap, ///< No member has adopted a term yet.
-    PrimaryDown, ///< The primary refuses connections: its process is gone.
-    PrimarySilent, ///< No sign of life from the primary for the silence bound.
-    PrimaryStalled, ///< The primary's entries reach no majority.
-    NoPrimary, ///< No member leads, for example after an attempt that was left unfinished.
-    TermRepair, ///< A member has adopted a term that nobody leads, so it can follow nobody.
-    Switchover, ///< Planned: the primary leaves.
+    PrimaryDown, ///< The primary refuses connections: its process is down.
+    PrimarySilent, ///< No contact with the primary for the silence bound.
+    PrimaryStalled, ///< The primary's log entries are not replicated to a majority.
+    NoPrimary, ///< No member is primary, for example after an unfinished attempt.
+    TermRepair, ///< A member has adopted a term without a primary, so it refuses the log of the current one.
+    Switchover, ///< Planned: the primary is leaving.
 };
 
-/// "observed", "bootstrap" and so on, for logs and status records.
+/// Returns the name of \a reason in logs and status records, for example "primary-silent".
 [[nodiscard]] std::string_view toText(PromotionReason reason) noexcept;
 
-/// Ask \a member for a report: at once when \a wait is zero, else a waiting report against the last one received.
+/// Request a report of \a member: at once when \a wait is zero, else after a change from the last one received, at most \a wait later.
 ///
-/// The reply's deadline is \a wait plus \a timeout. Exactly one of onReport() and onLinkFailure() must follow.
+/// The reply's deadline is \a wait plus \a timeout. Exactly one of onReport() and onConnectionFailure() must follow.
 struct SendReport {
     MemberName member;
     Milliseconds wait{0};
     Milliseconds timeout{0};
 };
 
-/// Tell \a member to adopt \a term. Exactly one of onOrderReply() and onOrderFailure() must follow; so for all orders.
+/// Order \a member to adopt \a term. For every order, exactly one of onOrderReply() and onOrderFailure() must follow.
 struct SendAdopt {
     MemberName member;
     Term term;
     Milliseconds timeout{0};
 };
 
-/// Tell \a member to lead at \a term.
+/// Order \a member to lead at \a term.
 struct SendLead {
     MemberName member;
     Term term;
     Milliseconds timeout{0};
 };
 
-/// Tell \a member to follow \a primary at \a term.
+/// Order \a member to follow \a primary at \a term.
 struct SendFollow {
     MemberName member;
     Term term;
@@ -67,51 +67,51 @@
     Milliseconds timeout{0};
 };
 
-/// Ask the group's other owners for their PeerSighting now.
+/// Query the group's other owners for their PeerObservation now.
 struct QueryPeers {
 };
 
-/// Hold new writes to this group, here and at its other owners, until released or until \a until.
+/// Pause new writes to this group, here and at its other owners, until ResumeWrites or \a until, whichever comes first.
 struct PauseWrites {
     TimePoint until;
 };
 
-/// Let held writes go on, here and at the group's other owners.
+/// Resume paused writes, here and at the group's other owners.
 struct ResumeWrites {
 };
 
-/// A member leads at a new term.
+/// A member is primary at a new term.
 ///
-/// Its writes are acknowledged by coverage, so they may be sent to it at once.
+/// Writes may be sent to it at once, because they are acknowledged only when replicated to a quorum.
 struct PrimaryChanged {
     MemberName member;
     Term term;
     PromotionReason reason = PromotionReason::Observed;
-    /// The primary before, when there was one.
+    /// The previous primary; empty when there was none.
     MemberName previous;
-    /// When the need for a promotion was seen; for Observed, when the change was.
+    /// When the reason for the promotion was detected; for Observed, when the change was.
     TimePoint detectedAt;
-    /// When the attempt began.
+    /// When the attempt started.
     TimePoint startedAt;
 };
 
 /// Kinds of events for the log and the audit trail.
 enum class AuditEventKind : std::uint8_t {
     PrimarySuspected, ///< `member` is suspected; `reason` says why.
-    SuspicionOverruled, ///< Other owners hear the primary.
-    SuspicionCleared, ///< The suspected primary gave a sign of life.
-    PrimaryLost, ///< `member` no longer leads.
-    PromotionStarted, ///< An attempt at `term` began.
+    SuspicionOverruled, ///< Other owners have contact with the primary.
+    SuspicionCleared, ///< The reason to suspect `member` no longer applies.
+    PrimaryLost, ///< `member` is no longer primary.
+    PromotionStarted, ///< An attempt at `term` started.
     PromotionAbandoned, ///< The attempt at `term` ended without a primary.
-    PrimaryConfirmed, ///< The start entry of `term` is covered by a majority.
-    MemberRedirected, ///< `member` was told to follow.
-    SwitchoverStarted, ///< The switchover away from `member` began.
-    SwitchoverAbandoned, ///< No replica could take over in time; `member` goes on leading.
-    SwitchoverFinished, ///< Another member leads.
-    LocalPause, ///< This process itself stood still; silence is measured anew.
+    PrimaryConfirmed, ///< The start entry of `term` is replicated to a majority.
+    MemberRedirected, ///< `member` was ordered to follow the primary.
+    SwitchoverStarted, ///< The switchover away from `member` started.
+    SwitchoverAbandoned, ///< No replica caught up before the deadline; `member` remains primary.
+    SwitchoverFinished, ///< Another member is primary.
+    LocalPause, ///< This process was paused; its members' silence does not count for that time.
 };
 
-/// "primary-suspected" and so on.
+/// Returns the name of \a kind in the log and the audit trail, for example "primary-suspected".
 [[nodiscard]] std::string_view toText(AuditEventKind kind) noexcept;
 
 /// An event for the log and the audit trail.
@@ -122,20 +122,20 @@
     PromotionReason reason = PromotionReason::Observed;
 };
 
-/// One thing to do.
+/// An action of the monitor.
 using GroupAction =
     std::variant<SendReport, SendAdopt, SendLead, SendFollow, QueryPeers, PauseWrites, ResumeWrites, PrimaryChanged, AuditEvent>;
 
-/// Things to do, in order.
+/// Actions, to be performed in order.
 using GroupActions = std::vector<GroupAction>;
 
-/// The primary as this owner sees it.
+/// The primary as this owner observes it.
 struct PrimaryInfo {
     MemberName member;
     Term term;
-    /// True once a majority holds the start entry of the term.
+    /// True once the start entry of the term is replicated to a majority.
     bool confirmed = false;
-    /// True while the primary gives no sign of life or its entries reach no majority.
+    /// True while there is a reason to replace the primary, for example no contact with it or stalled replication.
     bool suspected = false;
 
     [[nodiscard]] bool operator==(const PrimaryInfo &) const = default;
--- a/src/groups/fwd.h
+++ b/src/groups/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the groups slice.
+// Forward declarations of the groups module.
 #pragma once
 
 #include <cstdint>
--- a/src/groups/impl/membertracker.cpp
+++ b/src/groups/impl/membertracker.cpp
@@ -1,4 +1,4 @@
-// Merging of member reports and the timing of what is asked of one member.
+// Merges the reports of one member and times the requests to it.
 #include "groups/impl/membertracker.h"
 
 #include <algorithm>
@@ -82,8 +82,8 @@
     reportReceivedAt_ = now;
 }
 
-// Replies to a report and to an order may overlap in time and arrive in either order: then the state that a member
-// reaches later wins, and a reply asked for after the last one arrived settles the rest.
+// Replies to a report and to an order may overlap and arrive in either order. Then the state that a member can only reach
+// later wins. A reply to a request sent after the last state arrived is always newer.
 bool MemberTracker::isNewer(const MemberReport &report, TimePoint sentAt) const noexcept
 {
     if (!report_ || sentAt >= reportReceivedAt_) {
@@ -92,8 +92,8 @@
     if (report.adopted != report_->adopted) {
         return report.adopted > report_->adopted;
     }
-    const bool stepsBack = report_->role == MemberRole::Primary && report.role == MemberRole::Replica;
-    return !stepsBack && report.log >= report_->log;
+    const bool losesPrimaryRole = report_->role == MemberRole::Primary && report.role == MemberRole::Replica;
+    return !losesPrimaryRole && report.log >= report_->log;
 }
 
 void MemberTracker::followAccepted(const Term &term) noexcept
@@ -120,7 +120,7 @@
 TimePoint MemberTracker::onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept
 {
     failedSinceContact_ = true;
-    // The process may have ended; a new one follows nobody.
+    // The process may have ended, and a new one does not follow a primary.
     followedTerm_.reset();
     if (failure.fault == ConnectionFault::TimedOut) {
         return now;
--- a/src/groups/impl/membertracker.h
+++ b/src/groups/impl/membertracker.h
@@ -1,4 +1,4 @@
-// What one owner knows of one member: its last state, its signs of life and what is outstanding with it.
+// What one owner knows of one member: its last state, its last contact, and outstanding requests.
 #pragma once
 
 #include "base/time.h"
@@ -18,7 +18,7 @@
     [[nodiscard]] bool operator==(const OutstandingOrder &) const = default;
 };
 
-/// State of the watch on one member.
+/// Tracks the state of one member.
 class MemberTracker
 {
 public:
@@ -26,56 +26,56 @@
 
     [[nodiscard]] const MemberName &name() const noexcept;
     [[nodiscard]] const std::optional<MemberReport> &report() const noexcept;
-    /// Last sign of life, or the start of the watch when there was none.
+    /// Time of the last contact, or of construction when there was none.
     [[nodiscard]] TimePoint lastContactAt() const noexcept;
     [[nodiscard]] bool everContacted() const noexcept;
-    /// When its log last changed.
+    /// When the member's log last changed.
     [[nodiscard]] TimePoint logAdvancedAt() const noexcept;
 
-    /// The primary's log ends at \a primaryLog: notes since when this member is behind it.
+    /// Records that the primary's log ends at \a primaryLog, and since when this member is behind it.
     void onPrimaryLog(const LogPosition &primaryLog, TimePoint now) noexcept;
-    /// Since when this member has been behind its primary without moving, although it answers; none when it is not behind.
+    /// Since when this member has been behind the primary without progress while it replies; none when it is not behind.
     [[nodiscard]] std::optional<TimePoint> stalledSince() const noexcept;
 
-    /// Takes in a report asked for at \a sentAt; one that is older than the known state changes nothing.
+    /// Records a report requested at \a sentAt. It always counts as contact; one older than the known state changes nothing else.
     void onState(const MemberReport &report, TimePoint sentAt, TimePoint now);
-    /// The member gave a sign of life.
+    /// Records a contact with the member.
     void onContact(TimePoint now) noexcept;
-    /// An exchange failed; returns when a report may be asked for again.
+    /// Records a failed exchange and returns when the next report may be requested.
     TimePoint onFailure(const ConnectionFailure &failure, const GroupPolicy &policy, TimePoint now) noexcept;
-    /// The observer itself stood still for \a span: silence does not count for that time.
+    /// Discounts a pause of this process: the time without contact is reduced by \a span.
     void discountPause(Microseconds span, TimePoint now) noexcept;
 
-    /// True when the process is known to be gone: refused twice in a short time without a sign of life since.
+    /// True when the process is known to be down: it refused two connections within GroupPolicy::refusalWindow, without contact since.
     [[nodiscard]] bool isDown() const noexcept;
-    /// When the first of the refusals that make it gone came.
+    /// When the first of the counted refusals came.
     [[nodiscard]] TimePoint refusedAt() const noexcept;
-    /// True when a sign of life is overdue by the policy's bound.
+    /// True when the time without contact has reached GroupPolicy::suspectAfter().
     [[nodiscard]] bool silent(const GroupPolicy &policy, bool primary, TimePoint now) const noexcept;
 
-    /// True when a report may be asked for now.
+    /// True when a report may be requested now.
     [[nodiscard]] bool reportDue(TimePoint now) const noexcept;
-    /// When the next report may be asked for; none while one is outstanding.
+    /// When the next report may be requested; none while one is outstanding.
     [[nodiscard]] std::optional<TimePoint> nextReportAt() const noexcept;
-    /// True when the next report must come at once rather than wait for a change.
+    /// True when the next report must be requested without a wait for a change.
     [[nodiscard]] bool reportAtOnce() const noexcept;
     void reportSent() noexcept;
-    /// The outstanding report ended; the next may be asked for at \a nextAt.
+    /// Ends the outstanding report; the next one may be requested at \a nextAt.
     void reportEnded(TimePoint nextAt) noexcept;
 
     [[nodiscard]] const std::optional<OutstandingOrder> &order() const noexcept;
-    /// True when no order is outstanding and the pause after the last one has passed.
+    /// True when no order is outstanding and the delay after the last one has passed.
     [[nodiscard]] bool orderAllowed(TimePoint now) const noexcept;
     [[nodiscard]] TimePoint nextOrderAt() const noexcept;
     void orderSent(OutstandingOrder order) noexcept;
     void orderEnded(TimePoint nextAt) noexcept;
 
-    /// The member accepted an order to follow the primary of \a term.
+    /// Records that the member accepted an order to follow the primary of \a term.
     void followAccepted(const Term &term) noexcept;
-    /// True when it follows the primary of \a term as far as known: it was told, and no exchange failed since.
+    /// True when the member accepted an order to follow the primary of \a term and no exchange has failed since.
     [[nodiscard]] bool follows(const Term &term) const noexcept;
 
-    /// When it may be told again to follow.
+    /// Earliest time of the next follow order.
     TimePoint followAllowedAt;
 
 private:
@@ -89,11 +89,11 @@
     TimePoint logAdvancedAt_;
     bool everContacted_ = false;
     std::optional<TimePoint> behindSince_;
-    /// First sign of life after the last failure.
+    /// First contact after the last failure.
     TimePoint recoveredAt_;
     std::optional<Term> followedTerm_;
 
-    /// Refusals since the last sign of life, at most 2 are counted.
+    /// Refusals since the last contact, at most 2 are counted.
     unsigned refusals_ = 0;
     TimePoint refusedAt_;
 
--- a/src/groups/impl/peerobservations.cpp
+++ b/src/groups/impl/peerobservations.cpp
@@ -1,36 +1,39 @@
-// Bookkeeping of other owners' sightings.
+// Keeps other owners' last observations and counts their votes.
 #include "groups/impl/peerobservations.h"
 
 #include <algorithm>
 
 namespace cardamomstep {
 
-void PeerObservations::onObservation(const InstanceName &peer, const PeerObservation &sighting, TimePoint now)
+void PeerObservations::onObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now)
 {
-    const auto known = std::find_if(kept_.begin(), kept_.end(), [&](const Kept &kept) { return kept.peer == peer; });
-    const Kept entry{peer, sighting, now, now - sighting.contactAge};
-    if (known != kept_.end()) {
+    const auto known =
+        std::find_if(received_.begin(), received_.end(), [&](const ReceivedObservation &received) { return received.peer == peer; });
+    const ReceivedObservation entry{peer, observation, now, now - observation.contactAge};
+    if (known != received_.end()) {
         *known = entry;
         return;
     }
-    if (kept_.size() == maxPeers) {
-        const auto oldest = std::min_element(
-            kept_.begin(), kept_.end(), [](const Kept &left, const Kept &right) { return left.receivedAt < right.receivedAt; });
-        kept_.erase(oldest);
+    if (received_.size() == maxPeers) {
+        const auto oldest =
+            std::min_element(received_.begin(), received_.end(), [](const ReceivedObservation &left, const ReceivedObservation &right) {
+                return left.receivedAt < right.receivedAt;
+            });
+        received_.erase(oldest);
     }
-    kept_.push_back(entry);
+    received_.push_back(entry);
 }
 
 PeerVotes PeerObservations::votes(const Term &term, TimePoint since) const noexcept
 {
     PeerVotes votes;
-    for (const auto &kept : kept_) {
-        if (kept.observation.primary.empty() || kept.observation.term < term) {
+    for (const auto &received : received_) {
+        if (received.value.primary.empty() || received.value.term < term) {
             continue;
         }
-        if (kept.lastContactAt > since) {
+        if (received.lastContactAt > since) {
             ++votes.alive;
-        } else if (kept.receivedAt > since) {
+        } else if (received.receivedAt > since) {
             ++votes.dead;
         }
     }
@@ -40,9 +43,9 @@
 LogPosition PeerObservations::furthestLog(const MemberName &primary, const Term &term) const noexcept
 {
     LogPosition furthest;
-    for (const auto &kept : kept_) {
-        if (kept.observation.primary == primary && kept.observation.term == term) {
-            furthest = std::max(furthest, kept.observation.log);
+    for (const auto &received : received_) {
+        if (received.value.primary == primary && received.value.term == term) {
+            furthest = std::max(furthest, received.value.log);
         }
     }
     return furthest;
--- a/src/groups/impl/peerobservations.h
+++ b/src/groups/impl/peerobservations.h
@@ -1,4 +1,4 @@
-// Other owners' sightings as evidence for or against a dead primary.
+// Other owners' observations as evidence for or against a dead primary.
 #pragma once
 
 #include "base/ids.h"
@@ -11,38 +11,38 @@
 
 namespace cardamomstep {
 
-/// What the other owners say about a primary.
+/// The other owners' votes on whether a primary is alive.
 struct PeerVotes {
     std::size_t alive = 0;
     std::size_t dead = 0;
 };
 
-/// The other owners' sightings of a group's primary.
+/// The other owners' observations of a group's primary.
 class PeerObservations
 {
 public:
-    /// Takes in what \a peer says; at most a fixed number of peers is kept, the oldest is dropped first.
+    /// Records the observation of \a peer. At most `maxPeers` peers are kept; the one with the oldest observation is dropped first.
     void onObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now);
 
-    /// Counts the peers that heard the primary of \a term, or one of a higher term, after \a since, and those that told
-    /// after \a since that they have not heard it. Other peers are not counted.
+    /// Counts the peers' votes on the primary of \a term or of a higher one. A peer whose last contact is after \a since votes
+    /// alive; one that reported after \a since without such a contact votes dead. Other peers are not counted.
     [[nodiscard]] PeerVotes votes(const Term &term, TimePoint since) const noexcept;
 
-    /// The furthest log of \a primary at \a term that a peer saw.
+    /// The furthest log position of \a primary at \a term that a peer observed.
     [[nodiscard]] LogPosition furthestLog(const MemberName &primary, const Term &term) const noexcept;
 
 private:
     static constexpr std::size_t maxPeers = 4;
 
-    struct Kept {
+    struct ReceivedObservation {
         InstanceName peer;
-        PeerObservation observation;
+        PeerObservation value;
         TimePoint receivedAt;
-        /// When the peer last heard the primary.
+        /// When the peer last had contact with the primary.
         TimePoint lastContactAt;
     };
 
-    std::vector<Kept> kept_;
+    std::vector<ReceivedObservation> received_;
 };
 
 } // namespace cardamomstep
--- a/src/groups/impl/promotion.cpp
+++ b/src/groups/impl/promotion.cpp
@@ -1,4 +1,4 @@
-// The tally of one promotion attempt.
+// Collects the adoptions of one promotion attempt and chooses its candidate.
 #include "groups/impl/promotion.h"
 
 #include "groups/member.h"
@@ -27,8 +27,8 @@
 
 void Promotion::onAdopted(const MemberReport &report)
 {
-    const bool leftOut = plan_.excludeAvoided && report.member == plan_.avoid;
-    if (report.adopted != plan_.term || leftOut || adoptedBy(report.member)) {
+    const bool excluded = plan_.excludeAvoided && report.member == plan_.avoid;
+    if (report.adopted != plan_.term || excluded || adoptedBy(report.member)) {
         return;
     }
     adopted_.push_back(report);
@@ -55,13 +55,13 @@
     return candidate_;
 }
 
-// The greatest mark comes first, always: it alone holds every acknowledged entry.
+// The greatest log position always takes precedence: only that log is certain to hold every acknowledged entry.
 bool Promotion::better(const MemberReport &left, const MemberReport &right) const noexcept
 {
-    const auto merits = [this](const MemberReport &report) {
+    const auto rankingOf = [this](const MemberReport &report) {
         return std::make_tuple(report.log, report.member == plan_.prefer, report.member != plan_.avoid, !report.leaving);
     };
-    return merits(left) > merits(right);
+    return rankingOf(left) > rankingOf(right);
 }
 
 } // namespace cardamomstep
--- a/src/groups/impl/promotion.h
+++ b/src/groups/impl/promotion.h
@@ -1,4 +1,4 @@
-// One attempt to give a group a new primary: adoption by a majority, then one member leads.
+// One attempt to give a group a new primary: a majority adopts a term, then one member leads at it.
 #pragma once
 
 #include "base/ids.h"
@@ -13,28 +13,28 @@
 
 namespace cardamomstep {
 
-/// What an attempt is about.
+/// Parameters of an attempt.
 struct PromotionPlan {
     Term term;
     PromotionReason reason = PromotionReason::NoPrimary;
-    /// A member that leads only when its log is the longest; may be empty.
+    /// A member to choose only when its log is ahead of all others; may be empty.
     MemberName avoid;
-    /// True when `avoid` is left out of the attempt altogether.
+    /// True when `avoid` is excluded from the attempt.
     bool excludeAvoided = false;
-    /// A member to be chosen among equals; may be empty.
+    /// A member to choose among those with the furthest log; may be empty.
     MemberName prefer;
     TimePoint detectedAt;
     TimePoint startedAt;
-    /// Until when replies of further members are waited for although a majority has adopted.
+    /// Until when to wait for adoptions by further members although a majority has adopted.
     TimePoint adoptionsUntil;
-    /// When the attempt is given up.
+    /// When the attempt is abandoned.
     TimePoint deadline;
 };
 
 /// An attempt at one term.
 ///
-/// Invariant: candidate() is set at most once and only after a majority has adopted exactly this term; so no two
-/// members are ever told to lead at one term.
+/// Invariant: candidate() is set at most once and only after a majority has adopted exactly this term, so no two
+/// members are ever ordered to lead at one term.
 class Promotion
 {
 public:
@@ -43,13 +43,13 @@
     [[nodiscard]] const PromotionPlan &plan() const noexcept;
     [[nodiscard]] const Term &term() const noexcept;
 
-    /// \a report shows that its member adopted the attempt's term, with the log it had after that.
+    /// Records the adoption and the log of \a report if its adopted term is the attempt's; other reports are ignored.
     void onAdopted(const MemberReport &report);
     [[nodiscard]] bool adoptedBy(const MemberName &member) const noexcept;
 
-    /// Chooses the member that is to lead, once that is safe: \a complete when no further adoption is waited for.
+    /// Chooses the candidate if a majority has adopted the term and \a complete is set: no further adoption is awaited.
     void choose(bool complete);
-    /// The member that is to lead; empty during adoption.
+    /// The member to lead at the term; empty until it is chosen.
     [[nodiscard]] const MemberName &candidate() const noexcept;
 
 private:
@@ -57,7 +57,7 @@
 
     PromotionPlan plan_;
     std::size_t majority_;
-    /// One for each member that adopted.
+    /// The first report of each member that adopted the term.
     std::vector<MemberReport> adopted_;
     MemberName candidate_;
 };
--- a/src/groups/member.h
+++ b/src/groups/member.h
@@ -9,7 +9,7 @@
 
 namespace cardamomstep {
 
-/// A member and where it listens.
+/// A member's name and the address that it listens on.
 struct GroupMember {
     MemberName name;
     Address address;
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Lateness of a tick beyond which this process itself is taken to have stood still.
+/// Lateness of an input beyond which this process itself counts as paused.
 constexpr Milliseconds localPauseThreshold{20};
-/// Time given to replies that wait in this process after a pause of its own.
+/// Time allowed, after a pause of this process, for handling the replies received meanwhile.
 constexpr Milliseconds localPauseGrace{10};
-/// Own pauses from here on are worth a note.
+/// Pauses of this process from this length on are recorded as events.
 constexpr Milliseconds recordedLocalPause{100};
 
 std::vector<MemberTracker> trackersFor(const std::vector<GroupMember> &members, TimePoint now)
@@ -53,9 +53,9 @@
 {
     beginInput(now);
     if (auto *tracker = find(member)) {
-        const bool early = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
-        const bool idle = tracker->report() == report;
-        tracker->reportEnded(early && idle ? now + policy_.idleReportGap : now);
+        const bool premature = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
+        const bool unchanged = tracker->report() == report;
+        tracker->reportEnded(premature && unchanged ? now + policy_.idleReportGap : now);
         applyReport(*tracker, report, sentAt, now);
     }
     return finishInput(now);
@@ -170,11 +170,11 @@
 
 std::optional<PrimaryInfo> GroupMonitor::primary() const
 {
-    auto view = primary_;
-    if (view) {
-        view->suspected = trigger_.has_value();
+    auto info = primary_;
+    if (info) {
+        info->suspected = trigger_.has_value();
     }
-    return view;
+    return info;
 }
 
 PeerObservation GroupMonitor::observation(TimePoint now) const
@@ -238,8 +238,8 @@
     return std::exchange(actions_, {});
 }
 
-// A process that stood still has heard nobody, which says nothing about the members. At most one pause in each
-// silence bound is forgiven, so that a process that is always late still detects failures.
+// While this process is paused it has no contact with any member, which says nothing about the members. At most one
+// pause per silence bound is discounted, so that a process whose inputs are always late still detects failures.
 void GroupMonitor::discountLocalPause(TimePoint now)
 {
     const auto lateness = now - wake_;
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -1,4 +1,4 @@
-// Watches one database group, finds its primary and replaces it when it fails; see docs/design/failover.md.
+// Monitors one database group, determines its primary and replaces it when it fails; see docs/design/failover.md.
 #pragma once
 
 #include "base/ids.h"
@@ -21,13 +21,13 @@
 
 namespace cardamomstep {
 
-/// The decisions of one owner about one group.
+/// The state machine by which one owner decides about one group.
 ///
-/// Up to three owners run the same machine for a group and need not agree on anything: safety rests on the members'
-/// terms alone. Every input returns the actions that follow from it, in order. Inputs are never concurrent, and their
-/// `now` never goes back.
+/// Up to three owners run it for the same group and need not agree on anything: safety depends on the members'
+/// terms alone. Every input returns the resulting actions, in order. Inputs must not be concurrent, and their
+/// `now` must not decrease.
 ///
-/// Example of a shell's loop:
+/// Example of an I/O layer's loop:
 /// \code
 /// perform(monitor.tick(now));
 /// sleepUntil(monitor.nextWake());
@@ -35,67 +35,67 @@
 class GroupMonitor
 {
 public:
-    /// Watches \a members as an owner of rank \a rank; 0 acts first.
+    /// Monitors \a members as the owner of rank \a rank; rank 0 acts first.
     ///
-    /// \a seed must differ between processes and starts, because proposers of terms are drawn from it.
+    /// \a seed must differ between processes and between starts, because the proposer ids of terms are drawn from it.
     GroupMonitor(std::vector<GroupMember> members, unsigned rank, const GroupPolicy &policy, std::uint64_t seed, TimePoint now);
 
-    /// Time has passed; also the first input.
+    /// Handles the passage of time; must be the first input.
     [[nodiscard]] GroupActions tick(TimePoint now);
 
-    /// \a report came from \a member, asked for at \a sentAt: the reply to a SendReport.
+    /// Handles the reply of \a member to a SendReport that was sent at \a sentAt.
     [[nodiscard]] GroupActions onReport(const MemberName &member, const MemberReport &report, TimePoint sentAt, TimePoint now);
 
-    /// A SendReport to \a member failed.
+    /// Handles the failure of a SendReport to \a member.
     [[nodiscard]] GroupActions onConnectionFailure(const MemberName &member, const ConnectionFailure &failure, TimePoint now);
 
-    /// \a member replied to the order \a kind of \a term that was sent at \a sentAt.
+    /// Handles the reply of \a member to the order \a kind of \a term that was sent at \a sentAt.
     [[nodiscard]] GroupActions
     onOrderReply(const MemberName &member, OrderKind kind, const Term &term, const TermReply &reply, TimePoint sentAt, TimePoint now);
 
-    /// The order \a kind of \a term to \a member failed; it may still have taken effect.
+    /// Handles the failure of the order \a kind of \a term to \a member; the order may still have taken effect.
     [[nodiscard]] GroupActions
     onOrderFailure(const MemberName &member, OrderKind kind, const Term &term, const ConnectionFailure &failure, TimePoint now);
 
-    /// Another owner told what it knows.
+    /// Records another owner's observation.
     [[nodiscard]] GroupActions onPeerObservation(const InstanceName &peer, const PeerObservation &observation, TimePoint now);
 
-    /// A statement's exchange with \a member succeeded: a sign of life. Refusals by the member count too.
+    /// Records that \a member replied to a statement, which counts as contact. Replies that refuse the statement count too.
     [[nodiscard]] GroupActions onStatementEvidence(const MemberName &member, TimePoint now);
 
-    /// This owner's rank changed.
+    /// Sets this owner's rank.
     [[nodiscard]] GroupActions setRank(unsigned rank, TimePoint now);
 
-    /// The group's configured members changed.
+    /// Sets the group's configured members and abandons an attempt in progress.
     ///
     /// Majorities of the old and the new list must intersect: change one member at a time.
     [[nodiscard]] GroupActions setMembers(std::vector<GroupMember> members, TimePoint now);
 
-    /// The policy changed, for example its heartbeat interval (see pacing.h).
+    /// Sets the policy, for example after a change of its heartbeat interval (see pacing.h).
     [[nodiscard]] GroupActions setPolicy(const GroupPolicy &policy, TimePoint now);
 
-    /// \a leaving is to stop: if it leads, hand over to a replica. Asking again does nothing; an empty name withdraws.
+    /// Requests a switchover away from \a leaving if it is primary. Repeated calls have no effect; an empty name withdraws the request.
     [[nodiscard]] GroupActions requestSwitchover(const MemberName &leaving, TimePoint now);
 
-    /// Another owner holds writes for a switchover until \a until: this one begins none of its own meanwhile.
+    /// Records that another owner pauses writes for a switchover until \a until: this owner starts none in the meantime.
     [[nodiscard]] GroupActions onPeerWritePause(TimePoint until, TimePoint now);
 
-    /// When tick() must be called at the latest.
+    /// Latest time for the next call of tick().
     [[nodiscard]] TimePoint nextWake() const noexcept;
 
-    /// The primary at the highest term known; none while no member is known to lead.
+    /// The primary at the highest known term; none while no member is known to be primary.
     [[nodiscard]] std::optional<PrimaryInfo> primary() const;
 
-    /// What to tell the other owners.
+    /// Returns the observation to publish to the other owners.
     [[nodiscard]] PeerObservation observation(TimePoint now) const;
 
     /// The last report of \a member; none when it has not reported.
     [[nodiscard]] std::optional<MemberReport> lastReport(const MemberName &member) const;
 
-    /// Time since the last sign of life of \a member; none when there was none or the member is unknown.
+    /// Time since the last contact with \a member; none when there was none or the member is unknown.
     [[nodiscard]] std::optional<Microseconds> contactAge(const MemberName &member, TimePoint now) const;
 
-    /// True while an own attempt is under way.
+    /// True while a promotion attempt of this owner is in progress.
     [[nodiscard]] bool promoting() const noexcept;
 
     /// The configured members.
@@ -121,7 +121,7 @@
     [[nodiscard]] bool silent(const MemberTracker &tracker, TimePoint now) const noexcept;
     [[nodiscard]] bool reachable(const MemberTracker &tracker, TimePoint now) const noexcept;
 
-    // Which member leads, in monitorbelief.cpp
+    // Which member is primary, in monitorprimary.cpp
     void refreshPrimary(TimePoint now);
     void setPrimary(const MemberTracker &tracker, TimePoint now);
     void clearPrimary();
@@ -130,7 +130,7 @@
     [[nodiscard]] Term majorityAdopted() const;
     [[nodiscard]] LogPosition primaryLog() const;
 
-    // Whether a promotion is needed, in monitorneed.cpp
+    // Whether a promotion is needed, in monitortrigger.cpp
     void refreshTrigger(TimePoint now);
     void raiseTrigger(PromotionReason reason, TimePoint now);
     void clearTrigger();
@@ -145,7 +145,7 @@
     [[nodiscard]] std::size_t reachableMembers(const MemberName &without, TimePoint now) const;
     void queryPeers(TimePoint now);
 
-    // Attempts, in monitorattempt.cpp
+    // Promotion attempts, in monitorattempt.cpp
     void startPromotion(PromotionReason reason, TimePoint detectedAt, TimePoint now);
     void advancePromotion(TimePoint now);
     void chooseCandidate(TimePoint now);
@@ -153,7 +153,7 @@
     void sendOrder(MemberTracker &tracker, OrderKind kind, const Term &term);
     void abandonPromotion(TimePoint now);
 
-    // Upkeep, in monitorupkeep.cpp
+    // Maintenance, in monitormaintenance.cpp
     void redirectMembers(TimePoint now);
     [[nodiscard]] bool mustFollow(const MemberTracker &tracker, TimePoint now) const;
     void sendReports(TimePoint now);
@@ -170,40 +170,40 @@
     unsigned rank_;
     GroupPolicy policy_;
     Random random_;
-    /// Actions of the input that is being handled; empty between inputs.
+    /// Actions of the current input; empty between inputs.
     GroupActions actions_;
 
-    /// Highest term seen anywhere; new attempts go above it.
+    /// Highest known term; new attempts use a higher one.
     Term highest_;
-    /// Until when another owner's attempt, seen by its term, is left alone.
+    /// Until when to wait for another owner's attempt, which was observed by its term.
     TimePoint peerAttemptUntil_;
     std::optional<PrimaryInfo> primary_;
-    /// The last member that was known to lead.
+    /// The last known primary.
     MemberName previousPrimary_;
-    /// Other owners' sightings, at most one for each of Suspicion's bounded number of peers.
+    /// The other owners' last observations; bounded by PeerObservations.
     PeerObservations peerObservations_;
-    /// How many promotions in a row did not mend replication.
+    /// Consecutive promotions for stalled replication without a confirmed primary since.
     unsigned stalledPromotions_ = 0;
     TimePoint peersQueriedAt_;
-    /// True once the present silence was noted as held back by other owners.
+    /// True once SuspicionOverruled was recorded for the primary's current silence.
     bool overrulingRecorded_ = false;
     TimePoint lastDiscountedAt_;
 
     std::optional<PromotionTrigger> trigger_;
-    /// Earliest start of an attempt for need_.
+    /// Earliest start of an attempt for trigger_.
     TimePoint attemptAllowedAt_;
-    /// End of the pause after a failed attempt.
+    /// End of the delay after a failed attempt.
     TimePoint backOffUntil_;
     unsigned failedAttempts_ = 0;
     std::optional<Promotion> promotion_;
     Switchover switchover_;
     /// Earliest start of the next switchover.
     TimePoint switchoverAllowedAt_;
-    /// Switchovers abandoned in a row; each doubles the pause before the next.
+    /// Consecutive abandoned switchovers; each doubles the delay before the next, up to a limit.
     unsigned abandonedSwitchovers_ = 0;
-    /// A member that was asked to leave; empty when none was.
+    /// The member of the last requestSwitchover(); empty when there is none.
     MemberName requestedLeaving_;
-    /// True when the primary was leaving at the last look, by its own report or by request.
+    /// True when the primary was leaving at the last check, by its own report or by request.
     bool primaryWasLeaving_ = false;
 
     TimePoint wake_;
--- a/src/groups/monitorattempt.cpp
+++ b/src/groups/monitorattempt.cpp
@@ -1,4 +1,4 @@
-// The group monitor's promotion attempts: adoption by a majority, lead, and giving up.
+// The group monitor's promotion attempts: adoption by a majority, the lead order, and abandonment.
 #include "groups/monitor.h"
 
 #include <algorithm>
@@ -40,12 +40,12 @@
     if (!promotion_) {
         return;
     }
-    const auto passed = [&](const MemberTracker &tracker) {
+    const auto hasHigherTerm = [&](const MemberTracker &tracker) {
         return tracker.report() && tracker.report()->adopted > promotion_->term();
     };
     const auto *candidate = find(promotion_->candidate());
     const bool candidateDown = candidate != nullptr && candidate->isDown();
-    if (std::any_of(trackers_.begin(), trackers_.end(), passed) || candidateDown || now >= promotion_->plan().deadline) {
+    if (std::any_of(trackers_.begin(), trackers_.end(), hasHigherTerm) || candidateDown || now >= promotion_->plan().deadline) {
         abandonPromotion(now);
         return;
     }
@@ -55,10 +55,10 @@
 
 void GroupMonitor::chooseCandidate(TimePoint now)
 {
-    const auto awaited = [&](const MemberTracker &tracker) {
+    const auto adoptionPending = [&](const MemberTracker &tracker) {
         return reachable(tracker, now) && !promotion_->adoptedBy(tracker.name());
     };
-    const bool complete = now >= promotion_->plan().adoptionsUntil || std::none_of(trackers_.begin(), trackers_.end(), awaited);
+    const bool complete = now >= promotion_->plan().adoptionsUntil || std::none_of(trackers_.begin(), trackers_.end(), adoptionPending);
     promotion_->choose(complete);
 }
 
@@ -66,8 +66,8 @@
 {
     const auto &plan = promotion_->plan();
     for (auto &tracker : trackers_) {
-        const bool leftOut = plan.excludeAvoided && tracker.name() == plan.avoid;
-        if (!tracker.orderAllowed(now) || tracker.isDown() || leftOut) {
+        const bool excluded = plan.excludeAvoided && tracker.name() == plan.avoid;
+        if (!tracker.orderAllowed(now) || tracker.isDown() || excluded) {
             continue;
         }
         if (tracker.name() == promotion_->candidate()) {
@@ -92,17 +92,17 @@
     }
 }
 
-// After the pause the belief about the primary is fresh again: a rival that led ends the need.
+// The delay lets new reports arrive: if another owner's attempt gave the group a primary, the trigger is cleared.
 void GroupMonitor::abandonPromotion(TimePoint now)
 {
     recordEvent(AuditEventKind::PromotionAbandoned, promotion_->candidate(), promotion_->term(), promotion_->plan().reason);
     promotion_.reset();
-    constexpr unsigned largestShift = 10;
-    const Microseconds longest = std::min(policy_.backOffMin * (1U << std::min(failedAttempts_, largestShift)), policy_.backOffMax);
+    constexpr unsigned maxShift = 10;
+    const Microseconds maxBackOff = std::min(policy_.backOffMin * (1U << std::min(failedAttempts_, maxShift)), policy_.backOffMax);
     ++failedAttempts_;
-    const auto half = longest.count() / 2;
-    const Microseconds drawn{half + static_cast<Microseconds::rep>(random_.below(static_cast<std::uint64_t>(half) + 1))};
-    backOffUntil_ = now + drawn + rankDelay();
+    const auto half = maxBackOff.count() / 2;
+    const Microseconds backOff{half + static_cast<Microseconds::rep>(random_.below(static_cast<std::uint64_t>(half) + 1))};
+    backOffUntil_ = now + backOff + rankDelay();
 }
 
 } // namespace cardamomstep
--- a/src/groups/monitormaintenance.cpp
+++ b/src/groups/monitormaintenance.cpp
@@ -1,4 +1,4 @@
-// The group monitor's steady work: reports, members that must follow, planned switchovers, and the next wake-up.
+// The group monitor's maintenance: reports, follow orders, planned switchovers, and the next wake-up.
 #include "groups/monitor.h"
 
 #include <algorithm>
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// How long a member that was not told to follow may stand still behind the primary.
+/// How long a member without an accepted follow order may be behind the primary without progress.
 constexpr Milliseconds followDelay{50};
-/// How long one that was told may; telling it again may cost it what is under way.
+/// The same for a member that accepted the order; repeating it may discard a transfer in progress.
 constexpr Milliseconds followRecheck{10'000};
 
 } // namespace
@@ -31,8 +31,8 @@
     }
 }
 
-// A replica that adopted the term says nothing on whom it follows: one without an entry of the term, or one that
-// stands still behind the primary, is told. It is not told again for being slow.
+// The report of a replica that adopted the term does not say whom it follows. So the order goes to one whose log does not
+// end at the term, or that is behind the primary without progress. Slow progress alone does not repeat the order.
 bool GroupMonitor::mustFollow(const MemberTracker &tracker, TimePoint now) const
 {
     if (tracker.name() == primary_->member || !reachable(tracker, now)) {
@@ -133,8 +133,8 @@
         actions_.emplace_back(ResumeWrites{});
         return;
     }
-    constexpr unsigned largestShift = 3;
-    switchoverAllowedAt_ = now + policy_.switchoverRetry * (1U << std::min(abandonedSwitchovers_, largestShift));
+    constexpr unsigned maxShift = 3;
+    switchoverAllowedAt_ = now + policy_.switchoverRetry * (1U << std::min(abandonedSwitchovers_, maxShift));
     ++abandonedSwitchovers_;
     actions_.emplace_back(ResumeWrites{});
 }
--- a/src/groups/monitorprimary.cpp
+++ b/src/groups/monitorprimary.cpp
@@ -1,4 +1,4 @@
-// The group monitor's belief about which member leads, drawn from members' reports alone.
+// The group monitor's cached primary, derived from members' reports alone.
 #include "groups/monitor.h"
 
 #include <algorithm>
@@ -36,8 +36,8 @@
 {
     const auto &report = *tracker.report();
     PrimaryChanged change{tracker.name(), report.adopted, PromotionReason::Observed, previousPrimary_, now, now};
-    const bool own = promotion_ && promotion_->term() == report.adopted;
-    if (own) {
+    const bool ownAttempt = promotion_ && promotion_->term() == report.adopted;
+    if (ownAttempt) {
         change.reason = promotion_->plan().reason;
         change.detectedAt = promotion_->plan().detectedAt;
         change.startedAt = promotion_->plan().startedAt;
@@ -48,7 +48,7 @@
     actions_.emplace_back(change);
     clearTrigger();
     for (auto &other : trackers_) {
-        other.followAllowedAt = own ? now : now + policy_.followRetry + rank_ * policy_.rankStagger;
+        other.followAllowedAt = ownAttempt ? now : now + policy_.followRetry + rank_ * policy_.rankStagger;
     }
 }
 
--- a/src/groups/monitortrigger.cpp
+++ b/src/groups/monitortrigger.cpp
@@ -1,4 +1,4 @@
-// Whether a promotion is needed, and when this owner may begin one.
+// Whether a promotion is needed, and when this owner may start one.
 #include "groups/monitor.h"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How long before a suspicion the other owners are asked, and how often.
+/// How long before a suspicion the other owners are queried, and the minimum interval of these queries.
 constexpr Milliseconds peerQueryLead{40};
 
 } // namespace
@@ -66,13 +66,13 @@
     return primary_ ? triggerWithPrimary(now) : triggerWithoutPrimary(now);
 }
 
-// A member that was not heard yet may be the primary, so its silence must be as certain as a known primary's.
+// A member that has not reported yet may be the primary, so its silence must last as long as a known primary's.
 std::optional<PromotionReason> GroupMonitor::triggerWithoutPrimary(TimePoint now) const
 {
-    const auto undecided = [&](const MemberTracker &tracker) {
+    const auto isUndecided = [&](const MemberTracker &tracker) {
         return !tracker.report() && !tracker.isDown() && !silent(tracker, now);
     };
-    if (std::any_of(trackers_.begin(), trackers_.end(), undecided)) {
+    if (std::any_of(trackers_.begin(), trackers_.end(), isUndecided)) {
         return std::nullopt;
     }
     const auto adopted = majorityAdopted();
@@ -85,7 +85,7 @@
 std::optional<PromotionReason> GroupMonitor::triggerWithPrimary(TimePoint now)
 {
     const auto &tracker = *find(primary_->member);
-    // Signs of life that others had before the refusal may still arrive within a round trip.
+    // Observations of contact before the refusal may still arrive from other owners within a round trip.
     if (tracker.isDown() && !overruledByPeers(primary_->term, tracker.refusedAt() + policy_.roundTripAllowance)) {
         return PromotionReason::PrimaryDown;
     }
@@ -110,7 +110,7 @@
     return std::nullopt;
 }
 
-// This owner's own verdict is one vote for a dead primary; a suspicion needs more votes for than against it.
+// This owner's suspicion counts as one vote for a dead primary; a promotion needs more votes for it than against it.
 bool GroupMonitor::overruledByPeers(const Term &term, TimePoint since) const
 {
     const auto votes = peerObservations_.votes(term, since);
@@ -118,7 +118,7 @@
     return votes.alive >= dead;
 }
 
-// Replicas that stand still behind the primary although they answer: the primary takes writes that nobody holds.
+// True when too many reachable replicas are behind the primary without progress: it accepts writes that no majority gets.
 bool GroupMonitor::primaryStalled(TimePoint now) const
 {
     const auto stalled = [&](const MemberTracker &tracker) {
@@ -129,13 +129,13 @@
     return trackers_.size() - stalledMembers < majority() && reachableMembers(primary_->member, now) >= majority();
 }
 
-// A member that adopted a term which nobody leads refuses the present primary's log.
+// A member that adopted a term without a primary refuses the current primary's log.
 bool GroupMonitor::needsTermRepair(TimePoint now) const
 {
-    const auto stranded = [&](const MemberTracker &tracker) {
+    const auto hasHigherTerm = [&](const MemberTracker &tracker) {
         return reachable(tracker, now) && tracker.report()->adopted > primary_->term;
     };
-    return std::any_of(trackers_.begin(), trackers_.end(), stranded);
+    return std::any_of(trackers_.begin(), trackers_.end(), hasHigherTerm);
 }
 
 Microseconds GroupMonitor::replicationBound() const noexcept
@@ -156,10 +156,10 @@
 
 std::size_t GroupMonitor::reachableMembers(const MemberName &without, TimePoint now) const
 {
-    const auto counts = [&](const MemberTracker &tracker) {
+    const auto isCounted = [&](const MemberTracker &tracker) {
         return tracker.name() != without && reachable(tracker, now);
     };
-    return static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), counts));
+    return static_cast<std::size_t>(std::count_if(trackers_.begin(), trackers_.end(), isCounted));
 }
 
 void GroupMonitor::queryPeers(TimePoint now)
--- a/src/groups/pacing.cpp
+++ b/src/groups/pacing.cpp
@@ -1,4 +1,4 @@
-// The interval that a node's byte budget allows.
+// Computes the report interval that a node's byte budget allows.
 #include "groups/pacing.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
     const std::uint64_t primaries = std::min(groups, members);
     const std::uint64_t replicas = members - primaries;
     const std::uint64_t factor = std::max(budget.replicaFactor, 1U);
-    // Exchanges in one replica interval, in which each primary is asked `factor` times.
+    // Exchanges in one replica interval, in which each primary is queried `factor` times.
     const auto exchanges = primaries * factor + replicas;
     const auto bytes = exchanges * budget.bytesPerExchange;
     const auto interval = (bytes * millisecondsPerSecond) / (std::max<std::uint64_t>(budget.bytesPerSecond, 1) * factor) + 1;
--- a/src/groups/peerobservation.h
+++ b/src/groups/peerobservation.h
@@ -1,4 +1,4 @@
-// What one owner of a group tells the other owners about the group's primary.
+// What one owner of a group reports to the other owners about the group's primary.
 #pragma once
 
 #include "base/ids.h"
@@ -7,17 +7,17 @@
 
 namespace cardamomstep {
 
-/// Another owner's latest knowledge of a primary.
+/// Another owner's last observation of a primary.
 struct PeerObservation {
-    /// The primary it believes in; empty when it knows of none.
+    /// The primary that it observes; empty when there is none.
     MemberName primary;
     /// Term of that primary.
     Term term;
-    /// Highest term that it saw adopted by any member.
+    /// Highest term that it knows of.
     Term highest;
-    /// Last entry of the primary's log that it saw.
+    /// End of the primary's log in its last report to that owner.
     LogPosition log;
-    /// Time since its last sign of life from the primary.
+    /// Time since its last contact with the primary.
     Milliseconds contactAge{0};
 
     [[nodiscard]] bool operator==(const PeerObservation &) const = default;
--- a/src/groups/policy.h
+++ b/src/groups/policy.h
@@ -7,79 +7,79 @@
 
 namespace cardamomstep {
 
-/// How long a group's monitor waits for what.
+/// Time bounds of a group's monitor.
 ///
-/// Invariant for useful bounds: `probeTimeout` is below `silenceBound`, so that a connection gone silent is
-/// replaced and the member asked anew before the member itself is suspected.
+/// Invariant for useful bounds: `probeTimeout` is below `silenceBound`, so that a silent connection is
+/// replaced and the member queried again before the member itself is suspected.
 struct GroupPolicy {
-    /// How long a primary may pause without being replaced.
+    /// How long a primary's process may pause without being replaced.
     Milliseconds silenceBound{200};
-    /// Longest time between two signs of life of a healthy primary.
+    /// Longest time between two contacts with a healthy primary.
     Milliseconds heartbeatInterval{50};
     /// A replica's heartbeat interval is this many times longer than the primary's.
     unsigned replicaHeartbeatFactor = 1;
-    /// Time for two round trips to a member: opening a connection and one exchange.
+    /// Time allowed for two round trips to a member: opening a connection and one exchange.
     Milliseconds roundTripAllowance{15};
-    /// How long past its waiting time a report may stay unanswered.
+    /// How long the reply to a report may take after the end of the report's wait.
     Milliseconds probeTimeout{60};
-    /// Pause after a waiting report that came back early without any news.
+    /// Delay before the next report when a waiting report returned before its wait ended and showed no change.
     Milliseconds idleReportGap{5};
-    /// Two refused connections within this time mean that the process is gone.
+    /// Two refused connections within this time mean that the process is down.
     Milliseconds refusalWindow{500};
-    /// Pause before asking again after a refused connection.
+    /// Delay before the next report after a refused connection.
     Milliseconds refusalRetry{5};
-    /// How long replicas may stand still behind their primary before it is replaced; see stallBound().
+    /// How long replicas may be behind their primary without progress before it is replaced; see stallBound().
     Milliseconds replicationBound{300};
-    /// Largest value of that bound after promotions that did not mend replication.
+    /// Upper limit of that bound, which doubles with each promotion that did not restore replication.
     Milliseconds replicationBoundLimit{30'000};
 
-    /// Wait of an owner for each owner of a lower rank.
+    /// How long an owner waits for each owner of a lower rank.
     Milliseconds rankStagger{40};
-    /// Largest random addition to a wait of rank 1 and up.
+    /// Upper limit of the random addition to that wait, from rank 1 on.
     Milliseconds jitter{15};
-    /// How long an attempt seen from elsewhere may take before it counts as abandoned.
+    /// How long an attempt of another owner may take, from its observation, before it counts as abandoned.
     Milliseconds attemptPatience{60};
-    /// How long an own attempt may take.
+    /// How long an attempt of this owner may take.
     Milliseconds attemptTimeout{400};
-    /// How long one order may stay unanswered.
+    /// How long the reply to one order may take.
     Milliseconds orderTimeout{150};
-    /// Pause before an order is sent again.
+    /// Delay before an order is sent again.
     Milliseconds orderRetry{10};
-    /// Smallest and largest pause after a failed attempt; it doubles with each failure.
+    /// Smallest and largest delay after a failed attempt; it doubles with each failure.
     Milliseconds backOffMin{20};
     Milliseconds backOffMax{1000};
-    /// Pause before a member that does not follow is told again.
+    /// Delay before the follow order to a member that does not follow is repeated.
     Milliseconds followRetry{250};
 
-    /// How long writes are held at most during a switchover.
+    /// Longest time for which a switchover pauses writes.
     Milliseconds holdLimit{1000};
-    /// How long the primary's log must stand still under the hold before it is handed over.
+    /// How long the primary's log must be stable while writes are paused, before a replica is promoted.
     Milliseconds quietTime{20};
-    /// Pause between two tries of one switchover.
+    /// Delay between two attempts at one switchover.
     Milliseconds switchoverRetry{2000};
 
-    /// Silence after which a member is suspected.
+    /// The time without contact after which a member is suspected.
     ///
-    /// A pause may begin at any time up to the moment when the next sign of life is due, so the heartbeat interval
-    /// comes on top of the bound: a pause shorter than the bound never reaches this value.
+    /// A process pause may begin at any time until the next contact is due, so the heartbeat interval
+    /// is added to the bound: a pause shorter than the bound never reaches this value.
     [[nodiscard]] constexpr Milliseconds suspectAfter(bool primary = true) const noexcept
     {
         return silenceBound + heartbeat(primary);
     }
 
-    /// Longest time between two signs of life of a healthy primary or replica.
+    /// Longest time between two contacts with a healthy primary or replica.
     [[nodiscard]] constexpr Milliseconds heartbeat(bool primary) const noexcept
     {
         return primary ? heartbeatInterval : heartbeatInterval * replicaHeartbeatFactor;
     }
 
-    /// How long replicas may stand still behind their primary; a pause shorter than the silence bound stays below it.
+    /// How long replicas may be behind their primary without progress. A process pause shorter than the silence bound doesn't reach it.
     [[nodiscard]] constexpr Milliseconds stallBound() const noexcept
     {
         return std::max(replicationBound, silenceBound + 4 * roundTripAllowance);
     }
 
-    /// Waiting time of one report, so that its reply is here within the heartbeat.
+    /// Wait of one report, short enough for its reply to arrive within the heartbeat interval.
     [[nodiscard]] constexpr Milliseconds reportWait(bool primary) const noexcept
     {
         return std::max(heartbeat(primary) - roundTripAllowance, heartbeat(primary) / 2);
--- a/src/groups/quorumstate.cpp
+++ b/src/groups/quorumstate.cpp
@@ -1,4 +1,4 @@
-// Counting of members that hold an entry.
+// Counts the members that have an entry.
 #include "groups/quorumstate.h"
 
 #include <algorithm>
@@ -36,7 +36,7 @@
         changed = superseding > majorityAdopted_;
         majorityAdopted_ = std::max(majorityAdopted_, superseding);
     }
-    // Under a higher adopted term the entries may have come from that term's primary, and then prove nothing.
+    // Under a higher adopted term, the entries may have come from that term's primary and prove nothing.
     if (log.term == adopted && advance(state->furthest, log)) {
         changed = advance(replicated_, LogPosition{log.term, majorityIndex(log.term)}) || changed;
     }
@@ -45,7 +45,7 @@
 
 QuorumState AckTracker::quorumState(const LogPosition &entryPosition) const noexcept
 {
-    // A term without covered entries has position 0, which says nothing about its start entry.
+    // A term without replicated entries has index 0, which must not count as its start entry being replicated.
     if (indexAt(replicated_, entryPosition.term) >= std::max<std::uint64_t>(entryPosition.index, 1)) {
         return QuorumState::Replicated;
     }
@@ -62,20 +62,20 @@
     if (entryPosition.index == 0) {
         return false;
     }
-    const auto same =
-        std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == entryPosition.term; });
-    const auto place = same == positions.end() ? std::prev(positions.end()) : same;
-    if (*place >= entryPosition) {
+    const auto sameTerm =
+        std::find_if(positions.begin(), positions.end(), [&](const LogPosition &tracked) { return tracked.term == entryPosition.term; });
+    const auto slot = sameTerm == positions.end() ? std::prev(positions.end()) : sameTerm;
+    if (*slot >= entryPosition) {
         return false;
     }
-    *place = entryPosition;
+    *slot = entryPosition;
     std::sort(positions.begin(), positions.end(), std::greater<>());
     return true;
 }
 
 std::uint64_t AckTracker::indexAt(const Positions &positions, const Term &term) noexcept
 {
-    const auto found = std::find_if(positions.begin(), positions.end(), [&](const LogPosition &kept) { return kept.term == term; });
+    const auto found = std::find_if(positions.begin(), positions.end(), [&](const LogPosition &tracked) { return tracked.term == term; });
     return found == positions.end() ? 0 : found->index;
 }
 
--- a/src/groups/quorumstate.h
+++ b/src/groups/quorumstate.h
@@ -1,4 +1,4 @@
-// Whether a log entry is held by a majority of a group's members, and so outlives any promotion.
+// Whether a log entry is replicated to a majority of a group's members, and so survives any promotion.
 #pragma once
 
 #include "base/logposition.h"
@@ -11,43 +11,43 @@
 
 namespace cardamomstep {
 
-/// What is known about an entry.
+/// Replication state of a log entry.
 enum class QuorumState : std::uint8_t {
     Pending, ///< Not yet reported by a majority.
     Replicated, ///< Reported by a majority at its own term: it is never lost.
-    Superseded, ///< A majority has gone to a higher term; only an outcome question tells whether the entry is kept.
+    Superseded, ///< A majority has adopted a higher term; only an outcome query can tell whether the entry is kept.
 };
 
-/// Collects members' reports and tells which entries are covered.
+/// Collects members' reports and determines which entries are replicated to a majority.
 ///
-/// An entry of term T at position p is covered once a majority has reported a log whose last entry is of term T at
-/// p or later while T was their adopted term. Reports at a higher log term do not count for it: their logs may have left
-/// it out. Nor do reports of a log that still ends at T under a higher adopted term: a member that catches up with
-/// a later primary passes through such a state, and its copy came too late to bind the promotions between. Every member
-/// counts once, with the most it ever reported at that term, because it takes no entry of T after adopting a higher one.
+/// An entry of term T at index i is replicated once a majority has reported a log whose last entry is of term T at
+/// i or later while T was their adopted term. Reports of a log that ends at a higher term do not count: such a log may lack
+/// the entry. Nor do reports of a log that ends at T under a higher adopted term: a member that catches up with
+/// a later primary passes through such a state, and it got its copy too late to affect the promotions in between. Every
+/// member counts once, with its highest index reported at T, because it accepts no entry of T after adopting a higher term.
 class AckTracker
 {
 public:
     explicit AckTracker(std::vector<MemberName> members);
 
-    /// Sets the configured members; reports of members that stay are kept, covered entries stay covered.
+    /// Sets the configured members. Reports of members in both lists are kept, replicated entries stay replicated.
     void setMembers(std::vector<MemberName> members);
 
-    /// Takes in a report or the state in any reply of \a member; unknown members are left out.
+    /// Records the state in a report or any other reply of \a member; unknown members are ignored.
     ///
-    /// Returns true when a further entry became covered or a term was superseded, so that waiting writes need a look.
+    /// Returns true when another entry became replicated or a term was superseded, so that waiting writes must be checked.
     bool onState(const MemberName &member, const LogPosition &log, const Term &adopted);
 
-    /// What is known about the entry at \a mark.
+    /// Returns the state of the entry at \a entryPosition.
     [[nodiscard]] QuorumState quorumState(const LogPosition &entryPosition) const noexcept;
 
-    /// The last covered entry of the highest term that has one; position 0 when there is none.
+    /// The last replicated entry of the highest term that has one; index 0 when there is none.
     [[nodiscard]] LogPosition replicated() const noexcept;
 
 private:
-    /// Terms for which a member's or the group's furthest position is kept.
+    /// Number of terms for which the furthest position of a member or the group is kept.
     static constexpr std::size_t maxTrackedTerms = 3;
-    /// Highest term first; unused places have position 0.
+    /// Highest term first; unused elements have index 0.
     using Positions = std::array<LogPosition, maxTrackedTerms>;
 
     struct State {
@@ -63,7 +63,7 @@
 
     std::vector<State> states_;
     Positions replicated_{};
-    /// Lowest of the terms that a majority has adopted or passed.
+    /// Highest term that a majority has reached: each of its members has adopted this term or a higher one.
     Term majorityAdopted_;
 };
 
--- a/src/groups/readindexrounds.cpp
+++ b/src/groups/readindexrounds.cpp
@@ -1,4 +1,4 @@
-// Rounds of read checks.
+// Read index rounds: start, counting of confirmations, timeout.
 #include "groups/readindexrounds.h"
 
 #include "groups/member.h"
@@ -80,7 +80,7 @@
         return;
     }
     addOnce(confirmed_, member);
-    // A primary's log always ends in its own term.
+    // A primary's log always ends at its own term.
     if (member == primary_ && log.term == term_ && !primaryLog_) {
         primaryLog_ = log;
     }
--- a/src/groups/readindexrounds.h
+++ b/src/groups/readindexrounds.h
@@ -1,4 +1,4 @@
-// Rounds of checks that a primary is not superseded, shared by all reads that wait for one.
+// Rounds that confirm a primary as leader, each shared by all reads that wait for it.
 #pragma once
 
 #include "base/ids.h"
@@ -11,51 +11,51 @@
 
 namespace cardamomstep {
 
-/// Names a round; rounds count up from 1.
+/// Number of a round, from 1.
 using RoundNumber = std::uint64_t;
 
-/// What a finished round says to the reads that joined it.
+/// Result of a finished round for the reads that joined it.
 struct RoundResult {
     RoundNumber round = 0;
-    /// True when no higher term had been adopted by a majority when the round began.
+    /// True when no higher term had been adopted by a majority when the round started.
     bool leaderConfirmed = false;
-    /// The primary's last entry at or after the round's start: a member at or above it is current for these reads.
+    /// End of the primary's log at some time after the round's start: a member at or above it is current for these reads.
     LogPosition readPosition;
 };
 
-/// Read checks of one group.
+/// Read index rounds of one group, as in Raft.
 ///
-/// A read joins the next round that begins. A round succeeds when a majority with the primary among it gave a reply,
-/// asked for after the round began, that shows the primary's term as adopted. At most one round is in flight; the next
-/// begins at once when reads wait.
+/// A read joins the next round that starts. A round succeeds when a majority that includes the primary has replied, to
+/// requests sent after the round's start, with the primary's term as the adopted one. At most one round is in flight; the next
+/// starts at once when reads wait.
 class ReadIndexRounds
 {
 public:
     explicit ReadIndexRounds(std::vector<MemberName> members, Milliseconds timeout = Milliseconds{150});
 
-    /// Sets the configured members; a round in flight fails, its reads join the next one.
+    /// Sets the configured members; a round in flight fails, so its reads must join the next one.
     void setMembers(std::vector<MemberName> members);
 
-    /// Sets the primary that rounds are about; a round in flight about another one fails. An empty name: none is known.
+    /// Sets the primary to confirm, empty when none is known; a round in flight for another primary or term fails.
     void setPrimary(const MemberName &primary, const Term &term);
 
-    /// A read arrives: returns the round whose result it waits for.
+    /// Adds a waiting read and returns the round whose result it must wait for.
     [[nodiscard]] RoundNumber join(TimePoint now);
 
-    /// The round that must begin now, if any: ask every member for its report at once (`wait` zero) and pass replies
-    /// to onState().
+    /// Starts a round if one is due and returns its number. The caller then requests a report of every member at once
+    /// (`wait` zero) and passes the replies to onState().
     [[nodiscard]] std::optional<RoundNumber> begin(TimePoint now);
 
-    /// Takes in the state in any reply to something that was sent at \a sentAt; replies to something older than the round are left out.
+    /// Records the state in any reply to a request sent at \a sentAt; replies to requests from before the round's start are ignored.
     ///
-    /// \a log must be the member's last entry then, or one that was appended for the request itself: the mark of a repeated
-    /// write is neither and would make the read mark too low.
+    /// \a log must be the member's last entry at that time, or an entry that was appended for the request itself. The position
+    /// in the reply to a repeated write is neither and would make the read position too low.
     void onState(const MemberName &member, const Term &adopted, const LogPosition &log, TimePoint sentAt);
 
-    /// The result of a round that ended, each once.
+    /// Returns the result of an ended round, each once.
     [[nodiscard]] std::optional<RoundResult> takeResult(TimePoint now);
 
-    /// When takeResult() must be asked next; none when no round is in flight.
+    /// When takeResult() must be called next; none when no timeout is running.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
 private:
@@ -70,15 +70,15 @@
     RoundNumber currentRound_ = 0;
     bool inFlight_ = false;
     TimePoint startedAt_;
-    /// Reads wait for round current_ + 1.
+    /// True when reads wait for round currentRound_ + 1.
     bool readsWaiting_ = false;
     TimePoint waitingSince_;
     /// Members that confirmed the term in this round; each at most once.
     std::vector<MemberName> confirmed_;
-    /// Members that showed a higher term in this round; each at most once.
+    /// Members that reported a higher term in this round; each at most once.
     std::vector<MemberName> superseded_;
     std::optional<LogPosition> primaryLog_;
-    /// Ended rounds that were not taken yet.
+    /// Results that takeResult() has not returned yet.
     std::vector<RoundResult> results_;
 };
 
--- a/src/groups/switchover.cpp
+++ b/src/groups/switchover.cpp
@@ -1,4 +1,4 @@
-// Steps of a planned switchover.
+// Decides the steps of a planned switchover.
 #include "groups/switchover.h"
 
 #include <algorithm>
@@ -35,10 +35,10 @@
     if (now - stableSince_ < policy.quietTime) {
         return step_;
     }
-    const auto ready = [&](const MemberReport &report) {
+    const auto isCaughtUp = [&](const MemberReport &report) {
         return report.member != from_ && !report.leaving && report.adopted == term && report.log >= stableEnd_;
     };
-    const auto target = std::find_if(reports.begin(), reports.end(), ready);
+    const auto target = std::find_if(reports.begin(), reports.end(), isCaughtUp);
     if (target != reports.end()) {
         target_ = target->member;
         step_ = SwitchoverStep::HandOver;
--- a/src/groups/switchover.h
+++ b/src/groups/switchover.h
@@ -1,4 +1,4 @@
-// Planned handover of a group's primary: hold writes, let a replica catch up, hand over, release.
+// Planned change of a group's primary: pause writes, let a replica catch up, promote it, resume writes.
 #pragma once
 
 #include "base/ids.h"
@@ -13,38 +13,38 @@
 
 namespace cardamomstep {
 
-/// What a switchover wants next.
+/// Next step of a switchover.
 enum class SwitchoverStep : std::uint8_t {
-    Idle, ///< None is under way.
-    CatchUp, ///< Writes are held and a replica is catching up.
-    HandOver, ///< target() holds all of the primary's log: promote it.
-    Promote, ///< The promotion is under way.
-    Abandon, ///< No replica got there in time: release the writes.
+    Idle, ///< No switchover is in progress.
+    CatchUp, ///< Writes are paused and a replica is catching up.
+    HandOver, ///< target() has all of the primary's log: promote it.
+    Promote, ///< The promotion is in progress.
+    Abandon, ///< No replica caught up before the deadline: resume writes.
 };
 
 /// One planned switchover.
 class Switchover
 {
 public:
-    /// Begins to move the lead away from \a from; writes are held until \a now plus the policy's limit.
+    /// Starts the switchover away from \a from; writes are paused until \a now plus the policy's `holdLimit`, at most.
     void start(const MemberName &from, const GroupPolicy &policy, TimePoint now);
 
-    /// Looks at the members' last reports and returns the next step.
+    /// Evaluates the members' last reports and returns the next step.
     SwitchoverStep advance(const std::vector<MemberReport> &reports, const Term &term, const GroupPolicy &policy, TimePoint now);
 
-    /// The promotion of target() began.
+    /// The promotion of target() has started.
     void onPromotionStarted() noexcept;
 
-    /// Ends it, whatever its step.
+    /// Ends the switchover at any step.
     void finish() noexcept;
 
     [[nodiscard]] bool active() const noexcept;
     [[nodiscard]] SwitchoverStep step() const noexcept;
-    /// The member that leaves.
+    /// The member that is leaving.
     [[nodiscard]] const MemberName &from() const noexcept;
     /// The replica to promote; empty before HandOver.
     [[nodiscard]] const MemberName &target() const noexcept;
-    /// When the hold ends.
+    /// When the write pause ends.
     [[nodiscard]] TimePoint deadline() const noexcept;
 
 private:
@@ -52,7 +52,7 @@
     MemberName from_;
     MemberName target_;
     TimePoint deadline_;
-    /// The primary's last entry and since when it has not moved.
+    /// End of the primary's log, and since when it has been unchanged.
     LogPosition stableEnd_;
     TimePoint stableSince_;
 };
--- a/src/membership/fwd.h
+++ b/src/membership/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the membership slice: which proxies live and who owns which group.
+// Forward declarations of the membership module: which proxies are alive and which of them own a group.
 #pragma once
 
 namespace cardamomstep {
--- a/src/membership/rendezvous.cpp
+++ b/src/membership/rendezvous.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Mixes two hashes into an even score.
+/// Mixes two hashes into a uniformly distributed score.
 constexpr std::uint64_t scoreOf(std::uint64_t group, std::uint64_t instance) noexcept
 {
     auto mixed = group ^ (instance * 0x9e3779b97f4a7c15ULL);
@@ -53,30 +53,30 @@
 {
     const auto groupHash = stableHash(group.text());
     std::vector<Choice> choices;
-    const auto consider = [&](const std::vector<Candidate> &candidates) {
+    const auto addBest = [&](const std::vector<Candidate> &candidates) {
         const auto chosen = choose(groupHash, candidates);
-        const bool seen =
+        const bool alreadyChosen =
             std::any_of(choices.begin(), choices.end(), [&](const Choice &other) { return chosen && other.index == chosen->index; });
-        if (chosen && !seen) {
+        if (chosen && !alreadyChosen) {
             choices.push_back(*chosen);
         }
     };
     for (const auto &domain : domains) {
         const auto found = byDomain_.find(domain);
         if (found != byDomain_.end()) {
-            consider(found->second);
+            addBest(found->second);
         }
     }
-    const bool onlyOne = choices.empty();
-    if (onlyOne) {
+    const bool noDomainMatched = choices.empty();
+    if (noDomainMatched) {
         for (const auto &[domain, candidates] : byDomain_) {
-            consider(candidates);
+            addBest(candidates);
         }
     }
     std::sort(choices.begin(), choices.end(), [this](const Choice &left, const Choice &right) {
         return std::tie(right.score, instances_[left.index].name) < std::tie(left.score, instances_[right.index].name);
     });
-    if (onlyOne && choices.size() > 1) {
+    if (noDomainMatched && choices.size() > 1) {
         choices.resize(1);
     }
     std::vector<const LiveInstance *> owners;
@@ -88,17 +88,17 @@
 }
 
 const LiveInstance *
-InstanceSet::ownerNear(const GroupName &group, const std::vector<FailureDomain> &domains, const FailureDomain &home) const
+InstanceSet::ownerNear(const GroupName &group, const std::vector<FailureDomain> &domains, const FailureDomain &callerDomain) const
 {
     const auto all = owners(group, domains);
-    const auto near = std::find_if(all.begin(), all.end(), [&](const LiveInstance *owner) { return owner->domain == home; });
+    const auto near = std::find_if(all.begin(), all.end(), [&](const LiveInstance *owner) { return owner->domain == callerDomain; });
     if (near != all.end()) {
         return *near;
     }
     return all.empty() ? nullptr : all.front();
 }
 
-bool InstanceSet::isBeaten(std::uint64_t groupHash, const LiveInstance &instance) const
+bool InstanceSet::isOutscored(std::uint64_t groupHash, const LiveInstance &instance) const
 {
     const auto own = scoreOf(groupHash, stableHash(instance.name.text()));
     const auto &candidates = byDomain_.at(instance.domain);
@@ -116,8 +116,8 @@
     if (!isKnown) {
         return std::nullopt;
     }
-    // Whatever the group's failure domains are, its owner is the best of its own.
-    if (isBeaten(stableHash(group.text()), *known)) {
+    // Whatever the group's failure domains are, an owner has the highest score of its own failure domain.
+    if (isOutscored(stableHash(group.text()), *known)) {
         return std::nullopt;
     }
     const auto all = owners(group, domains);
@@ -137,8 +137,8 @@
     }
     const auto purposeHash = stableHash(purpose);
     auto candidates = found->second;
-    const auto kept = std::min(count, candidates.size());
-    const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(kept);
+    const auto resultSize = std::min(count, candidates.size());
+    const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(resultSize);
     std::partial_sort(candidates.begin(), end, candidates.end(), [&](const Candidate &left, const Candidate &right) {
         const auto leftScore = scoreOf(purposeHash, left.hash);
         const auto rightScore = scoreOf(purposeHash, right.hash);
--- a/src/membership/rendezvous.h
+++ b/src/membership/rendezvous.h
@@ -24,34 +24,34 @@
     [[nodiscard]] bool operator==(const LiveInstance &) const = default;
 };
 
-/// The proxies that may own groups at one moment.
+/// The proxies that may own groups at one time.
 ///
-/// Immutable once made, so it can be shared between threads. Two proxies with equal sets name the same owners in the same order;
-/// where the sets differ, only the groups of the differing instances have other owners.
+/// Immutable after construction, so it can be shared between threads. Two proxies with equal sets compute the same owners in the
+/// same order; if the sets differ, only groups of the instances that differ have different owners.
 class InstanceSet
 {
 public:
     InstanceSet() = default;
     explicit InstanceSet(std::vector<LiveInstance> instances);
 
-    /// The owners of \a group: one in each of \a domains that has an instance, best rank first.
+    /// Returns the owners of \a group: one in each of \a domains that has an instance, best rank first.
     ///
     /// The order is the same on all proxies and differs from group to group. Without an instance in any of \a domains,
-    /// the one best instance of all is the only owner; the result is empty only when the set is.
-    /// The pointers live as long as this set.
+    /// the best instance of the whole set is the only owner. The result is empty only when the set is.
+    /// The pointers are valid as long as this set.
     [[nodiscard]] std::vector<const LiveInstance *> owners(const GroupName &group, const std::vector<FailureDomain> &domains) const;
 
-    /// The owner for callers in \a home: the one in that failure domain, else the best ranked; null when there is none.
+    /// Returns the owner for callers in \a callerDomain: the one in that failure domain, else the best ranked; null when there is none.
     [[nodiscard]] const LiveInstance *
-    ownerNear(const GroupName &group, const std::vector<FailureDomain> &domains, const FailureDomain &home) const;
+    ownerNear(const GroupName &group, const std::vector<FailureDomain> &domains, const FailureDomain &callerDomain) const;
 
-    /// Place of \a instance among the owners, from 0; nothing when it is no owner.
+    /// Returns the index of \a instance among the owners, from 0; none when it is not an owner.
     ///
-    /// For most instances and groups the answer is no after a few comparisons, so a proxy can ask for all groups.
+    /// Most instances that are not owners are rejected after a few comparisons, so a proxy can call this for all groups.
     [[nodiscard]] std::optional<std::size_t>
     rank(const GroupName &group, const std::vector<FailureDomain> &domains, const InstanceName &instance) const;
 
-    /// The \a count instances of \a domain that \a purpose falls to, best first.
+    /// Returns the up to \a count instances of \a domain with the highest scores for \a purpose, best first.
     [[nodiscard]] std::vector<const LiveInstance *> best(std::string_view purpose, const FailureDomain &domain, std::size_t count) const;
 
     /// All instances, sorted by name.
@@ -72,12 +72,12 @@
         std::uint64_t score;
         std::size_t index;
     };
-    [[nodiscard]] bool isBeaten(std::uint64_t groupHash, const LiveInstance &instance) const;
+    [[nodiscard]] bool isOutscored(std::uint64_t groupHash, const LiveInstance &instance) const;
     [[nodiscard]] std::optional<Choice> choose(std::uint64_t groupHash, const std::vector<Candidate> &candidates) const;
 
     /// Invariant: sorted by name, names are unique.
     std::vector<LiveInstance> instances_;
-    /// Invariant: each instance stands in the list of its failure domain once.
+    /// Invariant: each instance is in the list of its failure domain once.
     std::map<FailureDomain, std::vector<Candidate>> byDomain_;
 };
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -1,4 +1,4 @@
-// Pings, suspicion and news of the MembershipView.
+// Pings, suspicions and rumors of the MembershipView.
 #include "membership/view.h"
 
 #include <algorithm>
@@ -9,22 +9,22 @@
 
 namespace {
 
-/// With more news than this on its way, a snapshot comes cheaper and sooner.
-constexpr std::size_t manyRumors = 100;
-/// Draws of a random proxy before giving up.
-constexpr int draws = 16;
+/// With more rumors than this, the next snapshot is fetched earlier, because it is cheaper and faster than the rumors.
+constexpr std::size_t rumorsForEarlySnapshot = 100;
+/// Random draws of a proxy before giving up.
+constexpr int maxDraws = 16;
 
 bool ownsGroups(ProxyState state)
 {
     return state == ProxyState::Alive || state == ProxyState::Suspect;
 }
 
-bool replaces(const MemberUpdate &news, const MemberUpdate &known)
+bool replaces(const MemberUpdate &incoming, const MemberUpdate &known)
 {
-    if (news.incarnation != known.incarnation) {
-        return news.incarnation > known.incarnation;
+    if (incoming.incarnation != known.incarnation) {
+        return incoming.incarnation > known.incarnation;
     }
-    return news.state > known.state;
+    return incoming.state > known.state;
 }
 
 bool beforeName(const KnownProxy &proxy, const InstanceName &name)
@@ -86,7 +86,7 @@
     MembershipActions actions;
     checkProbes(now, actions);
     checkSuspects(now);
-    forgetDead(now);
+    removeExpiredDead(now);
     fetchSnapshot(now, actions);
     if (!nextPing_) {
         nextPing_ = now + Milliseconds{random_.below(static_cast<std::uint64_t>(options_.pingPeriod.count()))};
@@ -180,14 +180,14 @@
 
 const KnownProxy *MembershipView::find(const InstanceName &name) const
 {
-    const auto place = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
-    return place == proxies_.end() || place->update->instance.name != name ? nullptr : &*place;
+    const auto position = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
+    return position == proxies_.end() || position->update->instance.name != name ? nullptr : &*position;
 }
 
 KnownProxy *MembershipView::findMutable(const InstanceName &name)
 {
-    const auto place = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
-    return place == proxies_.end() || place->update->instance.name != name ? nullptr : &*place;
+    const auto position = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
+    return position == proxies_.end() || position->update->instance.name != name ? nullptr : &*position;
 }
 
 std::size_t MembershipView::listedDomains() const
@@ -235,7 +235,7 @@
         message.requestReceiverUpdate = !receiver->contacted;
         const auto state = receiver->update->state;
         if (state == ProxyState::Suspect || state == ProxyState::Dead) {
-            // So that it can refute.
+            // Lets the receiver refute it.
             message.updates.push_back(receiver->update);
         }
     }
@@ -256,14 +256,14 @@
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(count), order.end());
     order.resize(count);
     std::vector<SharedUpdate> updates;
-    std::vector<InstanceName> done;
+    std::vector<InstanceName> exhausted;
     for (const auto &[sent, name] : order) {
         updates.push_back(find(*name)->update);
         if (++rumors_[*name] >= rumorLimit()) {
-            done.push_back(*name);
+            exhausted.push_back(*name);
         }
     }
-    for (const auto &name : done) {
+    for (const auto &name : exhausted) {
         rumors_.erase(name);
     }
     return updates;
@@ -277,23 +277,23 @@
 
 const KnownProxy *MembershipView::nextTarget()
 {
-    // A dead proxy that is still listed is pinged like any other, so that two sides of a healed cut meet again.
+    // A dead proxy that is still listed is pinged like any other, so that both sides of a healed partition find each other.
     return randomProxy(
         [this](const KnownProxy &proxy) { return proxy.update->state != ProxyState::Dead || isListed(proxy.update->instance.name); });
 }
 
-const KnownProxy *MembershipView::randomAlive(const InstanceName &except)
+const KnownProxy *MembershipView::randomNotDead(const InstanceName &except)
 {
     return randomProxy(
         [&except](const KnownProxy &proxy) { return proxy.update->state != ProxyState::Dead && proxy.update->instance.name != except; });
 }
 
-template<typename Wanted>
-const KnownProxy *MembershipView::randomProxy(Wanted wanted)
+template<typename Predicate>
+const KnownProxy *MembershipView::randomProxy(Predicate isWanted)
 {
-    for (int draw = 0; draw < draws; ++draw) {
+    for (int draw = 0; draw < maxDraws; ++draw) {
         const auto &proxy = proxies_[random_.below(proxies_.size())];
-        if (!isSelf(proxy.update->instance.name) && wanted(proxy)) {
+        if (!isSelf(proxy.update->instance.name) && isWanted(proxy)) {
             return &proxy;
         }
     }
@@ -321,8 +321,8 @@
         return false;
     }
     const auto *known = find(name);
-    const bool isNews = known == nullptr ? update->state != ProxyState::Dead : replaces(*update, *known->update);
-    return isNews && set(update, now);
+    const bool isNewer = known == nullptr ? update->state != ProxyState::Dead : replaces(*update, *known->update);
+    return isNewer && set(update, now);
 }
 
 void MembershipView::applyMessage(const MembershipMessage &message, TimePoint now)
@@ -342,7 +342,7 @@
         return;
     }
     if (update.state == ProxyState::Leaving) {
-        // Another proxy saw it in the platform's list first.
+        // Another proxy has read it in the platform's list first.
         leave(now);
         return;
     }
@@ -360,26 +360,26 @@
 bool MembershipView::set(SharedUpdate update, TimePoint now)
 {
     const auto name = update->instance.name;
-    const auto place = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
-    const bool isKnown = place != proxies_.end() && place->update->instance.name == name;
+    const auto position = std::lower_bound(proxies_.begin(), proxies_.end(), name, beforeName);
+    const bool isKnown = position != proxies_.end() && position->update->instance.name == name;
     if (!isKnown && proxies_.size() >= options_.maxProxies) {
         return false;
     }
     const auto state = update->state;
-    // What only the platform's list says has incarnation 0.
+    // Incarnation 0 means that the update comes from the platform's list only.
     const bool contacted = update->incarnation > 0;
     bool ownersChange = ownsGroups(state);
     if (isKnown) {
-        const auto &before = *place->update;
+        const auto &before = *position->update;
         ownersChange = ownsGroups(before.state) != ownsGroups(state) || before.instance != update->instance;
         if (before.incarnation < update->incarnation) {
-            // Perhaps a new process, which knows nothing yet.
-            place->configuration = {};
+            // Possibly a new process, which has no configuration yet.
+            position->configuration = {};
         }
-        place->update = std::move(update);
-        place->contacted = contacted;
+        position->update = std::move(update);
+        position->contacted = contacted;
     } else {
-        proxies_.insert(place, KnownProxy{std::move(update), {}, contacted});
+        proxies_.insert(position, KnownProxy{std::move(update), {}, contacted});
     }
     generation_ += ownersChange ? 1 : 0;
     rumors_.erase(name);
@@ -427,23 +427,23 @@
 
 void MembershipView::fetchSnapshot(TimePoint now, MembershipActions &actions)
 {
-    const auto forSize = options_.snapshotIntervalPerProxy * static_cast<Milliseconds::rep>(proxies_.size());
-    const auto every = std::max(options_.minSnapshotInterval, forSize);
+    const auto intervalForSize = options_.snapshotIntervalPerProxy * static_cast<Milliseconds::rep>(proxies_.size());
+    const auto interval = std::max(options_.minSnapshotInterval, intervalForSize);
     const auto jitter = [this](Milliseconds span) {
         return Milliseconds{random_.below(static_cast<std::uint64_t>(span.count()) + 1)};
     };
     if (!nextSnapshot_) {
         nextSnapshot_ = now;
     }
-    if (rumors_.size() > manyRumors) {
+    if (rumors_.size() > rumorsForEarlySnapshot) {
         nextSnapshot_ = std::min(*nextSnapshot_, now + options_.minSnapshotInterval + jitter(options_.minSnapshotInterval));
     }
     if (now < *nextSnapshot_) {
         return;
     }
-    if (const auto *from = randomAlive(options_.self.name)) {
+    if (const auto *from = randomNotDead(options_.self.name)) {
         actions.emplace_back(std::in_place_type<FetchSnapshot>, FetchSnapshot{from->update->instance});
-        nextSnapshot_ = now + every / 2 + jitter(every);
+        nextSnapshot_ = now + interval / 2 + jitter(interval);
     }
 }
 
@@ -471,8 +471,8 @@
         return;
     }
     const auto instance = target->update->instance;
-    for (std::size_t asked = 0; asked < options_.indirectPings; ++asked) {
-        if (const auto *via = randomAlive(probe.target)) {
+    for (std::size_t requested = 0; requested < options_.indirectPings; ++requested) {
+        if (const auto *via = randomNotDead(probe.target)) {
             actions.push_back(SendIndirectPing{id, via->update->instance, instance, messageTo(find(probe.target))});
         }
     }
@@ -491,7 +491,7 @@
     }
 }
 
-void MembershipView::forgetDead(TimePoint now)
+void MembershipView::removeExpiredDead(TimePoint now)
 {
     for (auto entry = dead_.begin(); entry != dead_.end();) {
         const auto &[name, since] = *entry;
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,6 +1,6 @@
-// Which proxies live, in the manner of SWIM: each pings one other a period, and news travels on pings and their answers.
+// Which proxies are alive, after SWIM: each pings another one per period, and updates travel on pings and their replies.
 //
-// Pure: the shell sends the messages that come out and passes in those that arrive, with the time.
+// Does no I/O: the I/O layer sends the returned messages and passes in the received ones, with the time.
 #pragma once
 
 #include "base/random.h"
@@ -19,11 +19,11 @@
 
 namespace cardamomstep {
 
-/// What is held of a proxy. The order is that in which news of one incarnation replaces other news.
+/// State of a proxy. Within one incarnation, an update with a later state in this order replaces one with an earlier state.
 enum class ProxyState : std::uint8_t {
     Alive,
-    Suspect, ///< It did not answer; it owns its groups until it is held dead.
-    Leaving, ///< It takes no new work and owns nothing; it still answers.
+    Suspect, ///< It did not reply to a ping; it owns its groups until it counts as dead.
+    Leaving, ///< It accepts no new work and owns nothing, but still replies.
     Dead,
 };
 
@@ -36,54 +36,54 @@
     [[nodiscard]] bool operator==(const SchemaForm &) const = default;
 };
 
-/// Most schema forms that a proxy may list.
+/// Upper limit of the schema forms that a proxy may list.
 inline constexpr std::size_t maxSchemaForms = 16;
 
-/// News of one proxy.
+/// Update about one proxy.
 struct MemberUpdate {
     LiveInstance instance;
-    /// Raised by the proxy itself: at each start, and to refute a suspicion.
+    /// Increased by the proxy itself: at each start, and to refute a suspicion.
     std::uint64_t incarnation = 0;
     ProxyState state = ProxyState::Alive;
-    /// The schema forms that it reads; at most schemaFormsMost.
+    /// The schema forms that it can read; at most maxSchemaForms.
     std::vector<SchemaForm> forms;
 
     [[nodiscard]] bool operator==(const MemberUpdate &) const = default;
 };
 
-/// News as it is passed on: immutable, never null.
+/// Update as it is disseminated: immutable, never null.
 using SharedUpdate = std::shared_ptr<const MemberUpdate>;
 
-/// A proxy as this one knows it.
+/// What this proxy knows about a proxy.
 struct KnownProxy {
     SharedUpdate update;
-    /// Revision up to which it had all of the configuration when it last spoke to this proxy; 0 before.
+    /// Revision up to which it is known to have all of the configuration; 0 when nothing is known.
     Revision configuration;
-    /// False while only the platform's list names it.
+    /// False while it is known only from the platform's list.
     bool contacted = false;
 };
 
-/// Numbers a ping within the proxy that sent it.
+/// Identifies a ping within the proxy that sent it.
 enum class PingId : std::uint64_t {};
 
-/// What pings and their answers carry along.
+/// Content of pings and their replies.
 struct MembershipMessage {
     InstanceName from;
     /// Revision up to which the sender has all of the configuration.
     Revision configuration;
-    /// True when the sender lacks the receiver's own news, which the answer then carries.
+    /// True when the sender has no update by the receiver itself; the reply then contains it.
     bool requestReceiverUpdate = false;
     std::vector<SharedUpdate> updates;
 };
 
-/// Ping \a to; pass the answer to onAck(), nothing otherwise.
+/// Ping \a to; pass the reply to onAck(), and nothing if there is none.
 struct SendPing {
     PingId id{};
     LiveInstance to;
     MembershipMessage message;
 };
 
-/// Ask \a via to ping \a target; an answer of the target passed on by it goes to onAck(), nothing otherwise.
+/// Request \a via to ping \a target; pass the target's reply that it forwards to onAck(), and nothing if there is none.
 struct SendIndirectPing {
     PingId id{};
     LiveInstance via;
@@ -91,7 +91,7 @@
     MembershipMessage message;
 };
 
-/// Ask \a from for its snapshot() and pass it to onSnapshot().
+/// Request the snapshot() of \a from and pass it to onSnapshot().
 struct FetchSnapshot {
     LiveInstance from;
 };
@@ -99,87 +99,87 @@
 using MembershipAction = std::variant<SendPing, SendIndirectPing, FetchSnapshot>;
 using MembershipActions = std::vector<MembershipAction>;
 
-/// Limits of a MembershipView.
+/// Identity and limits of a MembershipView.
 struct MembershipOptions {
     LiveInstance self;
-    /// Incarnation to start with: the start time in milliseconds since the epoch, so that a restart counts as newer.
+    /// Initial incarnation: the start time in milliseconds since the epoch, so that a restarted process has a higher one.
     std::uint64_t incarnation = 1;
     std::vector<SchemaForm> forms;
     /// Time between two pings.
     Milliseconds pingPeriod{1000};
-    /// Wait for a direct answer before others are asked to ping.
+    /// Timeout of the direct reply, after which other proxies are requested to ping the target.
     Milliseconds directPingTimeout{300};
-    /// Proxies that are asked.
+    /// Number of proxies that are requested to ping.
     std::size_t indirectPings = 3;
-    /// Wait for an answer on any way before the proxy is suspected, from the first ping.
+    /// Timeout of any reply, direct or indirect, after which the target is suspected; counts from the direct ping.
     Milliseconds probeTimeout{900};
-    /// Time for a suspect to refute, before it is held dead.
+    /// Time for a suspect to refute before it counts as dead.
     Milliseconds suspicionTimeout{3000};
-    /// News that one message carries at most.
+    /// Upper limit of the rumors in one message.
     std::size_t maxUpdatesPerMessage = 12;
-    /// Times that each piece of news is passed on, for each doubling of the fleet.
+    /// Number of times that each rumor is sent, for each doubling of the fleet's size.
     std::size_t retransmitMultiplier = 2;
-    /// Least time between two snapshots fetched, and the part of it for each proxy known; the larger one counts.
+    /// Mean interval of fetched snapshots: the larger of a fixed time and a time per known proxy.
     Milliseconds minSnapshotInterval{10'000};
     Milliseconds snapshotIntervalPerProxy{500};
-    /// How long a dead proxy is remembered after the platform's list no longer names it.
+    /// How long a dead proxy is kept, from its death, if the platform's list does not name it.
     Milliseconds deadRetention{60'000};
-    /// Most proxies that are tracked.
+    /// Upper limit of the tracked proxies.
     std::size_t maxProxies = 20'000;
     std::uint64_t seed = 1;
 };
 
-/// One proxy's view of all proxies.
+/// One proxy's membership view: the state of all proxies.
 ///
-/// Safety never rests on this view: two proxies that differ waste connections, and terms keep writes apart.
+/// Safety never depends on this view: proxies with different views waste connections, but terms still protect the writes.
 class MembershipView
 {
 public:
     explicit MembershipView(MembershipOptions options);
 
-    /// Takes the platform's instance list; entries of other roles are passed over.
+    /// Applies the platform's instance list; entries of other roles are ignored.
     ///
-    /// The list lags: what it names and nobody has heard of is held alive until a ping says otherwise, and what a newer
-    /// incarnation's own news says is not undone by it.
+    /// The list may be outdated. An unknown proxy that it names counts as alive, or leaving, until a ping fails. Of a known proxy it
+    /// only changes the state to leaving, or from leaving to dead once it is unlisted, so it undoes no update of a newer incarnation.
     void onListed(const std::vector<ListedInstance> &instances, TimePoint now);
 
-    /// Sends the period's ping and carries suspicions on; call it at least every 100 ms.
+    /// Sends the period's ping and handles timeouts of pings and suspicions; call it at least every 100 ms.
     [[nodiscard]] MembershipActions tick(TimePoint now);
 
-    /// Answers a ping, also one that another proxy asked for.
+    /// Handles a ping, direct or at another proxy's request, and returns the reply.
     [[nodiscard]] MembershipMessage onPing(const MembershipMessage &ping, TimePoint now);
-    /// Takes an answer.
+    /// Handles the reply to a ping.
     void onAck(PingId id, const MembershipMessage &ack, TimePoint now);
-    /// The proxy pinged by \a id refused the connection: its process is gone, so other ways are not tried.
+    /// Handles a refused connection for the ping \a id: the process is down, so it is suspected without indirect pings.
     void onRefused(PingId id, TimePoint now);
 
-    /// All news known here, for a proxy that starts or may have missed some.
+    /// Returns the updates about all known proxies, for a proxy that starts or may have missed updates.
     [[nodiscard]] std::vector<SharedUpdate> snapshot() const;
-    /// Takes another proxy's snapshot; its news is not passed on, since every proxy fetches one now and then.
+    /// Applies another proxy's snapshot. Its updates are not disseminated, because every proxy fetches snapshots periodically.
     void onSnapshot(const std::vector<SharedUpdate> &updates, TimePoint now);
 
-    /// This proxy is stopping: tells the others that it owns nothing from now on.
+    /// Marks this proxy as leaving and disseminates that; it owns nothing from now on.
     void leave(TimePoint now);
-    /// True after leave(), or once the platform's list, read here or by another proxy, says that this proxy is leaving.
+    /// True after leave(), or once the platform's list, read by this or another proxy, marks this proxy as leaving.
     [[nodiscard]] bool isLeaving() const;
-    /// Sets the revision that messages tell of.
+    /// Sets the configuration revision that messages report.
     void setConfiguration(Revision revision) noexcept
     {
         configuration_ = revision;
     }
 
-    /// Notes that \a name had all of the configuration up to \a revision, as other messages show.
+    /// Records that \a name has all of the configuration up to \a revision, as other messages show.
     void recordConfiguration(const InstanceName &name, Revision revision);
 
-    /// The proxies that may own groups: alive or suspect, not leaving. Made anew when generation() has grown since the last call.
+    /// The proxies that may own groups: alive or suspect, not leaving. Rebuilt if generation() has increased since the last call.
     [[nodiscard]] std::shared_ptr<const InstanceSet> owners();
-    /// Grows whenever owners() changes.
+    /// Increases whenever owners() changes.
     [[nodiscard]] std::uint64_t generation() const noexcept
     {
         return generation_;
     }
 
-    /// All proxies known, this one included, sorted by name.
+    /// All known proxies, including this one, sorted by name.
     [[nodiscard]] const std::vector<KnownProxy> &proxies() const noexcept
     {
         return proxies_;
@@ -187,12 +187,12 @@
     /// The proxy \a name; null when it is not known. Valid until the next call that changes the view.
     [[nodiscard]] const KnownProxy *find(const InstanceName &name) const;
 
-    /// Number of failure domains that the platform's last list names, or that the known proxies stand in when there was none.
+    /// Number of failure domains in the platform's last list or, if that has none, of the known proxies.
     [[nodiscard]] std::size_t listedDomains() const;
 
-    /// Proxies, not held dead, that do not list \a form, or whose forms are not known yet.
+    /// Names of proxies, except dead ones, that do not list \a form or whose forms are not known yet.
     [[nodiscard]] std::vector<InstanceName> cannotRead(const SchemaForm &form) const;
-    /// Proxies, not held dead, that were not heard to have all of the configuration up to \a revision.
+    /// Names of proxies, except dead ones, that are not known to have all of the configuration up to \a revision.
     [[nodiscard]] std::vector<InstanceName> behind(Revision revision) const;
 
 private:
@@ -201,16 +201,16 @@
         TimePoint sentAt;
         bool indirectPingsSent = false;
     };
-    /// Times that a piece of news was passed on, by the proxy it is about.
+    /// Number of times that each rumor was sent, by the name of the proxy that it is about.
     using Rumors = std::map<InstanceName, std::size_t>;
 
     [[nodiscard]] MembershipMessage messageTo(const KnownProxy *receiver);
     [[nodiscard]] std::vector<SharedUpdate> nextRumors();
     [[nodiscard]] std::size_t rumorLimit() const;
     [[nodiscard]] const KnownProxy *nextTarget();
-    [[nodiscard]] const KnownProxy *randomAlive(const InstanceName &except);
-    template<typename Wanted>
-    [[nodiscard]] const KnownProxy *randomProxy(Wanted wanted);
+    [[nodiscard]] const KnownProxy *randomNotDead(const InstanceName &except);
+    template<typename Predicate>
+    [[nodiscard]] const KnownProxy *randomProxy(Predicate isWanted);
     [[nodiscard]] KnownProxy *findMutable(const InstanceName &name);
     [[nodiscard]] bool isListed(const InstanceName &name) const;
     [[nodiscard]] bool isSelf(const InstanceName &name) const
@@ -230,21 +230,21 @@
     void checkProbes(TimePoint now, MembershipActions &actions);
     void sendIndirectPings(PingId id, const Probe &probe, MembershipActions &actions);
     void checkSuspects(TimePoint now);
-    void forgetDead(TimePoint now);
+    void removeExpiredDead(TimePoint now);
 
     MembershipOptions options_;
     Random random_;
-    /// Invariant: sorted by name, names are unique, this proxy is among them, at most `options_.proxies`.
+    /// Invariant: sorted by name, names are unique, this proxy is among them, at most `options_.maxProxies`.
     std::vector<KnownProxy> proxies_;
-    /// When each suspect is held dead.
+    /// When each suspect will count as dead.
     std::map<InstanceName, TimePoint> suspects_;
-    /// Since when each dead proxy is dead.
+    /// Since when each dead proxy has been dead.
     std::map<InstanceName, TimePoint> dead_;
     /// Invariant: names are in proxies_.
     Rumors rumors_;
-    /// Invariant: at most as many as pings in `answerWait`.
+    /// Invariant: at most the number of pings sent within `probeTimeout`.
     std::map<PingId, Probe> probes_;
-    /// Sorted.
+    /// Names of the platform's last list, sorted.
     std::vector<InstanceName> listed_;
     std::vector<FailureDomain> listedDomains_;
     std::shared_ptr<const InstanceSet> owners_ = std::make_shared<InstanceSet>();
--- a/tests/groups/cluster.cpp
+++ b/tests/groups/cluster.cpp
@@ -1,4 +1,4 @@
-// The model of members, links and proxies behind the tests of the group monitor.
+// Simulation of members, connections and proxies for the tests of the group monitor.
 #include "cluster.h"
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 constexpr Milliseconds writeTimeout{200};
 constexpr Milliseconds pullRetry{20};
 constexpr Milliseconds pullWait{100};
-constexpr Milliseconds gossipInterval{100};
+constexpr Milliseconds observationInterval{100};
 /// Entries in one reply to a pull.
 constexpr std::size_t pullEntries = 16;
 
-/// The log of a member that has \a own after it took one batch from \a source: the common part and what follows it.
-std::vector<Entry> caughtUp(const std::vector<Entry> &own, const std::vector<Entry> &source)
+/// Returns the log of a member with the log \a own after it pulled one batch from \a source: the common prefix and the batch.
+std::vector<Entry> logAfterPull(const std::vector<Entry> &own, const std::vector<Entry> &source)
 {
     const auto shorter = std::min(own.size(), source.size());
     const auto differs = std::mismatch(own.begin(), own.begin() + static_cast<std::ptrdiff_t>(shorter), source.begin());
@@ -47,7 +47,7 @@
         const auto number = static_cast<int>(index);
         at(now, [this, number] { perform(number, proxies[number].monitor->tick(now)); });
         at(now + Microseconds{random_.below(10'000)}, [this, number] { write(number); });
-        at(now + Microseconds{random_.below(100'000)}, [this, number] { gossip(number, true); });
+        at(now + Microseconds{random_.below(100'000)}, [this, number] { publishObservation(number, true); });
     }
 }
 
@@ -73,8 +73,8 @@
     for (Milliseconds spent{0}; spent < limit; ++spent) {
         run(Milliseconds{1});
         for (const auto &proxy : proxies) {
-            const auto view = proxy.monitor->primary();
-            if (proxy.alive && view && view->confirmed && view->term.number > above) {
+            const auto info = proxy.monitor->primary();
+            if (proxy.alive && info && info->confirmed && info->term.number > above) {
                 return true;
             }
         }
@@ -82,7 +82,7 @@
     return false;
 }
 
-bool Cluster::passes(int from, int to)
+bool Cluster::isDelivered(int from, int to)
 {
     return cuts_.count(std::minmax(from, to)) == 0 && random_.below(1000) >= options_.loss;
 }
@@ -94,7 +94,7 @@
 
 void Cluster::send(int from, int to, std::function<void()> action)
 {
-    if (passes(from, to)) {
+    if (isDelivered(from, to)) {
         at(now + delay(), std::move(action));
     }
 }
@@ -104,7 +104,7 @@
     return static_cast<int>(proxies.size()) + member;
 }
 
-void Cluster::awake(int member, std::function<void()> action)
+void Cluster::runWhenAwake(int member, std::function<void()> action)
 {
     if (members[member].frozen) {
         members[member].backlog.push_back(std::move(action));
@@ -113,7 +113,7 @@
     }
 }
 
-void Cluster::changed(int member)
+void Cluster::onChanged(int member)
 {
     auto watchers = std::exchange(members[member].watchers, {});
     for (const auto &watcher : watchers) {
@@ -141,63 +141,63 @@
             return;
         }
         if (std::holds_alternative<ConnectionFailure>(result)) {
-            proxies[proxy].freshConnections.insert(member);
+            proxies[proxy].closedConnections.insert(member);
         }
         done(std::move(result));
     };
-    const auto fail = [finish](ConnectionFault fault) {
-        finish(ConnectionFailure{fault, fault == ConnectionFault::Refused, {}});
+    const auto fail = [finish](ConnectionFault connectionFault) {
+        finish(ConnectionFailure{connectionFault, connectionFault == ConnectionFault::Refused, {}});
     };
     at(now + timeout, [fail] { fail(ConnectionFault::TimedOut); });
-    const auto back = [this, proxy, member](std::function<void()> action) {
+    const auto returnToProxy = [this, proxy, member](std::function<void()> action) {
         send(node(member), proxy, std::move(action));
     };
-    const auto connected = [this, member, serve, finish, fail, back] {
+    const auto onConnected = [this, member, serve, finish, fail, returnToProxy] {
         auto &target = members[member];
         if (!target.up) {
             return;
         }
-        target.breakers.push_back([fail, back] { back([fail] { fail(ConnectionFault::Closed); }); });
+        target.closeHandlers.push_back([fail, returnToProxy] { returnToProxy([fail] { fail(ConnectionFault::Closed); }); });
         const auto generation = target.generation;
-        awake(member, [this, member, serve, finish, back, generation] {
-            serve([this, member, finish, back, generation](Reply reply) {
-                awake(member, [this, member, finish, back, generation, reply] {
+        runWhenAwake(member, [this, member, serve, finish, returnToProxy, generation] {
+            serve([this, member, finish, returnToProxy, generation](Reply reply) {
+                runWhenAwake(member, [this, member, finish, returnToProxy, generation, reply] {
                     if (members[member].generation == generation) {
-                        back([finish, reply] { finish(reply); });
+                        returnToProxy([finish, reply] { finish(reply); });
                     }
                 });
             });
         });
     };
-    const bool fresh = proxies[proxy].freshConnections.erase(member) > 0;
-    const auto arrive = [this, member, fail, back, connected, fresh] {
+    const bool newConnection = proxies[proxy].closedConnections.erase(member) > 0;
+    const auto onArrived = [this, member, fail, returnToProxy, onConnected, newConnection] {
         auto &target = members[member];
         if (target.hostDown) {
             return;
         }
         if (!target.up) {
-            back([fail] { fail(ConnectionFault::Refused); });
+            returnToProxy([fail] { fail(ConnectionFault::Refused); });
             return;
         }
-        if (fresh) {
-            // A new connection costs one more round trip.
-            at(now + 2 * delay(), connected);
+        if (newConnection) {
+            // A new connection takes an additional round trip.
+            at(now + 2 * delay(), onConnected);
         } else {
-            connected();
+            onConnected();
         }
     };
-    if (passes(proxy, node(member))) {
-        at(now + delay(), arrive);
+    if (isDelivered(proxy, node(member))) {
+        at(now + delay(), onArrived);
     }
 }
 
 void Cluster::setLeaving(int member, bool leaving)
 {
     members[member].leaving = leaving;
-    changed(member);
+    onChanged(member);
 }
 
-void Cluster::stay()
+void Cluster::clearLeaving()
 {
     for (int member = 0; member < static_cast<int>(members.size()); ++member) {
         setLeaving(member, false);
@@ -239,12 +239,14 @@
         const int member = indexOf(report->member);
         const auto sentAt = now;
         const auto wait = report->wait;
-        const auto seen = proxies[proxy].seen[member];
+        const auto lastReport = proxies[proxy].lastReports[member];
         call<MemberReport>(
             proxy,
             member,
             wait + report->timeout,
-            [this, member, seen, wait](std::function<void(MemberReport)> reply) { serveReport(member, seen, wait, std::move(reply)); },
+            [this, member, lastReport, wait](std::function<void(MemberReport)> reply) {
+                serveReport(member, lastReport, wait, std::move(reply));
+            },
             [this, proxy, member, sentAt](const ConnectionResult<MemberReport> &result) {
                 const auto &name = members[member].name;
                 if (const auto *failure = std::get_if<ConnectionFailure>(&result)) {
@@ -252,8 +254,8 @@
                     return;
                 }
                 const auto &state = std::get<MemberReport>(result);
-                proxies[proxy].seen[member] = state;
-                learn(proxy, state);
+                proxies[proxy].lastReports[member] = state;
+                applyReport(proxy, state);
                 perform(proxy, proxies[proxy].monitor->onReport(name, state, sentAt, now));
             });
     } else if (const auto *adopt = std::get_if<SendAdopt>(&action)) {
@@ -265,21 +267,21 @@
     } else if (std::holds_alternative<QueryPeers>(action)) {
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
             if (peer != proxy) {
-                send(proxy, peer, [this, peer] { gossip(peer, false); });
+                send(proxy, peer, [this, peer] { publishObservation(peer, false); });
             }
         }
     } else if (std::holds_alternative<PauseWrites>(action) || std::holds_alternative<ResumeWrites>(action)) {
-        const auto *hold = std::get_if<PauseWrites>(&action);
-        const bool held = hold != nullptr;
-        const auto until = held ? hold->until : now;
+        const auto *pause = std::get_if<PauseWrites>(&action);
+        const bool paused = pause != nullptr;
+        const auto until = paused ? pause->until : now;
         for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
             if (peer == proxy) {
-                proxies[peer].heldUntil = until;
+                proxies[peer].writesPausedUntil = until;
                 continue;
             }
-            send(proxy, peer, [this, peer, held, until] {
-                proxies[peer].heldUntil = until;
-                if (held && proxies[peer].alive) {
+            send(proxy, peer, [this, peer, paused, until] {
+                proxies[peer].writesPausedUntil = until;
+                if (paused && proxies[peer].alive) {
                     perform(peer, proxies[peer].monitor->onPeerWritePause(until, now));
                 }
             });
@@ -305,7 +307,7 @@
                 return;
             }
             const auto &reply = std::get<TermReply>(result);
-            learn(proxy, reply.report);
+            applyReport(proxy, reply.report);
             perform(proxy, monitor.onOrderReply(name, kind, term, reply, sentAt, now));
         });
 }
@@ -328,7 +330,7 @@
     if (kind == OrderKind::Lead && target.role != MemberRole::Primary) {
         for (const auto &other : members) {
             if (&other != &target && other.adopted == term && other.role == MemberRole::Primary) {
-                safetyFault = "two members lead at " + toText(term);
+                safetyViolation = "two members are primary at " + toText(term);
             }
         }
         target.role = MemberRole::Primary;
@@ -337,104 +339,107 @@
     }
     if (kind == OrderKind::Follow) {
         if (target.role == MemberRole::Primary) {
-            safetyFault = "the primary of " + toText(term) + " was told to follow at its own term";
+            safetyViolation = "the primary of " + toText(term) + " was ordered to follow at its own term";
         }
         target.following = primary;
         pull(member, ++target.pulls);
     }
-    changed(member);
+    onChanged(member);
     return reply(true);
 }
 
-void Cluster::serveReport(int member, const MemberReport &seen, Milliseconds wait, std::function<void(MemberReport)> reply)
+void Cluster::serveReport(int member, const MemberReport &lastReport, Milliseconds wait, std::function<void(MemberReport)> reply)
 {
-    if (wait <= Milliseconds{0} || members[member].report() != seen) {
+    if (wait <= Milliseconds{0} || members[member].report() != lastReport) {
         reply(members[member].report());
         return;
     }
-    // Answers at the first real change or at the end of the wait.
-    const auto answered = std::make_shared<bool>(false);
+    // Replies at the first change of the report or at the end of the wait.
+    const auto replied = std::make_shared<bool>(false);
     const auto deadline = now + wait;
-    const auto answer = [this, member, reply = std::move(reply), answered] {
-        if (!std::exchange(*answered, true)) {
+    const auto sendReply = [this, member, reply = std::move(reply), replied] {
+        if (!std::exchange(*replied, true)) {
             reply(members[member].report());
         }
     };
-    watch(member, seen, answered, answer);
-    at(deadline, [this, member, answer] { awake(member, answer); });
+    waitForChange(member, lastReport, replied, sendReply);
+    at(deadline, [this, member, sendReply] { runWhenAwake(member, sendReply); });
 }
 
-void Cluster::watch(int member, const MemberReport &seen, const std::shared_ptr<bool> &answered, const std::function<void()> &answer)
+void Cluster::waitForChange(int member,
+                            const MemberReport &lastReport,
+                            const std::shared_ptr<bool> &replied,
+                            const std::function<void()> &sendReply)
 {
-    members[member].watchers.push_back([this, member, seen, answered, answer] {
-        if (*answered) {
+    members[member].watchers.push_back([this, member, lastReport, replied, sendReply] {
+        if (*replied) {
             return;
         }
-        if (members[member].report() != seen) {
-            answer();
+        if (members[member].report() != lastReport) {
+            sendReply();
         } else {
-            watch(member, seen, answered, answer);
+            waitForChange(member, lastReport, replied, sendReply);
         }
     });
 }
 
 void Cluster::pull(int member, unsigned number)
 {
-    const auto stale = [this, member, number] {
+    const auto isStale = [this, member, number] {
         return members[member].pulls != number || !members[member].up;
     };
     const int source = members[member].following;
     const auto term = members[member].adopted;
-    const auto again = [this, member, number, stale] {
-        awake(member, [this, member, number, stale] {
-            if (!stale()) {
+    const auto pullAgain = [this, member, number, isStale] {
+        runWhenAwake(member, [this, member, number, isStale] {
+            if (!isStale()) {
                 pull(member, number);
             }
         });
     };
-    // Each pull has one reply or its deadline, whichever is first.
+    // Each pull ends with its reply or its deadline, whichever is first.
     const auto open = std::make_shared<bool>(true);
-    at(now + pullWait + pullRetry + members[member].lag, [open, again] {
+    at(now + pullWait + pullRetry + members[member].lag, [open, pullAgain] {
         if (std::exchange(*open, false)) {
-            again();
+            pullAgain();
         }
     });
-    const auto apply = [this, member, stale, again, open, term](const std::vector<Entry> &log) {
-        awake(member, [this, member, stale, again, open, term, log] {
-            if (!std::exchange(*open, false) || stale() || members[member].adopted != term) {
+    const auto apply = [this, member, isStale, pullAgain, open, term](const std::vector<Entry> &log) {
+        runWhenAwake(member, [this, member, isStale, pullAgain, open, term, log] {
+            if (!std::exchange(*open, false) || isStale() || members[member].adopted != term) {
                 return;
             }
             members[member].log = log;
-            changed(member);
-            again();
+            onChanged(member);
+            pullAgain();
         });
     };
-    const auto known = members[member].log;
-    const auto serve = [this, member, source, term, apply, known] {
+    const auto ownLog = members[member].log;
+    const auto serve = [this, member, source, term, apply, ownLog] {
         const auto &leader = members[source];
         if (!leader.up || leader.role != MemberRole::Primary || leader.adopted != term) {
             return;
         }
-        const auto answer = [this, member, source, term, apply, known] {
+        const auto sendReply = [this, member, source, term, apply, ownLog] {
             const auto &from = members[source];
-            if (from.up && from.role == MemberRole::Primary && from.adopted == term && passes(node(source), node(member))) {
-                at(now + delay() + members[member].lag, [apply, log = caughtUp(known, from.log)] { apply(log); });
+            if (from.up && from.role == MemberRole::Primary && from.adopted == term && isDelivered(node(source), node(member))) {
+                at(now + delay() + members[member].lag, [apply, log = logAfterPull(ownLog, from.log)] { apply(log); });
             }
         };
-        if (leader.log != known) {
-            answer();
+        if (leader.log != ownLog) {
+            sendReply();
         } else {
-            members[source].watchers.push_back(answer);
+            members[source].watchers.push_back(sendReply);
         }
     };
     send(node(member), node(source), [this, source, serve] {
         if (!members[source].hostDown) {
-            awake(source, serve);
+            runWhenAwake(source, serve);
         }
     });
 }
 
-void Cluster::learn(int proxy, const MemberReport &report)
+void Cluster::applyReport(int proxy, const MemberReport &report)
 {
     if (proxies[proxy].tracker->onState(report.member, report.log, report.adopted)) {
         checkPending(proxy);
@@ -445,11 +450,11 @@
 {
     auto &pending = proxies[proxy].pending;
     for (auto write = pending.begin(); write != pending.end();) {
-        const auto coverage = proxies[proxy].tracker->quorumState(write->mark);
-        if (coverage == QuorumState::Replicated) {
-            acked.push_back({write->id, write->mark, write->appendedAt, now});
+        const auto entryState = proxies[proxy].tracker->quorumState(write->position);
+        if (entryState == QuorumState::Replicated) {
+            acked.push_back({write->id, write->position, write->appendedAt, now});
         }
-        write = coverage == QuorumState::Pending ? std::next(write) : pending.erase(write);
+        write = entryState == QuorumState::Pending ? std::next(write) : pending.erase(write);
     }
 }
 
@@ -459,12 +464,12 @@
         return;
     }
     at(now + writeInterval, [this, proxy] { write(proxy); });
-    const auto view = proxies[proxy].monitor->primary();
-    if (!view || now < proxies[proxy].heldUntil) {
+    const auto info = proxies[proxy].monitor->primary();
+    if (!info || now < proxies[proxy].writesPausedUntil) {
         return;
     }
-    const int member = indexOf(view->member);
-    const auto term = view->term;
+    const int member = indexOf(info->member);
+    const auto term = info->term;
     const auto id = nextId_++;
     call<WriteReply>(
         proxy,
@@ -473,13 +478,13 @@
         [this, member, term, id](const std::function<void(WriteReply)> &reply) {
             auto &target = members[member];
             if (target.role != MemberRole::Primary || target.adopted != term) {
-                reply(WriteReply{false, target.mark(), target.adopted});
+                reply(WriteReply{false, target.position(), target.adopted});
                 return;
             }
             target.log.push_back(Entry{term, id});
             appendedAt_[id] = now;
-            const WriteReply done{true, target.mark(), target.adopted};
-            changed(member);
+            const WriteReply done{true, target.position(), target.adopted};
+            onChanged(member);
             reply(done);
         },
         [this, proxy, member, id](const ConnectionResult<WriteReply> &result) {
@@ -488,31 +493,31 @@
                 return;
             }
             if (reply->accepted) {
-                proxies[proxy].pending.push_back({id, reply->mark, appendedAt_[id]});
+                proxies[proxy].pending.push_back({id, reply->position, appendedAt_[id]});
             }
-            proxies[proxy].tracker->onState(members[member].name, reply->mark, reply->adopted);
+            proxies[proxy].tracker->onState(members[member].name, reply->position, reply->adopted);
             checkPending(proxy);
             perform(proxy, proxies[proxy].monitor->onStatementEvidence(members[member].name, now));
         });
 }
 
-void Cluster::gossip(int proxy, bool repeat)
+void Cluster::publishObservation(int proxy, bool repeat)
 {
     if (!proxies[proxy].alive) {
         return;
     }
     if (repeat) {
-        at(now + gossipInterval, [this, proxy] { gossip(proxy, true); });
+        at(now + observationInterval, [this, proxy] { publishObservation(proxy, true); });
     }
     const InstanceName name{"p" + std::to_string(proxy)};
-    const auto sighting = proxies[proxy].monitor->observation(now);
+    const auto ownObservation = proxies[proxy].monitor->observation(now);
     for (int peer = 0; peer < static_cast<int>(proxies.size()); ++peer) {
         if (peer == proxy) {
             continue;
         }
-        send(proxy, peer, [this, peer, name, sighting] {
+        send(proxy, peer, [this, peer, name, ownObservation] {
             if (proxies[peer].alive) {
-                perform(peer, proxies[peer].monitor->onPeerObservation(name, sighting, now));
+                perform(peer, proxies[peer].monitor->onPeerObservation(name, ownObservation, now));
             }
         });
     }
@@ -528,10 +533,10 @@
     target.watchers.clear();
     ++target.generation;
     ++target.pulls;
-    auto breakers = std::exchange(target.breakers, {});
-    for (const auto &breaker : breakers) {
+    auto closeHandlers = std::exchange(target.closeHandlers, {});
+    for (const auto &closeHandler : closeHandlers) {
         if (!host) {
-            breaker();
+            closeHandler();
         }
     }
 }
@@ -588,7 +593,7 @@
     options_.loss = 0;
 }
 
-void Cluster::settle(Milliseconds span)
+void Cluster::recoverAll(Milliseconds span)
 {
     heal();
     for (int member = 0; member < static_cast<int>(members.size()); ++member) {
@@ -613,8 +618,8 @@
 {
     for (const auto &proxy : proxies) {
         if (proxy.alive) {
-            const auto view = proxy.monitor->primary();
-            return view ? indexOf(view->member) : -1;
+            const auto info = proxy.monitor->primary();
+            return info ? indexOf(info->member) : -1;
         }
     }
     return -1;
@@ -624,8 +629,8 @@
 {
     for (const auto &proxy : proxies) {
         if (proxy.alive) {
-            const auto view = proxy.monitor->primary();
-            return view ? view->term : Term{};
+            const auto info = proxy.monitor->primary();
+            return info ? info->term : Term{};
         }
     }
     return {};
@@ -634,8 +639,8 @@
 std::size_t Cluster::count(AuditEventKind kind) const
 {
     return static_cast<std::size_t>(std::count_if(events.begin(), events.end(), [&](const auto &event) {
-        const auto *note = std::get_if<AuditEvent>(&event.second);
-        return note != nullptr && note->kind == kind;
+        const auto *auditEvent = std::get_if<AuditEvent>(&event.second);
+        return auditEvent != nullptr && auditEvent->kind == kind;
     }));
 }
 
@@ -647,7 +652,7 @@
 std::size_t Cluster::ackedSince(TimePoint since, const Term &term) const
 {
     return static_cast<std::size_t>(std::count_if(
-        acked.begin(), acked.end(), [&](const AckedWrite &write) { return write.appendedAt >= since && write.mark.term == term; }));
+        acked.begin(), acked.end(), [&](const AckedWrite &write) { return write.appendedAt >= since && write.position.term == term; }));
 }
 
 int Cluster::indexOf(const MemberName &name) const
@@ -656,10 +661,10 @@
     return static_cast<int>(found - members.begin());
 }
 
-std::string Cluster::fault()
+std::string Cluster::findViolation()
 {
-    if (!safetyFault.empty()) {
-        return safetyFault;
+    if (!safetyViolation.empty()) {
+        return safetyViolation;
     }
     const int leader = primary();
     if (leader < 0 || !members[leader].up) {
@@ -671,11 +676,11 @@
     }
     for (const auto &write : acked) {
         if (kept.count(write.id) == 0) {
-            return "acknowledged write " + std::to_string(write.id) + " at " + toText(write.mark) + " is lost";
+            return "acknowledged write " + std::to_string(write.id) + " at " + toText(write.position) + " is lost";
         }
         for (const auto &[term, when] : majorityAdoptedAt) {
-            if (term > write.mark.term && write.appendedAt > when) {
-                return "write at " + toText(write.mark) + " was acknowledged although " + toText(term) + " had been adopted";
+            if (term > write.position.term && write.appendedAt > when) {
+                return "write at " + toText(write.position) + " was acknowledged although " + toText(term) + " had been adopted";
             }
         }
     }
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -1,4 +1,4 @@
-// A deterministic model of one group's members and several monitors in virtual time, with a checker of acknowledged writes.
+// Deterministic simulation of one group's members and several monitors in virtual time, with a check of acknowledged writes.
 #pragma once
 
 #include "base/random.h"
@@ -19,11 +19,11 @@
 struct ClusterOptions {
     std::uint64_t seed = 1;
     unsigned members = 3;
-    /// One proxy for each rank given.
+    /// Rank of each proxy.
     std::vector<unsigned> ranks{0, 1, 2};
     Microseconds delay{3500};
     Microseconds jitter{500};
-    /// Lost messages in a thousand.
+    /// Lost messages per thousand.
     unsigned loss = 0;
     bool writes = true;
     GroupPolicy policy;
@@ -35,11 +35,11 @@
     [[nodiscard]] bool operator==(const Entry &) const = default;
 };
 
-/// A member that keeps the rules of docs/design/member.md.
+/// A member that follows the rules of docs/design/member.md.
 struct SimMember {
     MemberName name;
     bool up = true;
-    /// True when the whole host is gone, so that nothing refuses connections.
+    /// True when the whole host is down, so that connections time out instead of being refused.
     bool hostDown = false;
     bool frozen = false;
     bool leaving = false;
@@ -48,33 +48,33 @@
     std::vector<Entry> log;
     /// Index of the member it pulls from; -1 for none.
     int following = -1;
-    /// Added to each pull.
+    /// Additional delay of each pull.
     Microseconds lag{0};
     unsigned generation = 0;
     unsigned pulls = 0;
     std::vector<std::function<void()>> backlog;
     std::vector<std::function<void()>> watchers;
-    std::vector<std::function<void()>> breakers;
+    std::vector<std::function<void()>> closeHandlers;
 
-    [[nodiscard]] LogPosition mark() const
+    [[nodiscard]] LogPosition position() const
     {
         return log.empty() ? LogPosition{} : LogPosition{log.back().term, log.size()};
     }
     [[nodiscard]] MemberReport report() const
     {
-        return {name, role, adopted, mark(), leaving};
+        return {name, role, adopted, position(), leaving};
     }
 };
 
 struct WriteReply {
     bool accepted = false;
-    LogPosition mark;
+    LogPosition position;
     Term adopted;
 };
 
 struct PendingWrite {
     std::uint64_t id = 0;
-    LogPosition mark;
+    LogPosition position;
     TimePoint appendedAt;
 };
 
@@ -83,16 +83,16 @@
     std::unique_ptr<GroupMonitor> monitor;
     std::unique_ptr<AckTracker> tracker;
     std::vector<PendingWrite> pending;
-    std::map<int, MemberReport> seen;
-    std::set<int> freshConnections;
+    std::map<int, MemberReport> lastReports;
+    std::set<int> closedConnections;
     std::uint64_t tickNumber = 0;
-    /// Writes wait until then.
-    TimePoint heldUntil;
+    /// Writes are paused until then.
+    TimePoint writesPausedUntil;
 };
 
 struct AckedWrite {
     std::uint64_t id = 0;
-    LogPosition mark;
+    LogPosition position;
     TimePoint appendedAt;
     TimePoint ackedAt;
 };
@@ -105,7 +105,7 @@
     Cluster &operator=(const Cluster &) = delete;
 
     void run(Milliseconds span);
-    /// Runs until a primary above \a above is confirmed by a living proxy; false when \a limit passed first.
+    /// Runs until a live proxy has a confirmed primary with a term number above \a above; false when \a limit passes first.
     bool runUntilConfirmed(std::uint64_t above, Milliseconds limit);
 
     void kill(int member, bool host = false);
@@ -117,34 +117,35 @@
     void cutProxy(int proxy, int member);
     void cutProxies(int left, int right);
     void heal();
-    /// Heals everything, restarts everyone and lets the group come to rest.
-    void settle(Milliseconds span = Milliseconds{4000});
+    /// Ends all simulated network faults, wakes and restarts all members, and runs for \a span.
+    void recoverAll(Milliseconds span = Milliseconds{4000});
     void setLeaving(int member, bool leaving);
-    /// No member leaves any more.
-    void stay();
+    /// Ends the leaving of all members.
+    void clearLeaving();
     void requestSwitchover(const MemberName &member);
     void append(int member, const Term &term, std::uint64_t count);
 
-    /// Index of the member that the first living proxy takes for primary; -1 for none.
+    /// Index of the first live proxy's primary; -1 for none.
     [[nodiscard]] int primary() const;
     [[nodiscard]] Term term() const;
     [[nodiscard]] std::size_t count(AuditEventKind kind) const;
     [[nodiscard]] std::size_t promotions() const;
     [[nodiscard]] std::size_t ackedSince(TimePoint since, const Term &term) const;
-    /// An empty text, or what is wrong: a lost acknowledged write, or one by a superseded primary.
-    [[nodiscard]] std::string fault();
+    /// Returns an empty text or the first problem found: a safety violation, no primary, a lost acknowledged write, or an acknowledged
+    /// write that was appended by a superseded primary.
+    [[nodiscard]] std::string findViolation();
 
     std::vector<SimMember> members;
     std::vector<SimProxy> proxies;
     std::vector<AckedWrite> acked;
     std::vector<std::pair<TimePoint, GroupAction>> events;
-    /// Called before each action is performed; false drops it, for example because the proxy was killed.
+    /// Called before each action; false discards the action, for example because the proxy was killed.
     std::function<bool(int proxy, const GroupAction &)> beforeAction;
     TimePoint now{Microseconds{1'000'000}};
-    /// When a majority had adopted a term or a higher one.
+    /// When a majority first had adopted the term or a higher one.
     std::map<Term, TimePoint> majorityAdoptedAt;
     std::set<Term> ledTerms;
-    std::string safetyFault;
+    std::string safetyViolation;
 
 private:
     struct Event {
@@ -158,12 +159,12 @@
     };
 
     void at(TimePoint when, std::function<void()> action);
-    bool passes(int from, int to);
+    bool isDelivered(int from, int to);
     Microseconds delay();
     void send(int from, int to, std::function<void()> action);
     [[nodiscard]] int node(int member) const;
-    void awake(int member, std::function<void()> action);
-    void changed(int member);
+    void runWhenAwake(int member, std::function<void()> action);
+    void onChanged(int member);
 
     template<typename Reply>
     void call(int proxy,
@@ -175,14 +176,15 @@
     void performOne(int proxy, const GroupAction &action);
     void order(int proxy, int member, OrderKind kind, const Term &term, int primary, Milliseconds timeout);
     TermReply serveOrder(int member, OrderKind kind, const Term &term, int primary);
-    void serveReport(int member, const MemberReport &seen, Milliseconds wait, std::function<void(MemberReport)> reply);
-    void watch(int member, const MemberReport &seen, const std::shared_ptr<bool> &answered, const std::function<void()> &answer);
+    void serveReport(int member, const MemberReport &lastReport, Milliseconds wait, std::function<void(MemberReport)> reply);
+    void
+    waitForChange(int member, const MemberReport &lastReport, const std::shared_ptr<bool> &replied, const std::function<void()> &sendReply);
     void pull(int member, unsigned number);
-    void learn(int proxy, const MemberReport &report);
+    void applyReport(int proxy, const MemberReport &report);
     void checkPending(int proxy);
     void schedule(int proxy);
     void write(int proxy);
-    void gossip(int proxy, bool repeat);
+    void publishObservation(int proxy, bool repeat);
     [[nodiscard]] int indexOf(const MemberName &name) const;
 
     ClusterOptions options_;
--- a/tests/groups/test_interleavings.cpp
+++ b/tests/groups/test_interleavings.cpp
@@ -1,4 +1,4 @@
-// Random faults in random order, and the distribution of the failover gap over many seeds.
+// Random faults in random order, and the distribution of failover times over many seeds.
 #include "cluster.h"
 
 #include "groups/pacing.h"
@@ -16,7 +16,7 @@
 
 constexpr unsigned faultKinds = 11;
 
-void inject(Cluster &cluster, Random &random)
+void injectFault(Cluster &cluster, Random &random)
 {
     const auto members = cluster.members.size();
     const int member = static_cast<int>(random.below(members));
@@ -70,12 +70,12 @@
     return options;
 }
 
-void faults(Cluster &cluster, Random &random)
+void injectFaults(Cluster &cluster, Random &random)
 {
     const auto steps = 3 + random.below(12);
     for (std::uint64_t step = 0; step < steps; ++step) {
         cluster.run(Milliseconds{1 + random.below(random.below(2) == 0 ? 30 : 500)});
-        inject(cluster, random);
+        injectFault(cluster, random);
     }
     if (random.below(3) == 0) {
         cluster.killProxy(static_cast<int>(random.below(2)));
@@ -90,12 +90,12 @@
     const bool holds = rc::check("acknowledged writes survive, and one term acknowledges at a time", [](std::uint64_t seed) {
         Random random{seed};
         Cluster cluster{randomOptions(seed)};
-        faults(cluster, random);
-        cluster.stay();
-        cluster.settle(Milliseconds{5000});
+        injectFaults(cluster, random);
+        cluster.clearLeaving();
+        cluster.recoverAll(Milliseconds{5000});
         const auto acked = cluster.acked.size();
-        const auto fault = cluster.fault();
-        RC_ASSERT(fault == std::string{});
+        const auto violation = cluster.findViolation();
+        RC_ASSERT(violation == std::string{});
         cluster.run(Milliseconds{500});
         RC_ASSERT(cluster.acked.size() > acked);
     });
@@ -107,19 +107,19 @@
     const bool holds = rc::check("a majority that one proxy reaches has a primary within three seconds", [](std::uint64_t seed) {
         Random random{seed};
         Cluster cluster{randomOptions(seed)};
-        faults(cluster, random);
-        // A switchover may be between two primaries when the time is over; so nobody leaves any more.
-        cluster.stay();
-        cluster.settle(Milliseconds{0});
+        injectFaults(cluster, random);
+        // No member is leaving from now on, because a switchover could be in progress, without a primary, at the time of the check.
+        cluster.clearLeaving();
+        cluster.recoverAll(Milliseconds{0});
         const int dead = static_cast<int>(random.below(cluster.members.size()));
         cluster.kill(dead, random.below(2) == 0);
-        const auto settledAt = cluster.now;
+        const auto recoveredAt = cluster.now;
         cluster.run(Milliseconds{3000});
         RC_ASSERT(cluster.primary() != dead);
         RC_ASSERT(cluster.primary() >= 0);
-        RC_ASSERT(cluster.ackedSince(settledAt, cluster.term()) > 0U);
-        const auto fault = cluster.fault();
-        RC_ASSERT(fault == std::string{});
+        RC_ASSERT(cluster.ackedSince(recoveredAt, cluster.term()) > 0U);
+        const auto violation = cluster.findViolation();
+        RC_ASSERT(violation == std::string{});
     });
     cr_assert(holds);
 }
@@ -133,22 +133,22 @@
     Cut,
 };
 
-/// From the failure to the confirmed primary, in milliseconds; -1 when there was none.
-double gap(const ClusterOptions &options, Failure failure)
+/// Returns the time from the failure to the next confirmed primary in milliseconds; -1 when there was none.
+double failoverTime(const ClusterOptions &options, Failure failure)
 {
     Cluster cluster{options};
     cluster.runUntilConfirmed(0, Milliseconds{10'000});
     cluster.run(Milliseconds{300 + options.seed % 50});
     const auto before = cluster.term().number;
-    const int old = cluster.primary();
+    const int oldPrimary = cluster.primary();
     const auto failedAt = cluster.now;
     if (failure == Failure::Freeze) {
-        cluster.freeze(old);
+        cluster.freeze(oldPrimary);
     } else if (failure == Failure::Cut) {
-        cluster.cutMembers(old, (old + 1) % 3);
-        cluster.cutMembers(old, (old + 2) % 3);
+        cluster.cutMembers(oldPrimary, (oldPrimary + 1) % 3);
+        cluster.cutMembers(oldPrimary, (oldPrimary + 2) % 3);
     } else {
-        cluster.kill(old, failure == Failure::Host);
+        cluster.kill(oldPrimary, failure == Failure::Host);
     }
     if (!cluster.runUntilConfirmed(before, Milliseconds{10'000})) {
         return -1;
@@ -164,29 +164,29 @@
 void measure(const char *name, ClusterOptions options, Failure failure, const Target &target)
 {
     constexpr std::uint64_t seeds = 200;
-    std::vector<double> gaps;
+    std::vector<double> failoverTimes;
     for (options.seed = 1; options.seed <= seeds; ++options.seed) {
-        gaps.push_back(gap(options, failure));
+        failoverTimes.push_back(failoverTime(options, failure));
     }
-    std::sort(gaps.begin(), gaps.end());
-    const auto median = gaps[gaps.size() / 2];
+    std::sort(failoverTimes.begin(), failoverTimes.end());
+    const auto median = failoverTimes[failoverTimes.size() / 2];
     std::printf("failover gap, %s, %.1f ms one way, %zu seeds, virtual time: least %.0f, median %.0f, p95 %.0f, worst %.0f ms\n",
                 name,
                 static_cast<double>(options.delay.count()) / 1000,
-                gaps.size(),
-                gaps.front(),
+                failoverTimes.size(),
+                failoverTimes.front(),
                 median,
-                gaps[gaps.size() * 95 / 100],
-                gaps.back());
+                failoverTimes[failoverTimes.size() * 95 / 100],
+                failoverTimes.back());
     std::fflush(stdout);
-    cr_expect(gaps.front() >= 0, "%s: no new primary", name);
+    cr_expect(failoverTimes.front() >= 0, "%s: no new primary", name);
     cr_expect(median <= target.median, "%s: median %.0f ms", name, median);
-    cr_expect(gaps.back() <= target.worst, "%s: worst %.0f ms", name, gaps.back());
+    cr_expect(failoverTimes.back() <= target.worst, "%s: worst %.0f ms", name, failoverTimes.back());
 }
 
 } // namespace
 
-Test(groups, failoverGapIsWithinItsTargets, .timeout = 120)
+Test(groups, failoverTimeIsWithinItsTargets, .timeout = 120)
 {
     const Target target{300, 1000};
     for (const auto delay : {Microseconds{3500}, Microseconds{3000}}) {
@@ -195,14 +195,14 @@
         measure("process killed", options, Failure::Process, target);
         measure("host lost", options, Failure::Host, target);
         measure("process frozen", options, Failure::Freeze, target);
-        // Not a dead primary: the replication bound decides, so the median's target is not for it.
+        // The primary is not dead here: the replication bound sets the time, so the median's target does not apply.
         measure("cut from its peers", options, Failure::Cut, Target{1000, 1000});
         options.loss = 10;
         measure("process killed, 1% of messages lost", options, Failure::Process, target);
     }
 }
 
-Test(groups, failoverGapAtThePaceOfALargeFleet, .timeout = 120)
+Test(groups, failoverTimeWithThePacedReportsOfALargeFleet, .timeout = 120)
 {
     const auto pacing = paceReports(19, 57);
     ClusterOptions options;
@@ -220,7 +220,7 @@
     const auto run = [](std::uint64_t seed) {
         Random random{seed};
         Cluster cluster{randomOptions(seed)};
-        faults(cluster, random);
+        injectFaults(cluster, random);
         std::vector<std::pair<TimePoint, std::size_t>> actions;
         for (const auto &[when, action] : cluster.events) {
             actions.emplace_back(when, action.index());
--- a/tests/groups/test_monitor.cpp
+++ b/tests/groups/test_monitor.cpp
@@ -1,4 +1,4 @@
-// Named failures of a group in virtual time, each with the monitors of several proxies.
+// Specific failures of a group in virtual time, with the monitors of several proxies.
 #include "cluster.h"
 
 #include <criterion/criterion.h>
@@ -10,19 +10,19 @@
 
 namespace {
 
-/// Brings up a confirmed primary and some acknowledged writes.
+/// Runs until there is a confirmed primary and some acknowledged writes.
 void start(Cluster &cluster)
 {
     cr_assert(cluster.runUntilConfirmed(0, Milliseconds{1000}), "no primary at the start");
     cluster.run(Milliseconds{400});
 }
 
-/// Heals everything; then nothing may be lost and every member must hold the primary's log.
-void expectWhole(Cluster &cluster)
+/// Ends all faults; then no acknowledged write may be lost, and every member must have the primary's term and nearly all of its log.
+void recoverAndCheck(Cluster &cluster)
 {
-    cluster.settle();
-    const auto fault = cluster.fault();
-    cr_assert(fault.empty(), "%s", fault.c_str());
+    cluster.recoverAll();
+    const auto violation = cluster.findViolation();
+    cr_assert(violation.empty(), "%s", violation.c_str());
     const auto newest = cluster.members[cluster.primary()].log.size();
     for (const auto &member : cluster.members) {
         cr_expect(member.log.size() + 20 > newest, "%s is behind: %zu of %zu", member.name.text().c_str(), member.log.size(), newest);
@@ -49,11 +49,11 @@
     start(cluster);
     cr_assert_eq(cluster.promotions(), 1);
     cr_assert(cluster.acked.size() > 50);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 1);
 }
 
-Test(groups, singleMemberLeadsAndLeadsAgain)
+Test(groups, singleMemberIsPrimaryAgainAfterARestart)
 {
     ClusterOptions options;
     options.members = 1;
@@ -61,7 +61,7 @@
     start(cluster);
     cluster.kill(0);
     cluster.run(Milliseconds{500});
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 2);
 }
 
@@ -71,42 +71,42 @@
         Cluster cluster;
         start(cluster);
         const auto before = cluster.term();
-        const int old = cluster.primary();
-        cluster.kill(old, host);
+        const int oldPrimary = cluster.primary();
+        cluster.kill(oldPrimary, host);
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
         cluster.run(Milliseconds{200});
-        cr_assert_neq(cluster.primary(), old);
+        cr_assert_neq(cluster.primary(), oldPrimary);
         cr_assert_eq(cluster.promotions(), 2);
         cr_assert(cluster.ackedSince(cluster.now - Milliseconds{100}, cluster.term()) > 0);
-        expectWhole(cluster);
+        recoverAndCheck(cluster);
     }
 }
 
-Test(groups, primaryCutFromItsPeersIsReplacedAlthoughItAccepts)
+Test(groups, primaryCutFromItsPeersIsReplacedAlthoughItAcceptsWrites)
 {
-    // With every proxy reaching it, and with only the first proxy reaching it.
-    for (const bool oneWitness : {false, true}) {
+    // With connections of every proxy to it, and with those of the first proxy only.
+    for (const bool onlyFirstProxyConnected : {false, true}) {
         Cluster cluster;
         start(cluster);
         const auto before = cluster.term();
-        const int old = cluster.primary();
+        const int oldPrimary = cluster.primary();
         for (int other = 0; other < 3; ++other) {
-            if (other != old) {
-                cluster.cutMembers(old, other);
+            if (other != oldPrimary) {
+                cluster.cutMembers(oldPrimary, other);
             }
         }
-        if (oneWitness) {
-            cluster.cutProxy(1, old);
-            cluster.cutProxy(2, old);
+        if (onlyFirstProxyConnected) {
+            cluster.cutProxy(1, oldPrimary);
+            cluster.cutProxy(2, oldPrimary);
             cluster.killProxy(2);
         }
         const auto cutAt = cluster.now;
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
         cluster.run(Milliseconds{500});
-        cr_assert_neq(cluster.primary(), old);
+        cr_assert_neq(cluster.primary(), oldPrimary);
         cr_assert_eq(cluster.ackedSince(cutAt + Milliseconds{10}, before), 0);
         cr_assert(cluster.ackedSince(cutAt, cluster.term()) > 0);
-        expectWhole(cluster);
+        recoverAndCheck(cluster);
     }
 }
 
@@ -115,20 +115,20 @@
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
-    cluster.freeze(old);
+    const int oldPrimary = cluster.primary();
+    cluster.freeze(oldPrimary);
     const auto frozenAt = cluster.now;
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
     cluster.run(Milliseconds{300});
-    cluster.wake(old);
+    cluster.wake(oldPrimary);
     cluster.run(Milliseconds{1000});
     cr_assert_eq(cluster.ackedSince(frozenAt, before), 0);
-    cr_assert_neq(cluster.primary(), old);
+    cr_assert_neq(cluster.primary(), oldPrimary);
     cr_assert_eq(cluster.promotions(), 2);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, pauseShorterThanTheBoundBringsNoPromotion)
+Test(groups, pauseShorterThanTheBoundCausesNoPromotion)
 {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         ClusterOptions options;
@@ -148,7 +148,7 @@
     }
 }
 
-Test(groups, oneLostPathIsNotTakenForADeadPrimary)
+Test(groups, lostPathOfOneProxyCausesNoPromotion)
 {
     Cluster cluster;
     start(cluster);
@@ -156,7 +156,7 @@
     cluster.run(Milliseconds{3000});
     cr_assert_eq(cluster.count(AuditEventKind::PromotionStarted), 1);
     cr_assert(cluster.count(AuditEventKind::SuspicionOverruled) > 0);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 1);
 }
 
@@ -173,12 +173,12 @@
             const auto before = cluster.term();
             cluster.kill(cluster.primary());
             cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}), "seed %u", static_cast<unsigned>(seed));
-            expectWhole(cluster);
+            recoverAndCheck(cluster);
         }
     }
 }
 
-Test(groups, twoProxiesThatPromoteAtOnceLeaveOnePrimary)
+Test(groups, concurrentPromotionsLeaveOnePrimary)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         ClusterOptions options;
@@ -192,11 +192,11 @@
         cluster.kill(cluster.primary(), true);
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1500}), "seed %u", static_cast<unsigned>(seed));
         cr_assert(cluster.count(AuditEventKind::PromotionStarted) >= attempts + 1);
-        expectWhole(cluster);
+        recoverAndCheck(cluster);
     }
 }
 
-Test(groups, promotionIsFinishedWhenItsProxyDiesBetweenAnyTwoSteps)
+Test(groups, promotionIsCompletedWhenItsProxyDiesBetweenAnyTwoOrders)
 {
     for (unsigned step = 1; step <= 7; ++step) {
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -215,12 +215,12 @@
             };
             cluster.kill(cluster.primary());
             cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1500}), "step %u seed %u", step, static_cast<unsigned>(seed));
-            expectWhole(cluster);
+            recoverAndCheck(cluster);
         }
     }
 }
 
-Test(groups, longerLogOfALowerTermDoesNotLead)
+Test(groups, memberWithALongerLogOfALowerTermIsNotPromoted)
 {
     ClusterOptions options;
     options.writes = false;
@@ -237,55 +237,55 @@
     cluster.kill(0);
     cr_assert(cluster.runUntilConfirmed(3, Milliseconds{1000}));
     cr_assert_eq(cluster.primary(), 1);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert(cluster.members[2].log == cluster.members[1].log);
 }
 
-Test(groups, furtherReplicaLeadsWhenBothAreBehind)
+Test(groups, replicaWithTheFurtherLogIsPromotedWhenBothAreBehind)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
-    const int near = replicaOf(cluster);
-    const int far = 3 - old - near;
-    cluster.members[near].lag = Milliseconds{150};
-    cluster.members[far].lag = Milliseconds{300};
+    const int oldPrimary = cluster.primary();
+    const int nearReplica = replicaOf(cluster);
+    const int farReplica = 3 - oldPrimary - nearReplica;
+    cluster.members[nearReplica].lag = Milliseconds{150};
+    cluster.members[farReplica].lag = Milliseconds{300};
     cluster.run(Milliseconds{1000});
-    cluster.kill(old);
-    cluster.members[near].lag = cluster.members[far].lag = Milliseconds{0};
-    const bool nearAhead = cluster.members[near].mark() > cluster.members[far].mark();
+    cluster.kill(oldPrimary);
+    cluster.members[nearReplica].lag = cluster.members[farReplica].lag = Milliseconds{0};
+    const bool nearReplicaIsAhead = cluster.members[nearReplica].position() > cluster.members[farReplica].position();
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
-    cr_assert(!nearAhead || cluster.primary() == near);
-    cr_assert_neq(cluster.primary(), old);
-    expectWhole(cluster);
+    cr_assert(!nearReplicaIsAhead || cluster.primary() == nearReplica);
+    cr_assert_neq(cluster.primary(), oldPrimary);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, secondPrimaryFailingDuringThePromotionIsReplacedToo)
+Test(groups, candidateFailingDuringThePromotionIsReplaced)
 {
     ClusterOptions options;
     options.members = 5;
     Cluster cluster{options};
     start(cluster);
     const auto before = cluster.term();
-    int second = -1;
+    int candidate = -1;
     cluster.beforeAction = [&](int, const GroupAction &action) {
         const auto *lead = std::get_if<SendLead>(&action);
-        if (lead != nullptr && second < 0) {
-            second = lead->member.text()[1] - '0';
-            cluster.kill(second);
+        if (lead != nullptr && candidate < 0) {
+            candidate = lead->member.text()[1] - '0';
+            cluster.kill(candidate);
         }
         return true;
     };
-    const int old = cluster.primary();
-    cluster.kill(old);
+    const int oldPrimary = cluster.primary();
+    cluster.kill(oldPrimary);
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{2000}));
-    cr_assert(second >= 0 && cluster.primary() != old && cluster.primary() != second);
+    cr_assert(candidate >= 0 && cluster.primary() != oldPrimary && cluster.primary() != candidate);
     cluster.beforeAction = nullptr;
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, minorityNeverLeads)
+Test(groups, minorityGetsNoPrimary)
 {
     Cluster cluster;
     start(cluster);
@@ -296,57 +296,57 @@
     cr_assert(!cluster.runUntilConfirmed(before.number, Milliseconds{3000}));
     cr_assert_eq(cluster.promotions(), 1);
     cr_assert_eq(cluster.ackedSince(killedAt, before), 0);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, returningMemberWithAForkedTailFollows)
+Test(groups, returningMemberWithADivergentLogFollows)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
-    cluster.kill(old);
-    cluster.append(old, before, 25);
+    const int oldPrimary = cluster.primary();
+    cluster.kill(oldPrimary);
+    cluster.append(oldPrimary, before, 25);
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
     cluster.run(Milliseconds{300});
-    cluster.restart(old);
-    expectWhole(cluster);
-    cr_assert_neq(cluster.primary(), old);
+    cluster.restart(oldPrimary);
+    recoverAndCheck(cluster);
+    cr_assert_neq(cluster.primary(), oldPrimary);
     cr_assert_eq(cluster.promotions(), 2);
 }
 
-Test(groups, restartedReplicaIsToldAgainWhomToFollow)
+Test(groups, restartedReplicaFollowsThePrimaryAgain)
 {
     Cluster cluster;
     start(cluster);
     const int replica = replicaOf(cluster);
-    for (int time = 0; time < 2; ++time) {
+    for (int round = 0; round < 2; ++round) {
         cluster.kill(replica);
         cluster.run(Milliseconds{300});
         cluster.restart(replica);
         cluster.run(Milliseconds{1500});
-        cr_assert(cluster.members[replica].mark().index + 20 > cluster.members[cluster.primary()].mark().index);
+        cr_assert(cluster.members[replica].position().index + 20 > cluster.members[cluster.primary()].position().index);
     }
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 1);
 }
 
-Test(groups, replicasThatComeBackTogetherBringNoPromotion)
+Test(groups, replicasThatReturnTogetherCauseNoPromotion)
 {
     Cluster cluster;
     start(cluster);
-    const int old = cluster.primary();
+    const int oldPrimary = cluster.primary();
     for (int member = 0; member < 3; ++member) {
-        if (member != old) {
+        if (member != oldPrimary) {
             cluster.kill(member);
         }
     }
     cluster.run(Milliseconds{1000});
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 1);
 }
 
-Test(groups, slowReplicasAreNotToldAgain)
+Test(groups, slowReplicasGetNoRepeatedFollowOrders)
 {
     ClusterOptions options;
     options.policy.replicationBound = Milliseconds{60'000};
@@ -363,35 +363,35 @@
     const auto follows = std::count_if(cluster.events.begin(), cluster.events.end(), isFollow);
     cr_assert(follows <= 8, "%ld orders", static_cast<long>(follows));
     cr_assert(cluster.ackedSince(TimePoint{}, cluster.term()) > 0);
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, restartedPrimaryThatCameBackAsReplicaIsReplaced)
+Test(groups, primaryThatRestartedAsReplicaIsReplaced)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
-    cluster.kill(old);
-    cluster.restart(old);
+    const int oldPrimary = cluster.primary();
+    cluster.kill(oldPrimary);
+    cluster.restart(oldPrimary);
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, memberThatAdoptedATermWithoutPrimaryIsTakenBack)
+Test(groups, memberThatAdoptedATermWithoutPrimaryRejoins)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int stranded = replicaOf(cluster);
-    cluster.members[stranded].adopted = Term{before.number + 1, 7};
-    cluster.members[stranded].following = -1;
-    ++cluster.members[stranded].pulls;
+    const int memberWithHigherTerm = replicaOf(cluster);
+    cluster.members[memberWithHigherTerm].adopted = Term{before.number + 1, 7};
+    cluster.members[memberWithHigherTerm].following = -1;
+    ++cluster.members[memberWithHigherTerm].pulls;
     cr_assert(cluster.runUntilConfirmed(before.number + 1, Milliseconds{2000}));
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, switchoverMovesTheLeadAndLosesNoWrite)
+Test(groups, switchoverChangesThePrimaryAndLosesNoWrite)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         ClusterOptions options;
@@ -399,96 +399,96 @@
         Cluster cluster{options};
         start(cluster);
         const auto before = cluster.term();
-        const int old = cluster.primary();
-        cluster.setLeaving(old, true);
+        const int oldPrimary = cluster.primary();
+        cluster.setLeaving(oldPrimary, true);
         cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
         cluster.run(Milliseconds{300});
-        cr_assert_neq(cluster.primary(), old);
+        cr_assert_neq(cluster.primary(), oldPrimary);
         cr_assert_eq(cluster.count(AuditEventKind::SwitchoverFinished), 1);
-        cr_assert(cluster.proxies[0].heldUntil <= cluster.now);
-        expectWhole(cluster);
+        cr_assert(cluster.proxies[0].writesPausedUntil <= cluster.now);
+        recoverAndCheck(cluster);
         cr_assert_eq(cluster.promotions(), 2);
     }
 }
 
-Test(groups, requestedSwitchoverMovesTheLead)
+Test(groups, requestedSwitchoverChangesThePrimary)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
-    cluster.requestSwitchover(cluster.members[old].name);
+    const int oldPrimary = cluster.primary();
+    cluster.requestSwitchover(cluster.members[oldPrimary].name);
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
-    cr_assert_neq(cluster.primary(), old);
-    expectWhole(cluster);
+    cr_assert_neq(cluster.primary(), oldPrimary);
+    recoverAndCheck(cluster);
     cr_assert_eq(cluster.promotions(), 2);
 }
 
-Test(groups, switchoverWhilePrimaryFailsEndsInAPromotion)
+Test(groups, primaryFailureDuringASwitchoverCausesAPromotion)
 {
     Cluster cluster;
     start(cluster);
     const auto before = cluster.term();
-    const int old = cluster.primary();
+    const int oldPrimary = cluster.primary();
     cluster.beforeAction = [&](int, const GroupAction &action) {
         if (std::holds_alternative<PauseWrites>(action)) {
-            cluster.kill(old);
+            cluster.kill(oldPrimary);
         }
         return true;
     };
-    cluster.setLeaving(old, true);
+    cluster.setLeaving(oldPrimary, true);
     cr_assert(cluster.runUntilConfirmed(before.number, Milliseconds{1000}));
     cluster.run(Milliseconds{100});
-    cr_assert(cluster.proxies[0].heldUntil <= cluster.now);
+    cr_assert(cluster.proxies[0].writesPausedUntil <= cluster.now);
     cluster.beforeAction = nullptr;
-    cluster.setLeaving(old, false);
-    expectWhole(cluster);
+    cluster.setLeaving(oldPrimary, false);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, memberThatStaysAfterAllIsNotSwitchedAwayFrom)
+Test(groups, withdrawnLeavingCausesNoSwitchover)
 {
     Cluster cluster;
     start(cluster);
-    const int old = cluster.primary();
+    const int oldPrimary = cluster.primary();
     for (int member = 0; member < 3; ++member) {
-        if (member != old) {
+        if (member != oldPrimary) {
             cluster.kill(member);
         }
     }
-    // Once while no switchover can begin, and once taken back under the hold of one.
+    // Withdrawn once while no switchover can start, and once while a switchover pauses writes.
     cluster.run(Milliseconds{100});
     for (const std::size_t started : {0, 1}) {
-        cluster.setLeaving(old, true);
-        cluster.requestSwitchover(cluster.members[old].name);
+        cluster.setLeaving(oldPrimary, true);
+        cluster.requestSwitchover(cluster.members[oldPrimary].name);
         cluster.run(Milliseconds{20});
         cr_assert_eq(cluster.count(AuditEventKind::SwitchoverStarted), started);
-        cluster.setLeaving(old, false);
+        cluster.setLeaving(oldPrimary, false);
         cluster.requestSwitchover(MemberName{});
-        cluster.settle(Milliseconds{8000});
-        cr_assert_eq(cluster.primary(), old);
+        cluster.recoverAll(Milliseconds{8000});
+        cr_assert_eq(cluster.primary(), oldPrimary);
         cr_assert_eq(cluster.count(AuditEventKind::SwitchoverStarted), started);
         cr_assert_eq(cluster.count(AuditEventKind::SwitchoverFinished), 0);
     }
-    expectWhole(cluster);
+    recoverAndCheck(cluster);
 }
 
-Test(groups, switchoverIsAbandonedWhenNoReplicaGetsThere)
+Test(groups, switchoverIsAbandonedWhenNoReplicaCatchesUp)
 {
     ClusterOptions options;
     options.policy.replicationBound = Milliseconds{60'000};
     options.policy.replicationBoundLimit = Milliseconds{60'000};
     Cluster cluster{options};
     start(cluster);
-    const int old = cluster.primary();
+    const int oldPrimary = cluster.primary();
     for (int member = 0; member < 3; ++member) {
-        cluster.members[member].lag = member == old ? Milliseconds{0} : Milliseconds{20'000};
+        cluster.members[member].lag = member == oldPrimary ? Milliseconds{0} : Milliseconds{20'000};
     }
     cluster.run(Milliseconds{100});
-    cluster.setLeaving(old, true);
+    cluster.setLeaving(oldPrimary, true);
     cluster.run(Milliseconds{2500});
-    cr_assert_eq(cluster.primary(), old);
+    cr_assert_eq(cluster.primary(), oldPrimary);
     cr_assert(cluster.count(AuditEventKind::SwitchoverAbandoned) > 0);
-    cr_assert(cluster.proxies[0].heldUntil <= cluster.now);
-    cluster.setLeaving(old, false);
-    expectWhole(cluster);
+    cr_assert(cluster.proxies[0].writesPausedUntil <= cluster.now);
+    cluster.setLeaving(oldPrimary, false);
+    recoverAndCheck(cluster);
 }
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,4 +1,4 @@
-// The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
+// Unit tests of the groups module: quorum state, read index rounds, switchover, pacing, votes and local pauses.
 #include "groups/impl/membertracker.h"
 #include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(groups, entryIsCoveredByAMajorityAtItsOwnTerm)
+Test(groups, entryIsReplicatedByAMajorityAtItsOwnTerm)
 {
     AckTracker tracker{{a, b, c}};
     cr_assert(!tracker.onState(a, LogPosition{first, 5}, first));
@@ -46,7 +46,7 @@
     cr_assert((tracker.replicated() == LogPosition{first, 3}));
 }
 
-Test(groups, reportsAtAHigherTermDoNotCoverALowerOnesEntry)
+Test(groups, reportsAtAHigherTermDoNotCountForAnEntryOfALowerTerm)
 {
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, LogPosition{first, 5}, first);
@@ -57,7 +57,7 @@
     cr_assert(tracker.quorumState(LogPosition{second, 9}) == QuorumState::Replicated);
 }
 
-Test(groups, coveredEntryStaysCoveredAfterAPromotion)
+Test(groups, replicatedEntryStaysReplicatedAfterAPromotion)
 {
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, LogPosition{first, 5}, first);
@@ -68,9 +68,9 @@
     cr_assert(tracker.quorumState(LogPosition{first, 6}) == QuorumState::Superseded);
 }
 
-Test(groups, copiesMadeUnderAHigherTermDoNotCoverAnEntry)
+Test(groups, copiesMadeUnderAHigherTermDoNotCountForAnEntry)
 {
-    // The entry (1, 5) is only on a; b led term 2 and holds an entry of it; a leads term 3 and c catches up with it.
+    // The entry (1, 5) is only on a; b led term 2 and has an entry of it; a leads term 3, and c catches up with a.
     const Term third{3, 1};
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, LogPosition{first, 5}, first);
@@ -82,7 +82,7 @@
     cr_assert(tracker.quorumState(LogPosition{third, 6}) == QuorumState::Replicated);
 }
 
-Test(groups, unknownMembersCoverNothing)
+Test(groups, reportsOfUnknownMembersDoNotCount)
 {
     AckTracker tracker{{a, b, c}};
     tracker.onState(a, LogPosition{first, 5}, first);
@@ -90,26 +90,26 @@
     cr_assert(tracker.quorumState(LogPosition{first, 5}) == QuorumState::Pending);
 }
 
-Test(groups, coverageIsTheMajorityPositionAtEachTerm)
+Test(groups, replicatedPositionIsTheMajorityPositionOfATerm)
 {
-    const bool holds = rc::check("covered is the second of three positions", [](std::uint8_t x, std::uint8_t y, std::uint8_t z) {
+    const bool holds = rc::check("the replicated position is the second of three", [](std::uint8_t x, std::uint8_t y, std::uint8_t z) {
         AckTracker tracker{{a, b, c}};
         tracker.onState(a, LogPosition{first, x}, first);
         tracker.onState(b, LogPosition{first, y}, first);
         tracker.onState(c, LogPosition{first, z}, first);
         std::array<std::uint8_t, 3> sorted{x, y, z};
         std::sort(sorted.begin(), sorted.end());
-        const std::uint64_t covered = sorted[1];
-        // Position 0 asks for the term's start entry, which stands at 1 or later.
-        const auto atStart = covered > 0 ? QuorumState::Replicated : QuorumState::Pending;
+        const std::uint64_t replicatedIndex = sorted[1];
+        // Index 0 queries the term's start entry, which is at index 1 or later.
+        const auto atStart = replicatedIndex > 0 ? QuorumState::Replicated : QuorumState::Pending;
         RC_ASSERT(tracker.quorumState(LogPosition{first, 0}) == atStart);
-        RC_ASSERT(tracker.quorumState(LogPosition{first, covered}) == atStart);
-        RC_ASSERT(tracker.quorumState(LogPosition{first, covered + 1}) == QuorumState::Pending);
+        RC_ASSERT(tracker.quorumState(LogPosition{first, replicatedIndex}) == atStart);
+        RC_ASSERT(tracker.quorumState(LogPosition{first, replicatedIndex + 1}) == QuorumState::Pending);
     });
     cr_assert(holds);
 }
 
-Test(groups, readRoundCountsOnlyRepliesToWhatWasSentAfterItBegan)
+Test(groups, readRoundCountsOnlyRepliesToRequestsSentAfterItsStart)
 {
     ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
@@ -120,14 +120,14 @@
     rounds.onState(b, first, LogPosition{first, 7}, at(13));
     cr_assert(!rounds.takeResult(at(14)));
     rounds.onState(c, first, LogPosition{first, 7}, at(13));
-    cr_assert(!rounds.takeResult(at(14)), "no reply of the primary counts yet");
+    cr_assert(!rounds.takeResult(at(14)), "no reply of the primary counts so far");
     rounds.onState(a, first, LogPosition{first, 8}, at(13));
     const auto result = rounds.takeResult(at(20));
     cr_assert(result && result->leaderConfirmed && result->round == round);
     cr_assert((result->readPosition == LogPosition{first, 8}));
 }
 
-Test(groups, readMarkIsNeverOfALowerTerm)
+Test(groups, readPositionIsNeverOfALowerTerm)
 {
     ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, second);
@@ -135,7 +135,7 @@
     (void)rounds.begin(at(0));
     rounds.onState(b, second, LogPosition{second, 9}, at(1));
     rounds.onState(a, second, LogPosition{first, 4}, at(1));
-    cr_assert(!rounds.takeResult(at(2)), "an old mark says nothing on the primary's log");
+    cr_assert(!rounds.takeResult(at(2)), "a position of a lower term is not the end of the primary's log");
     rounds.onState(a, second, LogPosition{second, 9}, at(1));
     cr_assert((rounds.takeResult(at(3))->readPosition == LogPosition{second, 9}));
 }
@@ -155,14 +155,14 @@
     cr_assert_eq(*rounds.begin(at(8)), later);
 }
 
-Test(groups, readRoundFailsWhenSupersededOrLate)
+Test(groups, readRoundFailsWhenSupersededOrTimedOut)
 {
     ReadIndexRounds rounds{{a, b, c}};
     rounds.setPrimary(a, first);
     (void)rounds.join(at(0));
     (void)rounds.begin(at(0));
     rounds.onState(b, second, LogPosition{}, at(1));
-    cr_assert(!rounds.takeResult(at(1)), "one member alone does not supersede");
+    cr_assert(!rounds.takeResult(at(1)), "one member is not a majority");
     rounds.onState(c, second, LogPosition{}, at(1));
     cr_assert(!rounds.takeResult(at(2))->leaderConfirmed);
     (void)rounds.join(at(3));
@@ -175,7 +175,7 @@
     cr_assert(!rounds.takeResult(at(301))->leaderConfirmed);
 }
 
-Test(groups, readRoundWithoutAPrimaryFailsInTime)
+Test(groups, readRoundWithoutAPrimaryFailsAtItsTimeout)
 {
     ReadIndexRounds rounds{{a, b, c}};
     const auto round = rounds.join(at(0));
@@ -184,7 +184,7 @@
     cr_assert(result && result->round == round && !result->leaderConfirmed);
 }
 
-Test(groups, switchoverWaitsForQuietAndForAReplica)
+Test(groups, switchoverWaitsForAStableLogAndACaughtUpReplica)
 {
     const GroupPolicy policy;
     Switchover switchover;
@@ -204,7 +204,7 @@
     cr_assert(switchover.advance(reports, first, policy, switchover.deadline()) == SwitchoverStep::Abandon);
 }
 
-Test(groups, greatestMarkLeadsAndOnlyAfterAMajority)
+Test(groups, greatestLogPositionIsChosenOnlyAfterAMajorityAdopted)
 {
     PromotionPlan plan;
     plan.term = Term{3, 9};
@@ -226,32 +226,32 @@
     cr_assert(promotion.candidate() == c, "one term has one candidate");
 }
 
-Test(groups, overlappingRepliesNeverTakeAMemberBack)
+Test(groups, overlappingRepliesNeverRevertAMembersState)
 {
-    MemberTracker watch{a, at(0)};
-    watch.onState(report(a, second, LogPosition{second, 4}, MemberRole::Primary), at(0), at(10));
-    watch.onState(report(a, first, LogPosition{first, 9}), at(5), at(11));
-    watch.onState(report(a, second, LogPosition{first, 3}), at(5), at(12));
-    cr_assert(watch.report()->role == MemberRole::Primary);
-    watch.onState(report(a, second, LogPosition{second, 4}), at(12), at(20));
-    cr_assert(watch.report()->role == MemberRole::Replica, "a reply to a later question is the truth");
+    MemberTracker memberTracker{a, at(0)};
+    memberTracker.onState(report(a, second, LogPosition{second, 4}, MemberRole::Primary), at(0), at(10));
+    memberTracker.onState(report(a, first, LogPosition{first, 9}), at(5), at(11));
+    memberTracker.onState(report(a, second, LogPosition{first, 3}), at(5), at(12));
+    cr_assert(memberTracker.report()->role == MemberRole::Primary);
+    memberTracker.onState(report(a, second, LogPosition{second, 4}), at(12), at(20));
+    cr_assert(memberTracker.report()->role == MemberRole::Replica, "a reply to a later request is newer");
 }
 
-Test(groups, peersVotesNeedFreshNews)
+Test(groups, peerVotesNeedRecentObservations)
 {
-    PeerObservations suspicion;
-    suspicion.onObservation(InstanceName{"p"}, PeerObservation{a, first, first, LogPosition{first, 9}, Milliseconds{10}}, at(100));
-    suspicion.onObservation(InstanceName{"q"}, PeerObservation{a, first, first, LogPosition{first, 4}, Milliseconds{300}}, at(100));
-    suspicion.onObservation(InstanceName{"r"}, PeerObservation{}, at(100));
-    const auto fresh = suspicion.votes(first, at(50));
+    PeerObservations peerObservations;
+    peerObservations.onObservation(InstanceName{"p"}, PeerObservation{a, first, first, LogPosition{first, 9}, Milliseconds{10}}, at(100));
+    peerObservations.onObservation(InstanceName{"q"}, PeerObservation{a, first, first, LogPosition{first, 4}, Milliseconds{300}}, at(100));
+    peerObservations.onObservation(InstanceName{"r"}, PeerObservation{}, at(100));
+    const auto fresh = peerObservations.votes(first, at(50));
     cr_assert(fresh.alive == 1 && fresh.dead == 1);
-    const auto stale = suspicion.votes(first, at(200));
+    const auto stale = peerObservations.votes(first, at(200));
     cr_assert(stale.alive == 0 && stale.dead == 0);
-    cr_assert(suspicion.votes(second, at(50)).alive == 0);
-    cr_assert((suspicion.furthestLog(a, first) == LogPosition{first, 9}));
+    cr_assert(peerObservations.votes(second, at(50)).alive == 0);
+    cr_assert((peerObservations.furthestLog(a, first) == LogPosition{first, 9}));
 }
 
-Test(groups, ownPauseIsNotTakenForADeadPrimary)
+Test(groups, localPauseIsNotTakenForADeadPrimary)
 {
     const GroupPolicy policy;
     const std::vector<GroupMember> members{{a, Address{"10.0.0.1:1"}}, {b, Address{"10.0.0.2:1"}}, {c, Address{"10.0.0.3:1"}}};
@@ -262,15 +262,15 @@
     (void)monitor.onReport(c, report(c, first, LogPosition{first, 1}), at(0), at(300));
     cr_assert(monitor.primary()->confirmed);
     (void)monitor.tick(monitor.nextWake());
-    // The process stands still for a second, and its tick comes before the replies that wait.
-    const auto late = monitor.nextWake() + Milliseconds{1000};
-    (void)monitor.tick(late);
+    // The process is paused for a second, and its tick precedes the pending replies.
+    const auto resumedAt = monitor.nextWake() + Milliseconds{1000};
+    (void)monitor.tick(resumedAt);
     cr_assert(!monitor.primary()->suspected);
-    (void)monitor.onReport(a, report(a, first, LogPosition{first, 1}, MemberRole::Primary), late, late + Milliseconds{1});
+    (void)monitor.onReport(a, report(a, first, LogPosition{first, 1}, MemberRole::Primary), resumedAt, resumedAt + Milliseconds{1});
     cr_assert(!monitor.primary()->suspected);
 }
 
-Test(groups, removedPrimaryIsNoLongerBelieved)
+Test(groups, removedMemberIsNoLongerPrimary)
 {
     const std::vector<GroupMember> members{{a, Address{"10.0.0.1:1"}}, {b, Address{"10.0.0.2:1"}}, {c, Address{"10.0.0.3:1"}}};
     GroupMonitor monitor{members, 0, GroupPolicy{}, 1, at(0)};
@@ -300,24 +300,24 @@
         }
     }
     cr_assert_eq(term.number, 1);
-    const auto holdsLead = [](const GroupActions &actions) {
+    const auto containsLead = [](const GroupActions &actions) {
         return std::any_of(
             actions.begin(), actions.end(), [](const GroupAction &action) { return std::holds_alternative<SendLead>(action); });
     };
     const TermReply accepted{true, report(a, term, LogPosition{})};
-    cr_assert(!holdsLead(monitor.onOrderReply(a, OrderKind::Adopt, term, accepted, at(5), at(12))), "one of three is no majority");
+    cr_assert(!containsLead(monitor.onOrderReply(a, OrderKind::Adopt, term, accepted, at(5), at(12))), "one of three is no majority");
     const TermReply refused{false, report(b, Term{9, 1}, LogPosition{})};
-    cr_assert(!holdsLead(monitor.onOrderReply(b, OrderKind::Adopt, term, refused, at(5), at(12))));
+    cr_assert(!containsLead(monitor.onOrderReply(b, OrderKind::Adopt, term, refused, at(5), at(12))));
     cr_assert(!monitor.promoting());
     cr_assert_eq(monitor.observation(at(12)).highest.number, 9);
-    const TermReply late{true, report(c, term, LogPosition{})};
-    cr_assert(!holdsLead(monitor.onOrderReply(c, OrderKind::Adopt, term, late, at(5), at(13))), "the attempt has ended");
+    const TermReply lateReply{true, report(c, term, LogPosition{})};
+    cr_assert(!containsLead(monitor.onOrderReply(c, OrderKind::Adopt, term, lateReply, at(5), at(13))), "the attempt has ended");
 }
 
-Test(groups, pacingKeepsTheBudgetAndTheBound)
+Test(groups, pacingStaysWithinTheBudgetAndTheFailoverBound)
 {
     const PacingBudget budget;
-    cr_assert((paceReports(3, 9) == Pacing{Milliseconds{50}, 1}), "today's sizes");
+    cr_assert((paceReports(3, 9) == Pacing{Milliseconds{50}, 1}), "few members use the shortest interval");
     const auto paced = paceReports(19, 57);
     GroupPolicy policy;
     policy.heartbeatInterval = paced.heartbeatInterval;
@@ -326,7 +326,7 @@
     const double exchanges = 19 / interval + 38 / (interval * paced.replicaHeartbeatFactor);
     cr_assert(exchanges * static_cast<double>(budget.bytesPerExchange) <= 11'000 * 0.7);
     cr_assert(policy.suspectAfter() + policy.attemptTimeout < Milliseconds{5000});
-    const bool holds = rc::check("more watches never mean more frequent reports", [](std::uint16_t groups) {
+    const bool holds = rc::check("more groups never mean more frequent reports", [](std::uint16_t groups) {
         RC_ASSERT(paceReports(groups, 3U * groups).heartbeatInterval <= paceReports(groups + 1U, 3U * (groups + 1U)).heartbeatInterval);
     });
     cr_assert(holds);
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -52,20 +52,20 @@
     cr_assert(set.owners(groupAt(1), {FailureDomain{"elsewhere"}}).size() == 1);
 }
 
-Test(membership, removalMovesOnlyTheRemovedOwnersGroups)
+Test(membership, removalAffectsOnlyTheRemovedOwnersGroups)
 {
-    const bool holds = rc::check("removal moves only its own groups", [] {
+    const bool holds = rc::check("removal changes the owners of its own groups only", [] {
         const auto size = *rc::gen::inRange<std::size_t>(4, 40);
         const auto removed = *rc::gen::inRange<std::size_t>(0, size);
         auto instances = fleetOf(size);
         const InstanceSet before{instances};
-        const auto gone = instances[removed].name;
+        const auto removedName = instances[removed].name;
         instances.erase(instances.begin() + static_cast<std::ptrdiff_t>(removed));
         std::reverse(instances.begin(), instances.end());
         const InstanceSet after{instances};
         for (std::size_t index = 0; index < 50; ++index) {
             for (const auto *owner : before.owners(groupAt(index), threeDomains)) {
-                if (owner->name != gone) {
+                if (owner->name != removedName) {
                     RC_ASSERT(after.rank(groupAt(index), threeDomains, owner->name).has_value());
                 }
             }
@@ -93,7 +93,7 @@
     cr_assert(holds);
 }
 
-Test(membership, groupsAndRanksSpreadEvenly)
+Test(membership, groupsAndRanksAreDistributedEvenly)
 {
     const InstanceSet set{fleetOf(30)};
     std::map<InstanceName, int> owned;
