--- a/tests/membership/test_view.cpp
+++ b/tests/membership/test_view.cpp
@@ -1,4 +1,4 @@
-// Tests of the membership view in virtual time: small fleets, 3,500 proxies, deaths, refutations and healed cuts.
+// Tests of the membership view in virtual time: small fleets, 3,500 proxies, deaths, refutations and healed partitions.
 #include "membership/view.h"
 
 #include <criterion/criterion.h>
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr Milliseconds tickEvery{100};
+constexpr Milliseconds tickInterval{100};
 
-class ViewFleet
+class SimulatedFleet
 {
 public:
-    ViewFleet(std::size_t size, std::size_t domains)
+    SimulatedFleet(std::size_t size, std::size_t domains)
         : up(size, true)
         , side(size, 0)
         , bytes(size, 0)
@@ -70,8 +70,8 @@
         now = end;
     }
 
-    /// Live proxies whose view of \a about is \a state.
-    std::size_t holding(std::size_t about, ProxyState state) const
+    /// Number of live proxies in whose view \a about has the state \a state.
+    std::size_t countObserving(std::size_t about, ProxyState state) const
     {
         std::size_t count = 0;
         for (std::size_t node = 0; node < views.size(); ++node) {
@@ -86,7 +86,7 @@
         return static_cast<std::size_t>(std::count(up.begin(), up.end(), true));
     }
 
-    void relist()
+    void applyList()
     {
         for (auto &view : views) {
             view->onListed(listed, now);
@@ -96,12 +96,12 @@
     std::vector<std::unique_ptr<MembershipView>> views;
     std::vector<ListedInstance> listed;
     std::vector<bool> up;
-    /// Proxies on different sides do not hear each other.
+    /// The side of a partition that each proxy is on; messages between different sides are lost.
     std::vector<int> side;
     std::vector<std::uint64_t> bytes;
     std::uint64_t messages = 0;
     TimePoint now{};
-    /// A link that loses everything, besides the sides.
+    /// Pairs of sender and receiver whose messages are lost, in addition to those between sides.
     std::set<std::pair<std::size_t, std::size_t>> lost;
 
 private:
@@ -127,7 +127,7 @@
                 perform(node, action);
             }
         }
-        at(now + tickEvery, [this, node] { tickLoop(node); });
+        at(now + tickInterval, [this, node] { tickLoop(node); });
     }
 
     static std::size_t indexOf(const LiveInstance &instance)
@@ -144,15 +144,15 @@
         ++messages;
     }
 
-    /// Carries a message from one proxy to another and calls \a then on arrival.
-    void carry(std::size_t from, std::size_t to, std::size_t updates, std::function<void()> then)
+    /// Sends a message from one proxy to another and calls \a onArrival when it arrives.
+    void transmit(std::size_t from, std::size_t to, std::size_t updates, std::function<void()> onArrival)
     {
         count(from, to, updates);
         const auto delay = Microseconds{3500 + random_.below(1000)};
         if (side[from] == side[to] && lost.count({from, to}) == 0) {
-            at(now + delay, [this, to, then = std::move(then)] {
+            at(now + delay, [this, to, onArrival = std::move(onArrival)] {
                 if (up[to]) {
-                    then();
+                    onArrival();
                 }
             });
         }
@@ -162,29 +162,29 @@
     {
         if (const auto *ping = std::get_if<SendPing>(&action)) {
             const auto to = indexOf(ping->to);
-            carry(node, to, ping->message.updates.size(), [this, node, to, id = ping->id, message = ping->message] {
+            transmit(node, to, ping->message.updates.size(), [this, node, to, id = ping->id, message = ping->message] {
                 auto ack = views[to]->onPing(message, now);
                 const auto updates = ack.updates.size();
-                carry(to, node, updates, [this, node, id, ack = std::move(ack)] { views[node]->onAck(id, ack, now); });
+                transmit(to, node, updates, [this, node, id, ack = std::move(ack)] { views[node]->onAck(id, ack, now); });
             });
         } else if (const auto *indirect = std::get_if<SendIndirectPing>(&action)) {
             const auto via = indexOf(indirect->via);
             const auto target = indexOf(indirect->target);
             const auto updates = indirect->message.updates.size();
-            carry(node, via, updates, [this, node, via, target, updates, id = indirect->id, message = indirect->message] {
-                carry(via, target, updates, [this, node, via, target, id, message] {
+            transmit(node, via, updates, [this, node, via, target, updates, id = indirect->id, message = indirect->message] {
+                transmit(via, target, updates, [this, node, via, target, id, message] {
                     auto ack = views[target]->onPing(message, now);
                     const auto count = ack.updates.size();
-                    carry(target, via, count, [this, node, via, count, id, ack] {
-                        carry(via, node, count, [this, node, id, ack] { views[node]->onAck(id, ack, now); });
+                    transmit(target, via, count, [this, node, via, count, id, ack] {
+                        transmit(via, node, count, [this, node, id, ack] { views[node]->onAck(id, ack, now); });
                     });
                 });
             });
         } else {
             const auto from = indexOf(std::get<FetchSnapshot>(action).from);
-            carry(node, from, 0, [this, node, from] {
+            transmit(node, from, 0, [this, node, from] {
                 const auto all = views[from]->snapshot();
-                carry(from, node, all.size(), [this, node, all] { views[node]->onSnapshot(all, now); });
+                transmit(from, node, all.size(), [this, node, all] { views[node]->onSnapshot(all, now); });
             });
         }
     }
@@ -202,7 +202,7 @@
 
 const std::vector<FailureDomain> groupDomains{FailureDomain{"d0"}, FailureDomain{"d1"}, FailureDomain{"d2"}};
 
-/// Groups that \a victim owns by \a set, at most \a count.
+/// Returns the first \a count groups of which \a victim is an owner in \a set.
 std::vector<GroupName> groupsOf(const InstanceSet &set, const InstanceName &victim, std::size_t count)
 {
     std::vector<GroupName> groups;
@@ -215,12 +215,12 @@
     return groups;
 }
 
-/// Part of the live proxies, sampled, that name \a victim as an owner of some of \a groups.
-double stillNaming(ViewFleet &fleet, const InstanceName &victim, const std::vector<GroupName> &groups)
+/// Returns the fraction of the sampled live proxies that name \a victim as an owner of any of \a groups.
+double fractionNaming(SimulatedFleet &fleet, const InstanceName &victim, const std::vector<GroupName> &groups)
 {
     const auto step = std::max<std::size_t>(1, fleet.views.size() / 100);
     std::size_t naming = 0;
-    std::size_t asked = 0;
+    std::size_t sampled = 0;
     for (std::size_t node = 0; node < fleet.views.size(); node += step) {
         if (!fleet.up[node]) {
             continue;
@@ -228,36 +228,36 @@
         const auto owners = fleet.views[node]->owners();
         naming +=
             std::any_of(groups.begin(), groups.end(), [&](const auto &group) { return owners->rank(group, groupDomains, victim); }) ? 1 : 0;
-        ++asked;
+        ++sampled;
     }
-    return static_cast<double>(naming) / static_cast<double>(asked);
+    return static_cast<double>(naming) / static_cast<double>(sampled);
 }
 
 struct DeathTimes {
-    double toFirst = 0;
-    double toAll = 0;
+    double untilFirst = 0;
+    double untilAll = 0;
 };
 
-DeathTimes killAndMeasure(ViewFleet &fleet, std::size_t victim)
+DeathTimes killAndMeasure(SimulatedFleet &fleet, std::size_t victim)
 {
     fleet.up[victim] = false;
     const auto killedAt = fleet.now;
     DeathTimes times;
-    while (fleet.holding(victim, ProxyState::Dead) < fleet.liveCount() && fleet.now - killedAt < Seconds{60}) {
+    while (fleet.countObserving(victim, ProxyState::Dead) < fleet.liveCount() && fleet.now - killedAt < Seconds{60}) {
         fleet.run(Milliseconds{100});
-        if (times.toFirst == 0 && fleet.holding(victim, ProxyState::Dead) > 0) {
-            times.toFirst = secondsOf(fleet.now - killedAt);
+        if (times.untilFirst == 0 && fleet.countObserving(victim, ProxyState::Dead) > 0) {
+            times.untilFirst = secondsOf(fleet.now - killedAt);
         }
     }
-    times.toAll = secondsOf(fleet.now - killedAt);
+    times.untilAll = secondsOf(fleet.now - killedAt);
     return times;
 }
 
 } // namespace
 
-Test(view, deadProxyIsFoundByAllOfASmallFleet)
+Test(view, deadProxyIsDetectedByAllOfASmallFleet)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{20});
     std::fill(fleet.bytes.begin(), fleet.bytes.end(), 0);
     fleet.messages = 0;
@@ -265,91 +265,92 @@
     const auto perNode = static_cast<double>(fleet.messages) / 60 / 7;
     const auto busiest = static_cast<double>(*std::max_element(fleet.bytes.begin(), fleet.bytes.end())) / 60;
     const auto times = killAndMeasure(fleet, 2);
-    cr_log_warn("7 proxies: %.2f messages sent a second, %.0f bytes a second in and out at the busiest; dead first after %.1f s, for all "
-                "after %.1f s",
-                perNode,
-                busiest,
-                times.toFirst,
-                times.toAll);
-    cr_assert(times.toAll < 12);
+    cr_log_warn(
+        "7 proxies: %.2f messages sent per second, %.0f bytes per second in and out at the busiest; death detected by the first after "
+        "%.1f s, by all after %.1f s",
+        perNode,
+        busiest,
+        times.untilFirst,
+        times.untilAll);
+    cr_assert(times.untilAll < 12);
     cr_assert(fleet.views[0]->owners()->instances().size() == 6);
     cr_assert(busiest < 11'000);
 }
 
-Test(view, oneLostLinkIsNoDeath)
+Test(view, messageLossBetweenTwoProxiesCausesNoDeath)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.lost = {{0, 1}, {1, 0}};
     const auto generation = fleet.views[3]->generation();
     fleet.run(Seconds{120});
-    cr_assert(fleet.holding(1, ProxyState::Dead) == 0);
-    cr_assert(fleet.holding(0, ProxyState::Dead) == 0);
+    cr_assert(fleet.countObserving(1, ProxyState::Dead) == 0);
+    cr_assert(fleet.countObserving(0, ProxyState::Dead) == 0);
     cr_assert(fleet.views[3]->generation() == generation);
 }
 
-Test(view, briefPauseIsRefuted)
+Test(view, suspicionAfterABriefPauseIsRefuted)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     fleet.up[4] = false;
     fleet.run(Milliseconds{2500});
     fleet.up[4] = true;
     fleet.run(Seconds{15});
-    cr_assert(fleet.holding(4, ProxyState::Alive) == 6);
+    cr_assert(fleet.countObserving(4, ProxyState::Alive) == 6);
 }
 
-Test(view, restartedProxyIsAliveAgainAtOnceKnownByItsNewIncarnation)
+Test(view, restartedProxyIsAliveAgainByItsNewIncarnation)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     killAndMeasure(fleet, 4);
     fleet.views[4] = fleet.makeView(4, 1000);
     fleet.views[4]->onListed(fleet.listed, fleet.now);
     fleet.up[4] = true;
     fleet.run(Seconds{12});
-    cr_assert(fleet.holding(4, ProxyState::Alive) == 6);
+    cr_assert(fleet.countObserving(4, ProxyState::Alive) == 6);
     cr_assert(fleet.views[4]->owners()->instances().size() == 7);
     cr_assert(fleet.views[4]->cannotRead({ObjectKind{"group"}, 1}).empty());
 }
 
 Test(view, leavingProxyOwnsNothingWithinSeconds)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     fleet.views[6]->leave(fleet.now);
     fleet.run(Seconds{4});
-    cr_assert(fleet.holding(6, ProxyState::Leaving) == 6);
+    cr_assert(fleet.countObserving(6, ProxyState::Leaving) == 6);
     cr_assert(fleet.views[1]->owners()->instances().size() == 6);
 }
 
-Test(view, leavingByTheListHoldsAgainstTheProxysOwnNews)
+Test(view, leavingInTheListOverridesTheProxysOwnUpdates)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     fleet.listed[6].state = ListedState::Leaving;
     fleet.views[0]->onListed(fleet.listed, fleet.now);
     fleet.run(Seconds{6});
-    cr_assert(fleet.holding(6, ProxyState::Leaving) == 6);
+    cr_assert(fleet.countObserving(6, ProxyState::Leaving) == 6);
     cr_assert(fleet.views[6]->isLeaving());
 }
 
-Test(view, laggingListDoesNotBringBackADeadProxy)
+Test(view, outdatedListDoesNotReviveADeadProxy)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     killAndMeasure(fleet, 2);
-    fleet.relist();
+    fleet.applyList();
     fleet.run(Seconds{90});
-    cr_assert(fleet.holding(2, ProxyState::Dead) == 6);
+    cr_assert(fleet.countObserving(2, ProxyState::Dead) == 6);
     fleet.listed.erase(fleet.listed.begin() + 2);
-    fleet.relist();
+    fleet.applyList();
     fleet.run(Seconds{2});
-    cr_assert(fleet.views[0]->find(ViewFleet::nameOf(2)) == nullptr);
+    cr_assert(fleet.views[0]->find(SimulatedFleet::nameOf(2)) == nullptr);
 }
 
-Test(view, sidesOfAHealedCutMeetAgain)
+Test(view, sidesOfAHealedPartitionFindEachOther)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
     fleet.side = {0, 0, 0, 0, 1, 1, 1};
     fleet.run(Seconds{60});
@@ -362,28 +363,28 @@
     }
 }
 
-Test(view, formsAndConfigurationTravelWithTheProxies)
+Test(view, formsAndConfigurationRevisionsAreDisseminated)
 {
-    ViewFleet fleet{7, 3};
+    SimulatedFleet fleet{7, 3};
     for (std::size_t node = 0; node < 7; ++node) {
         fleet.views[node]->setConfiguration(Revision{node == 3 ? 4U : 9U});
     }
     fleet.run(Seconds{60});
     cr_assert(fleet.views[0]->cannotRead({ObjectKind{"group"}, 1}).empty());
     cr_assert(fleet.views[0]->cannotRead({ObjectKind{"group"}, 2}).size() == 7);
-    const std::vector<InstanceName> expected{ViewFleet::nameOf(3)};
+    const std::vector<InstanceName> expected{SimulatedFleet::nameOf(3)};
     cr_assert(fleet.views[0]->behind(Revision{9}) == expected);
 }
 
-Test(view, largeFleetWithinItsBudget)
+Test(view, largeFleetStaysWithinItsBudget)
 {
     constexpr std::size_t size = 3500;
-    ViewFleet fleet{size, 10};
+    SimulatedFleet fleet{size, 10};
     fleet.run(Seconds{3});
     std::fill(fleet.bytes.begin(), fleet.bytes.end(), 0);
     fleet.messages = 0;
     const auto from = fleet.now;
-    // A death or a leaving notice each second: 1.5 pieces of news, five times those of an ordinary day with 8,500 replacements.
+    // A death or a leaving proxy each second causes 1.5 updates, five times those of an ordinary day with 8,500 replacements.
     std::size_t victim = 100;
     for (int second = 0; second < 10; ++second) {
         if (second % 2 == 0) {
@@ -400,30 +401,28 @@
     for (const auto count : fleet.bytes) {
         total += count;
     }
-    cr_log_warn("3,500 proxies: %.2f messages sent a second, %.0f bytes a second in and out on average, %.0f at the busiest",
+    cr_log_warn("3,500 proxies: %.2f messages sent per second, %.0f bytes per second in and out on average, %.0f at the busiest",
                 static_cast<double>(fleet.messages) / span / size,
                 static_cast<double>(total) / span / size,
                 busiest);
     cr_assert(busiest < 11'000);
     constexpr std::size_t dead = 10;
-    const auto name = ViewFleet::nameOf(dead);
+    const auto name = SimulatedFleet::nameOf(dead);
     const auto groups = groupsOf(*fleet.views[0]->owners(), name, 10);
-    cr_assert(stillNaming(fleet, name, groups) == 1);
+    cr_assert(fractionNaming(fleet, name, groups) == 1);
     fleet.up[dead] = false;
     const auto killedAt = fleet.now;
     double first = 0;
     double half = 0;
-    while (stillNaming(fleet, name, groups) > 0 && fleet.now - killedAt < Seconds{60}) {
+    while (fractionNaming(fleet, name, groups) > 0 && fleet.now - killedAt < Seconds{60}) {
         fleet.run(Milliseconds{250});
-        const auto naming = stillNaming(fleet, name, groups);
-        const auto passed = secondsOf(fleet.now - killedAt);
-        first = first == 0 && naming < 1 ? passed : first;
-        half = half == 0 && naming <= 0.5 ? passed : half;
+        const auto naming = fractionNaming(fleet, name, groups);
+        const auto elapsed = secondsOf(fleet.now - killedAt);
+        first = first == 0 && naming < 1 ? elapsed : first;
+        half = half == 0 && naming <= 0.5 ? elapsed : half;
     }
     const auto all = secondsOf(fleet.now - killedAt);
-    cr_log_warn("a dead owner is named no more by the first of 100 sampled proxies after %.1f s, by half after %.1f s, by all after %.1f s",
-                first,
-                half,
-                all);
+    cr_log_warn(
+        "of 100 sampled proxies, the first stops naming a dead owner after %.1f s, half after %.1f s, all after %.1f s", first, half, all);
     cr_assert(all < 20);
 }
