--- a/src/gateway/callerconnection.h
+++ b/src/gateway/callerconnection.h
@@ -1,4 +1,4 @@
-// One caller's connection: lines in, statements out, and answers back.
+// One caller's connection: parses lines into statements and sends the answers.
 #pragma once
 
 #include "evloop/lineconnection.h"
@@ -14,26 +14,26 @@
 
 namespace cardamomstep::gateway {
 
-/// What a caller's connection reports.
+/// Callbacks of a CallerConnection.
 struct CallerConnectionHandlers {
     /// Opens the session; an error ends it.
     std::function<Result<Success>(const relay::DatabaseName &database)> opened;
     std::function<void(const relay::SessionStatement &statement)> statement;
     /// The connection ended; not called after close().
     std::function<void()> closed;
-    /// Where the session is passed on to; nothing when this process serves it.
+    /// The proxy to forward the session to; std::nullopt when this process serves it.
     std::function<std::optional<ForwardTarget>(const relay::DatabaseName &database)> forward;
-    /// A proxy could not be reached, or did not answer.
+    /// A proxy could not be reached, refused the session, closed its connection or did not reply.
     std::function<void(const Address &proxy)> forwardFailed;
-    /// A session served here ended at rest, so that the caller's next one goes to \a proxy.
+    /// A session served by this process was ended while idle, so that the caller's next one is forwarded to \a proxy.
     std::function<void(const Address &proxy)> redirected;
-    /// Goes on here with a session whose proxy is lost; false when that is not possible.
+    /// Resumes in this process a session whose proxy was lost; false when that is not possible.
     std::function<bool(const relay::CallerSession &session)> adopted;
 };
 
 /// One caller's connection; statements are reported one at a time, the next one after reply().
 ///
-/// A session that another proxy serves is passed on line by line; the answers come back unchanged.
+/// A session that another proxy serves is forwarded line by line; that proxy's lines are returned to the caller unchanged.
 template<relay::WireCodec Wire>
 class CallerConnection : public std::enable_shared_from_this<CallerConnection<Wire>>
 {
@@ -49,12 +49,12 @@
     void start()
     {
         connection_->start([self = this->shared_from_this()](std::string_view line) { self->onLine(line); },
-                           [self = this->shared_from_this()](evloop::CloseReason reason) { self->ended(reason); });
+                           [self = this->shared_from_this()](evloop::CloseReason reason) { self->onClosed(reason); });
     }
 
-    /// Sends the answer to the statement under way.
+    /// Sends the answer to the current statement.
     ///
-    /// A resting session that another proxy should serve ends with it: the caller's next one is passed on.
+    /// Ends the session if it is idle then and another proxy should serve it: the caller's next session is forwarded.
     void reply(const relay::CallerReply &reply)
     {
         std::string text;
@@ -70,7 +70,7 @@
         connection_->resume();
     }
 
-    /// Ends the session once what was sent has left.
+    /// Closes the connection once all queued output was sent; no handler is called any more.
     void close()
     {
         handlers_ = {};
@@ -78,13 +78,15 @@
         dropUpstream();
     }
 
-    /// True when another proxy serves the session.
+    /// True while another proxy serves the session.
     [[nodiscard]] bool forwarded() const noexcept
     {
         return upstream_ != nullptr;
     }
 
-    /// Ends a forwarded session as soon as it rests; true when it rests now.
+    /// Makes a forwarded session end as soon as it is idle; true when it is idle already, which leaves it to the caller to close it.
+    ///
+    /// After a statement that only sets the session up, the session stays open for up to `setupIdleTimeout`.
     [[nodiscard]] bool endWhenIdle()
     {
         endsWhenIdle_ = true;
@@ -97,11 +99,11 @@
     }
 
 private:
-    /// Longest time to reach another proxy.
+    /// Timeout for connecting to another proxy.
     static constexpr Milliseconds forwardConnectTimeout{300};
-    /// Time for an answer to come back from the proxy that serves a session, beyond the statement's own timeout.
+    /// Time allowed for the reply of the proxy that serves a session, beyond the statement's own timeout.
     static constexpr Milliseconds forwardReplyMargin{150};
-    /// Time for the statement that a session was just set up for, before the session ends.
+    /// Time that an ending session waits for the statement that it was just set up for.
     static constexpr Milliseconds setupIdleTimeout{400};
 
     void onLine(std::string_view line)
@@ -122,14 +124,14 @@
         } else if (std::holds_alternative<relay::EndSession>(message)) {
             finish();
         } else {
-            refuse(Error{ErrorKind::MalformedRequest, "the message cannot be read"});
+            refuse(Error{ErrorKind::MalformedRequest, "the message is malformed or precedes the start of the session"});
         }
     }
 
     void open(const relay::StartSession &start, const std::string &line)
     {
         if (std::exchange(sessionStarted_, true)) {
-            refuse(Error{ErrorKind::MalformedRequest, "the session is open already"});
+            refuse(Error{ErrorKind::MalformedRequest, "the session is already open"});
             return;
         }
         database_ = start.database;
@@ -158,7 +160,7 @@
         connection_->send(text);
     }
 
-    /// The other proxy was reached, or not; then the session is served here.
+    /// Starts forwarding over \a socket; serves the session locally when it is null because the other proxy could not be reached.
     void onUpstreamConnected(std::unique_ptr<boost::asio::ip::tcp::socket> socket, const std::string &line)
     {
         if (!handlers_.closed) {
@@ -170,7 +172,7 @@
         }
         upstream_ = std::make_shared<evloop::LineConnection>(std::move(*socket), evloop::LineLimits{Wire::maxMessage});
         upstream_->start([self = this->shared_from_this()](std::string_view answer) { self->returnLine(answer); },
-                         [self = this->shared_from_this()](evloop::CloseReason) { self->upstreamEnded(); });
+                         [self = this->shared_from_this()](evloop::CloseReason) { self->onUpstreamLost(); });
         sendUpstream(line);
     }
 
@@ -195,7 +197,7 @@
         timer_.expires_after(target_.statementTimeout + forwardReplyMargin);
         timer_.async_wait([self = this->shared_from_this()](const boost::system::error_code &error) {
             if (!error && self->replyPending_ && self->upstream_) {
-                self->upstreamEnded();
+                self->onUpstreamLost();
             }
         });
     }
@@ -205,7 +207,7 @@
         const auto message = Wire::parseMember(line);
         const auto *ready = std::get_if<relay::MemberReady>(&message);
         if (!sessionAccepted_ && ready == nullptr) {
-            // The other proxy may know an older configuration than this one, or be stopping.
+            // The other proxy refused the session: its configuration may be older than this one's, or it is shutting down.
             serveLocally();
             return;
         }
@@ -231,7 +233,7 @@
         connection_->resume();
     }
 
-    /// Ends the session unless the statement that it was set up for comes in time.
+    /// Ends the session unless the statement that it was set up for arrives within `setupIdleTimeout`.
     void startSetupIdleTimer()
     {
         timer_.expires_after(setupIdleTimeout);
@@ -242,7 +244,7 @@
         });
     }
 
-    /// Serves a session that the other proxy did not take.
+    /// Serves a session that the other proxy did not accept.
     void serveLocally()
     {
         if (handlers_.forwardFailed) {
@@ -254,8 +256,8 @@
         connection_->resume();
     }
 
-    /// The proxy that serves the session ended it, or is gone or silent.
-    void upstreamEnded()
+    /// Handles the loss of the proxy that serves the session: it closed the connection, is unreachable or did not reply in time.
+    void onUpstreamLost()
     {
         if (!handlers_.closed) {
             return;
@@ -272,7 +274,9 @@
         resumeLocally();
     }
 
-    /// Answers the statement whose answer is lost, or runs it again here, and serves the session from here on.
+    /// Answers the statement whose reply was lost, or executes it again locally, and serves the session locally from now on.
+    ///
+    /// Ends the session when it cannot be resumed or the engine refuses it.
     void resumeLocally()
     {
         replyPending_ = false;
@@ -309,7 +313,7 @@
         finish();
     }
 
-    /// Ends the session from this side, and reports it.
+    /// Ends the session from the local side and calls the `closed` handler.
     void finish()
     {
         const auto closed = std::exchange(handlers_, {}).closed;
@@ -320,7 +324,7 @@
         }
     }
 
-    void ended(evloop::CloseReason reason)
+    void onClosed(evloop::CloseReason reason)
     {
         if (reason == evloop::CloseReason::TooLong) {
             refuse(Error{ErrorKind::TooLarge, "the message is too long"});
@@ -342,19 +346,19 @@
     CallerConnectionHandlers handlers_;
     bool sessionStarted_ = false;
     relay::DatabaseName database_;
-    /// The connection to the proxy that serves the session; null when this process does.
+    /// The connection to the proxy that serves the session; null when this process serves it.
     std::shared_ptr<evloop::LineConnection> upstream_;
     ForwardTarget target_;
-    /// What is known of the session while another proxy serves it.
+    /// The state of the session as derived from forwarded lines, while another proxy serves it.
     std::optional<relay::ForwardedSession> session_;
-    /// The other proxy took the session.
+    /// The other proxy accepted the session.
     bool sessionAccepted_ = false;
-    /// The answer to the forwarded line told success so far.
+    /// The reply to the forwarded line reported success so far.
     bool replySucceeded_ = false;
-    /// A forwarded line is not answered yet.
+    /// A forwarded line has no complete reply yet.
     bool replyPending_ = false;
     relay::SessionState state_ = relay::SessionState::Idle;
-    /// The last statement only set the session up: the one that it is for follows.
+    /// The last statement only set the session up; the statement that needs it is expected next.
     bool inSetup_ = false;
     bool endsWhenIdle_ = false;
 };
--- a/src/gateway/catalogwatcher.h
+++ b/src/gateway/catalogwatcher.h
@@ -1,4 +1,4 @@
-// Follows the configuration and the members of all groups in the store.
+// Watches the configuration and the members of all groups in the store.
 #pragma once
 
 #include "base/hash.h"
@@ -23,31 +23,32 @@
 
 namespace cardamomstep::gateway {
 
-/// Bounds of a catalog follower.
+/// Limits of a CatalogWatcher.
 struct CatalogLimits {
-    /// Longest wait of one watch for the configuration; a third of its deadline is left for calls that fail.
+    /// Longest wait of one watch for the configuration; at most two thirds of the configuration deadline are used, to leave time for
+    /// failed calls.
     Milliseconds configurationWait{2000};
-    /// Longest wait of one watch for members. Watches may miss changes until the next call.
+    /// Longest wait of one watch for members. A watch may miss changes, which then arrive only with the next call.
     Milliseconds memberWait{4000};
-    /// Longest wait of both while other processes tell how new their catalogs are.
+    /// Longest wait of both watches while other processes report their catalog revisions.
     Milliseconds peerNotifiedWait{25'000};
-    /// Without word from others for this long, this process is on its own again.
+    /// Time after the last such report until the watches return to their shorter waits.
     Milliseconds peerNotifiedFor{1500};
-    /// Pause after news from the store.
+    /// Delay before the next watch after one that brought changes.
     Milliseconds watchSettleDelay{250};
     BackoffOptions watchBackoff{Milliseconds{60}, Milliseconds{800}};
 };
 
-/// What a catalog follower reports.
+/// Callbacks of a CatalogWatcher.
 struct CatalogHandlers {
     std::function<void(const relay::Configuration &configuration, Revision revision)> configured;
     std::function<void()> membersChanged;
-    /// A call for what \a dependency names failed.
+    /// A call to the store for \a dependency ("configuration" or "members") failed.
     std::function<void(std::string_view dependency)> storeFailed;
     std::function<void(LogLevel level, std::string_view event, const std::vector<LogField> &fields)> log;
 };
 
-/// Keeps the directory of members and reports configurations; \a Store is the platform's object store.
+/// Maintains the directory of members and reports configurations; \a Store is the platform's object store.
 template<typename Store>
 class CatalogWatcher
 {
@@ -69,7 +70,7 @@
         watchMembers();
     }
 
-    /// How new a catalog is known here or was told of.
+    /// The newest catalog revisions that this process knows or that others reported.
     [[nodiscard]] CatalogRevisions revisions() const
     {
         CatalogRevisions revisions{configuration_->newest(), members_->newest()};
@@ -77,7 +78,7 @@
         return revisions;
     }
 
-    /// Takes in how new a catalog another process knows; a watch that missed that is made anew.
+    /// Records the catalog revisions that another process knows; restarts a watch that missed them.
     void onPeerRevisions(const CatalogRevisions &revisions)
     {
         const auto now = evloop::bootTimeNow();
@@ -91,8 +92,9 @@
         }
     }
 
-    /// Does what is due: drops members whose removal is trusted by now, and chooses how long watches wait. Waits are long where others
-    /// would tell of missed news; some processes watch \a often for all.
+    /// Drops members whose removal is trusted by now, and sets the longest wait of the watches.
+    ///
+    /// Waits are long while other processes would report missed changes. Some processes watch with \a shortWaits on behalf of all.
     void tick(bool shortWaits)
     {
         if (directory_.expire(evloop::bootTimeNow())) {
@@ -160,7 +162,7 @@
                 applyConfiguration(object);
             }
         }
-        storeAnswered("configuration");
+        storeReplied("configuration");
     }
 
     void applyConfiguration(const StoredObject &object)
@@ -185,14 +187,14 @@
             }
             directory_.replaceAll(entries, evloop::bootTimeNow());
             membersListed_ = true;
-            storeAnswered("members");
+            storeReplied("members");
             handlers_.membersChanged();
         };
         handlers.changed = [this](const StoreChanges &changes) {
             for (const auto &object : changes.changes) {
                 applyMember(object);
             }
-            storeAnswered("members");
+            storeReplied("members");
             if (!changes.changes.empty()) {
                 handlers_.membersChanged();
             }
@@ -217,13 +219,13 @@
         const auto entry = object.deleted ? std::nullopt : Store::decodeMember(object);
         if (object.deleted) {
             if (peerNotified_) {
-                // A long watch does not show an outage, in which the entries of living members lapse.
+                // A long watch does not reveal an outage of the store, in which the entries of live members expire.
                 directory_.storeFailed(evloop::bootTimeNow());
             }
             directory_.remove(name, evloop::bootTimeNow());
         } else if (entry) {
-            const auto *before = directory_.find(name);
-            const bool changed = before == nullptr || !(*before == *entry);
+            const auto *previous = directory_.find(name);
+            const bool changed = previous == nullptr || !(*previous == *entry);
             directory_.put(*entry);
             if (!changed) {
                 return;
@@ -238,7 +240,7 @@
                        {"revision", static_cast<std::int64_t>(object.version.value)}});
     }
 
-    void storeAnswered(std::string_view dependency)
+    void storeReplied(std::string_view dependency)
     {
         auto &lost = lostDependencies_[std::string(dependency)];
         if (std::exchange(lost, false)) {
@@ -261,10 +263,10 @@
     relay::MemberDirectory &directory_;
     CatalogHandlers handlers_;
     bool membersListed_ = false;
-    /// How new a catalog others told of, and when they last told.
+    /// The newest catalog revisions that other processes reported, and the time of their last report.
     CatalogRevisions peerRevisions_;
     TimePoint lastContactAt_;
-    /// Others would tell of news that this process' watches missed.
+    /// Other processes would report changes that this process' watches missed, so the watches have long waits.
     bool peerNotified_ = false;
     std::shared_ptr<StoreWatcher<Store>> configuration_;
     std::shared_ptr<StoreWatcher<Store>> members_;
--- a/src/gateway/forwardtarget.h
+++ b/src/gateway/forwardtarget.h
@@ -1,4 +1,4 @@
-// Where a session is passed on to.
+// The proxy that a session is forwarded to.
 #pragma once
 
 #include "base/ids.h"
@@ -6,7 +6,7 @@
 
 namespace cardamomstep::gateway {
 
-/// The proxy that serves a session, and how long its statements may take there.
+/// The proxy that serves a session, and the timeout of the session's statements there.
 struct ForwardTarget {
     Address proxy;
     Milliseconds statementTimeout{1000};
--- a/src/gateway/fwd.h
+++ b/src/gateway/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the gateway slice: the shell around the relay's decisions, on one event loop.
+// Forward declarations of the gateway module: the I/O layer around the relay's decisions, on one event loop.
 #pragma once
 
 namespace cardamomstep::gateway {
--- a/src/gateway/leadershipcontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -1,4 +1,4 @@
-// What the parts of a process' leadership share: settings, the store, and what is believed of the lease and of primaries.
+// State shared by the parts of a process' leadership service: settings, the store, the lease and the primary table.
 #pragma once
 
 #include "fleet/client.h"
@@ -18,56 +18,56 @@
 
 namespace cardamomstep::gateway {
 
-/// Bounds of the leadership shell.
+/// Limits of a LeadershipService.
 struct LeadershipLimits {
     Milliseconds tickInterval{50};
-    /// Time between two renewals of this proxy's view.
+    /// Time between two renewals of this proxy's primary table.
     Milliseconds renewInterval{150};
     Milliseconds renewTimeout{250};
-    /// A view that was not renewed for this long is renewed from the store, by those that read it for others and by the rest.
+    /// Age at which a primary table is renewed from the store: first by the proxies that read it for others, then by the rest.
     Milliseconds readerRenewAfter{350};
     Milliseconds storeRenewAfter{1200};
     Milliseconds storeRenewInterval{250};
-    /// Without word of a holder for this long, the stored lease is read.
+    /// The stored lease is read after this time without a report of a valid lease.
     Milliseconds leaseReadAfter{600};
     Milliseconds leaseReadInterval{400};
-    /// As much time again passes on average before a proxy that reads nothing for others reads the lease.
+    /// Number of read intervals that pass on average before a proxy that does not read the store for others reads the lease.
     unsigned leaseReadOdds{8};
     Milliseconds storeTimeout{900};
-    /// A store that did not answer for this long is out of this process' reach.
+    /// A store that did not reply for this long counts as unreachable from this process.
     Milliseconds storeSilenceTimeout{2400};
     Milliseconds announceTimeout{600};
     Milliseconds promoteTimeout{1000};
-    /// A primary that was not heard of for this long is probed.
+    /// A primary without replies for this long is probed.
     Milliseconds probeAfter{150};
-    /// Each primary is asked at least this often whether it leads.
+    /// Longest time between two queries to a primary whether it leads.
     Milliseconds probeInterval{1000};
     Milliseconds controlTimeout{400};
-    /// A process that started more recently may lack members whose entries lapsed in an outage of the store.
+    /// Uptime from which this process starts primary changes: before, members may be missing whose entries expired in a store outage.
     Milliseconds membersSettleTime{2500};
-    /// A tick that comes this late means that this process stood still.
+    /// Time between two ticks from which this process counts as having been paused.
     Milliseconds processPauseThreshold{500};
     WatchResumeOptions watch{Milliseconds{25'000}, BackoffOptions{Milliseconds{100}, Milliseconds{1000}}};
-    /// Pause after news of the fleet's objects; what is urgent is announced by the holder.
+    /// Delay before the next watch after changes of the fleet's objects; urgent changes are announced by the lease holder.
     Milliseconds watchSettleDelay{400};
 };
 
-/// What the shell needs of its process.
+/// Services that a LeadershipService uses of its process.
 struct LeadershipHost {
     relay::Engine &engine;
     const relay::MemberDirectory &directory;
     std::function<void(LogLevel level, std::string_view event, const std::vector<LogField> &fields)> log;
-    /// Carries out what the engine asks for.
+    /// Performs the engine's pending actions.
     std::function<void()> perform;
     /// The registered proxies changed.
     std::function<void()> proxiesChanged;
-    /// How new a catalog this process knows or was told of.
+    /// The newest catalog revisions that this process knows or that others reported.
     std::function<CatalogRevisions()> catalogRevisions;
-    /// Another process told how new a catalog it knows.
+    /// Another process reported its catalog revisions.
     std::function<void(const CatalogRevisions &catalogRevisions)> onPeerRevisions;
 };
 
-/// Shared by the parts of one process' leadership, which all run on one event loop; outlives them.
+/// Shared by the parts of one LeadershipService, which all run on one event loop; outlives them.
 template<typename Store>
 struct LeadershipContext {
     boost::asio::io_context &loop;
@@ -75,7 +75,7 @@
     LeadershipHost host;
     LeadershipLimits limits;
     Store store;
-    /// Reads that must not wait behind a write.
+    /// For reads that must not wait behind a write to `store`.
     Store renewStore;
     Random random;
     leadership::FleetLease lease;
@@ -83,13 +83,13 @@
     leadership::RenewalTree renewalTree;
     fleet::FleetClient client;
     TimePoint startedAt;
-    /// Last answer of the store to this process.
+    /// Time of the store's last reply to this process.
     TimePoint lastStoreReplyAt;
-    /// Takes in all objects of the fleet.
+    /// Applies a listing of all objects of the fleet.
     std::function<void(const StoreListing &listing, TimePoint now)> applyListing;
-    /// Takes in one object of the fleet.
+    /// Applies one object of the fleet.
     std::function<void(const StoredObject &object, TimePoint now)> applyObject;
-    /// Tells the engine what is believed of primaries now.
+    /// Passes the state of the primary table to the engine.
     std::function<void(TimePoint now)> primaryTableChanged;
 };
 
--- a/src/gateway/leadershipservice.h
+++ b/src/gateway/leadershipservice.h
@@ -1,4 +1,4 @@
-// The leadership of one process: follows the fleet's objects, and gives each part its turn.
+// The leadership service of one process: watches the fleet's objects and runs the service's parts.
 #pragma once
 
 #include "evloop/clock.h"
@@ -23,7 +23,7 @@
 
 namespace cardamomstep::gateway {
 
-/// The leadership of one process; \a Store and \a Promoter are the platform's services.
+/// The leadership service of one process; \a Store and \a Promoter are the platform's services.
 template<relay::WireCodec Wire, typename Store, typename Promoter>
 class LeadershipService
 {
@@ -39,12 +39,12 @@
                    .lease = leadership::FleetLease(settings.instance, seed ^ 1U),
                    .startedAt = evloop::bootTimeNow()}
         , registry_(context_)
-        , lease_(context_,
-                 {[this] { onLeaseAcquired(); },
-                  [this] {
-                      onLeaseLost();
-                  }})
-        , primaryTableSync_(context_, lease_, registry_, {[this](const fleet::RenewRequest &request, TimePoint now) {
+        , leaseManager_(context_,
+                        {[this] { onLeaseAcquired(); },
+                         [this] {
+                             onLeaseLost();
+                         }})
+        , primaryTableSync_(context_, leaseManager_, registry_, {[this](const fleet::RenewRequest &request, TimePoint now) {
                                 monitor_.onObservations(request, now);
                             }})
         , controlConnections_(context_)
@@ -77,19 +77,19 @@
         return Success{};
     }
 
-    /// True when this proxy may act on what it believes of primaries.
+    /// True while the primary table is valid, and for 500 ms more.
     [[nodiscard]] bool primaryTableCurrent(TimePoint now) const noexcept
     {
         return now < context_.primaryTable.validUntil() + Milliseconds{500};
     }
 
-    /// True when this proxy watches the catalog closely so that others need not.
+    /// True when this proxy watches the catalog with short waits on behalf of the others.
     [[nodiscard]] bool watchesCatalogForOthers() const
     {
         return context_.lease.holds(evloop::bootTimeNow()) || context_.renewalTree.watchesCatalog(context_.settings.instance);
     }
 
-    /// What the metrics page shows.
+    /// Leadership values for the metrics page and the status page.
     [[nodiscard]] LeadershipGauges gauges(TimePoint now) const
     {
         return {context_.lease.holds(now),
@@ -98,17 +98,17 @@
                 static_cast<std::uint32_t>(registry_.all().size())};
     }
 
-    /// The registered proxies that take sessions of others, as targets of sessions.
+    /// The registered proxies as targets of forwarded sessions.
     [[nodiscard]] std::vector<LiveInstance> sessionTargets() const
     {
         return registry_.sessionTargets();
     }
 
-    /// Gives the lease back. The entry in the store stays: an instance that stops most often starts again.
+    /// Releases the lease and does not acquire it again. This proxy's entry in the store stays: a stopped instance usually starts again.
     void leave()
     {
         leaving_ = true;
-        lease_.leave();
+        leaseManager_.leave();
     }
 
     void stop()
@@ -121,7 +121,7 @@
         server_->stop();
     }
 
-    /// Takes in that the directory of members changed.
+    /// Handles a change of the directory of members.
     void membersChanged()
     {
         changes_.membersChanged();
@@ -179,7 +179,7 @@
     {
         auto decoded = leadership::decodeFleetObject(object);
         if (const auto *lease = std::get_if<leadership::LeaseState>(&decoded)) {
-            lease_.onStoredLease(object.deleted ? std::nullopt : std::optional(*lease), now);
+            leaseManager_.onStoredLease(object.deleted ? std::nullopt : std::optional(*lease), now);
         } else if (const auto *record = std::get_if<leadership::GroupRecord>(&decoded); record != nullptr && !object.deleted) {
             context_.primaryTable.accept(*record);
         } else if (const auto *proxy = std::get_if<leadership::ProxyEntry>(&decoded)) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Tells the engine what is believed now.
+    /// Passes the cached primary of each group to the engine; logs those that changed.
     void primaryTableChanged(TimePoint now)
     {
         for (const auto &record : context_.primaryTable.all()) {
@@ -219,7 +219,7 @@
         context_.host.perform();
     }
 
-    // Time
+    // Timer
 
     void schedule()
     {
@@ -245,7 +245,7 @@
             registry_.retryRegistration();
         }
         controlConnections_.expire(now);
-        lease_.tick(now);
+        leaseManager_.tick(now);
         const auto &lease = context_.lease;
         if (lease.holds(now)) {
             runLeaseHolderDuties(now);
@@ -253,11 +253,11 @@
             primaryTableSync_.renew(now, fleetListed_);
         }
         if (!lease.holds(now) || lease.needsRead()) {
-            lease_.read(now, fleetListed_);
+            leaseManager_.read(now, fleetListed_);
         }
     }
 
-    // Calls of other proxies
+    // Calls from other proxies
 
     fleet::FleetHandlers serverHandlers()
     {
@@ -276,7 +276,7 @@
         return handlers;
     }
 
-    // The holder's work
+    // Duties of the lease holder
 
     void onLeaseAcquired()
     {
@@ -294,13 +294,13 @@
     void runLeaseHolderDuties(TimePoint now)
     {
         const auto &lease = context_.lease;
-        if (!lease_.recordsCurrent() || now < lease.acquiredAt()) {
+        if (!leaseManager_.recordsCurrent() || now < lease.acquiredAt()) {
             return;
         }
         auto &primaryTable = context_.primaryTable;
         primaryTable.renew(primaryTable.all(), std::min(now, lease.validUntil() - leadership::primaryTableLease));
         primaryTableChanged(now);
-        // Views that an earlier holder granted have ended by then.
+        // By then, all primary tables that an earlier lease holder granted or that a removed proxy still used have expired.
         const bool tablesExpired = now - std::max(lease.acquiredAt(), registry_.removedAt()) >= leadership::primaryTableLease;
         const bool mayChange = tablesExpired && now - context_.startedAt >= context_.limits.membersSettleTime;
         for (const auto &[group, config] : context_.host.engine.routes().groups()) {
@@ -319,10 +319,10 @@
         registry_.removeExpired(now);
     }
 
-    /// Records the primary of a group for the first time: the one member that registered as such. Nobody was ever promoted before.
+    /// Creates the first record of a group; its primary is the only member that registered as such. No member was ever promoted before.
     void bootstrap(const GroupName &group, TimePoint now)
     {
-        auto &triedAt = bootstrapTried_[group];
+        auto &triedAt = bootstrapTriedAt_[group];
         if (now - triedAt < context_.limits.controlTimeout) {
             return;
         }
@@ -344,8 +344,8 @@
             if (created) {
                 applyObject(*created, evloop::bootTimeNow());
             } else {
-                // It may exist although the answer was lost.
-                lease_.readRecords();
+                // The record may exist although the reply was lost.
+                leaseManager_.readRecords();
             }
         };
         context_.store.create(leadership::recordKey(group), leadership::encode(record), context_.limits.storeTimeout, done);
@@ -353,7 +353,7 @@
 
     LeadershipContext<Store> context_;
     ProxyRegistry<Store> registry_;
-    LeaseManager<Store> lease_;
+    LeaseManager<Store> leaseManager_;
     PrimaryTableSync<Store> primaryTableSync_;
     MemberControlConnections<Wire, Store> controlConnections_;
     PrimaryMonitor<Wire, Store> monitor_;
@@ -362,9 +362,9 @@
     TimePoint lastTick_;
     std::unique_ptr<fleet::FleetServer> server_;
     std::shared_ptr<StoreWatcher<Store>> storeWatcher_;
-    /// What the engine was told of each group.
+    /// The cached primary of each group that was last passed to the engine.
     std::map<GroupName, relay::CachedPrimary> lastPublished_;
-    std::map<GroupName, TimePoint> bootstrapTried_;
+    std::map<GroupName, TimePoint> bootstrapTriedAt_;
     /// The fleet was listed at least once.
     bool fleetListed_ = false;
     bool leaving_ = false;
--- a/src/gateway/leasemanager.h
+++ b/src/gateway/leasemanager.h
@@ -1,4 +1,4 @@
-// Takes, renews, reads and gives back the fleet's lease in the store.
+// Acquires, renews, reads and releases the fleet's lease in the store.
 #pragma once
 
 #include "evloop/clock.h"
@@ -11,13 +11,13 @@
 
 namespace cardamomstep::gateway {
 
-/// Called when this process takes or loses the lease.
+/// Called when this process acquires or loses the lease.
 struct LeaseHandlers {
     std::function<void()> acquired;
     std::function<void()> lost;
 };
 
-/// Carries out what the lease's decisions ask of the store.
+/// Makes the store calls that FleetLease decides on.
 template<typename Store>
 class LeaseManager
 {
@@ -28,7 +28,7 @@
     {
     }
 
-    /// Renews or tries to take the lease, when it is time to.
+    /// Renews the lease, or tries to acquire it, when that is due.
     void tick(TimePoint now)
     {
         const bool wasHeld = std::exchange(heldAtTick_, context_.lease.holds(now));
@@ -41,14 +41,14 @@
         }
         const auto value = leadership::encodeLease(context_.settings.instance, write->fencingToken, write->renewals);
         const auto done = [this, now, write = *write](const Result<StoredObject> &stored) {
-            const auto later = evloop::bootTimeNow();
+            const auto repliedAt = evloop::bootTimeNow();
             if (!stored) {
-                context_.lease.writeFailed(stored.error().kind == ErrorKind::Conflict, later);
+                context_.lease.writeFailed(stored.error().kind == ErrorKind::Conflict, repliedAt);
                 return;
             }
-            context_.lastStoreReplyAt = later;
-            const bool acquired = !context_.lease.holds(later) || write.fencingToken == 0;
-            context_.lease.written(stored->version, now, later);
+            context_.lastStoreReplyAt = repliedAt;
+            const bool acquired = !context_.lease.holds(repliedAt) || write.fencingToken == 0;
+            context_.lease.written(stored->version, now, repliedAt);
             if (acquired) {
                 onAcquired();
             }
@@ -60,47 +60,49 @@
         }
     }
 
-    /// Reads the stored lease, which few proxies need and only while no holder is heard of.
+    /// Reads the stored lease when FleetLease requires it or no valid lease was reported for `leaseReadAfter`.
+    ///
+    /// In the second case, once the fleet was listed, only the proxies that read the store for others do so, and the rest at random times.
     void read(TimePoint now, bool fleetListed)
     {
-        const bool reads = context_.renewalTree.readsStore(context_.settings.instance) || !fleetListed
+        const bool selected = context_.renewalTree.readsStore(context_.settings.instance) || !fleetListed
             || context_.random.below(context_.limits.leaseReadOdds) == 0;
         const bool needed = context_.lease.needsRead() || now - lastContactAt_ >= context_.limits.leaseReadAfter;
-        if (reading_ || !needed || now - readAt_ < context_.limits.leaseReadInterval) {
+        if (readPending_ || !needed || now - readAt_ < context_.limits.leaseReadInterval) {
             return;
         }
         readAt_ = now;
-        if (!reads && !context_.lease.needsRead()) {
+        if (!selected && !context_.lease.needsRead()) {
             return;
         }
-        reading_ = true;
+        readPending_ = true;
         context_.renewStore.list(leadership::leaseKind(), context_.limits.storeTimeout, [this](const Result<StoreListing> &listing) {
-            reading_ = false;
+            readPending_ = false;
             if (!listing) {
                 return;
             }
-            const auto later = evloop::bootTimeNow();
-            context_.lastStoreReplyAt = later;
+            const auto repliedAt = evloop::bootTimeNow();
+            context_.lastStoreReplyAt = repliedAt;
             if (listing->objects.empty()) {
-                context_.lease.onStoredLease(std::nullopt, later);
+                context_.lease.onStoredLease(std::nullopt, repliedAt);
             }
             for (const auto &object : listing->objects) {
-                context_.applyObject(object, later);
+                context_.applyObject(object, repliedAt);
             }
         });
     }
 
-    /// Takes in the lease as the store holds it; nothing when it holds none.
+    /// Applies the lease as stored; std::nullopt when none is stored.
     void onStoredLease(const std::optional<leadership::LeaseState> &lease, TimePoint now)
     {
         const bool held = context_.lease.holds(now);
-        const auto before = context_.lease.holder();
+        const auto previousHolder = context_.lease.holder();
         context_.lease.onStoredLease(lease, now);
-        if (lease && before != context_.lease.holder()) {
+        if (lease && previousHolder != context_.lease.holder()) {
             context_.host.log(LogLevel::Info,
                               "lease_seen",
                               {{"holder", context_.lease.holder().text()},
-                               {"before", before.text()},
+                               {"before", previousHolder.text()},
                                {"fence", static_cast<std::int64_t>(lease->fencingToken)}});
         }
         if (held && !context_.lease.holds(now)) {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Notes the word of a proxy on the lease that it or its source holds.
+    /// Applies the lease state that a proxy reported in its reply to a renewal.
     void onRenewReply(const fleet::RenewReply &reply, TimePoint now)
     {
         context_.lease.onRelinquished(reply.relinquishedToken, now);
@@ -119,7 +121,9 @@
         }
     }
 
-    /// Gives the lease up where the store answers others but not this holder, which could order nothing.
+    /// Relinquishes the lease when the store replies to the sender of \a request but not to this process.
+    ///
+    /// Without the store, this lease holder could not change any primary.
     void relinquishIfIsolated(const fleet::RenewRequest &request, TimePoint now)
     {
         const bool isolated = now - context_.lastStoreReplyAt >= context_.limits.storeSilenceTimeout;
@@ -133,7 +137,9 @@
                           {{"fence", static_cast<std::int64_t>(relinquishedToken_)}, {"store_answers", request.instance.text()}});
     }
 
-    /// Gives the lease back. The entry in the store stays: an instance that stops most often starts again.
+    /// Releases the lease, also in the store so that others need not wait for its end, and does not acquire it again.
+    ///
+    /// This proxy's entry in the store stays: a stopped instance usually starts again.
     void leave()
     {
         const auto now = evloop::bootTimeNow();
@@ -148,19 +154,19 @@
         context_.lease.resign();
     }
 
-    /// True once the records were read after the lease was taken.
+    /// True once the records were read after the lease was acquired.
     [[nodiscard]] bool recordsCurrent() const noexcept
     {
         return recordsCurrent_;
     }
 
-    /// Fencing token of the lease that this process gave up by word; 0 for none.
+    /// Fencing token of the lease that this process relinquished last; 0 for none.
     [[nodiscard]] std::uint64_t relinquishedToken() const noexcept
     {
         return relinquishedToken_;
     }
 
-    /// Reads all records anew after the lease was taken.
+    /// Reads all records again, and repeats that while calls fail and the lease is held.
     void readRecords()
     {
         const auto fencingToken = context_.lease.fencingToken();
@@ -199,10 +205,10 @@
     LeaseHandlers handlers_;
     bool recordsCurrent_ = false;
     bool heldAtTick_ = false;
-    /// Last word of a holder that keeps its lease.
+    /// Time of the last granted renewal that reported a valid lease.
     TimePoint lastContactAt_;
     TimePoint readAt_;
-    bool reading_ = false;
+    bool readPending_ = false;
     std::uint64_t relinquishedToken_ = 0;
 };
 
--- a/src/gateway/memberconnection.h
+++ b/src/gateway/memberconnection.h
@@ -1,4 +1,4 @@
-// One connection to a member: requests out, whole answers back.
+// One connection to a member: sends requests and reports complete replies.
 #pragma once
 
 #include "evloop/lineconnection.h"
@@ -13,11 +13,11 @@
 
 namespace cardamomstep::gateway {
 
-/// What a member's connection reports.
+/// Callbacks of a MemberConnection.
 struct MemberConnectionHandlers {
     std::function<void(const std::optional<LogPosition> &position)> opened;
     std::function<void(const relay::MemberReply &reply)> replied;
-    /// The connection ended or was refused; called once, and not after close().
+    /// The connection ended or was refused; called at most once, and not after close().
     std::function<void(std::optional<relay::MemberFault> refusal)> closed;
 };
 
@@ -31,7 +31,7 @@
     {
     }
 
-    /// Connects to \a address and introduces itself to \a member.
+    /// Connects to \a address and sends the handshake for \a member of \a group.
     void open(boost::asio::io_context &loop, const Address &address, const GroupName &group, const MemberName &member)
     {
         evloop::connect(loop, address, openTimeout, [self = this->shared_from_this(), group, member](auto socket) {
@@ -68,9 +68,9 @@
     }
 
 private:
-    /// Longest time for the connection to stand.
+    /// Timeout for establishing the TCP connection.
     static constexpr Milliseconds openTimeout{800};
-    /// An answer of more rows counts as damaged.
+    /// Rows of the largest valid reply; a larger one ends the connection.
     static constexpr std::size_t maxRows = 100'000;
 
     void startHandshake(boost::asio::ip::tcp::socket socket, const GroupName &group, const MemberName &member)
@@ -146,7 +146,7 @@
 
     MemberConnectionHandlers handlers_;
     std::shared_ptr<evloop::LineConnection> connection_;
-    /// The answer being read.
+    /// The reply being read.
     relay::MemberReply reply_;
     bool replyComplete_ = false;
     /// The member accepted the connection.
--- a/src/gateway/membercontrolconnection.h
+++ b/src/gateway/membercontrolconnection.h
@@ -1,4 +1,4 @@
-// A kept connection to one member for orders and questions of the lease holder.
+// A persistent connection to one member for orders and queries of the lease holder.
 #pragma once
 
 #include "evloop/clock.h"
@@ -13,20 +13,20 @@
 
 namespace cardamomstep::gateway {
 
-/// What a member answered to an order or a question.
+/// A member's reply to an order or a query.
 struct ControlReply {
-    /// False when no answer came in time.
+    /// False when no reply came in time; true also when the member refused the connection because it has too many.
     bool received = false;
-    /// Nothing when the member was too busy to tell.
-    std::optional<relay::MemberStatusReply> account;
+    /// std::nullopt when the reply holds no status, as when the member was too busy.
+    std::optional<relay::MemberStatusReply> status;
 };
 
-/// Sends orders to one member, one answer after the other.
+/// Sends orders and queries to one member, which replies in the same order.
 template<relay::WireCodec Wire>
 class MemberControlConnection : public std::enable_shared_from_this<MemberControlConnection<Wire>>
 {
 public:
-    using Handler = std::function<void(const ControlReply &answer)>;
+    using Handler = std::function<void(const ControlReply &controlReply)>;
 
     MemberControlConnection(boost::asio::io_context &loop, relay::MemberEntry member)
         : loop_(loop)
@@ -39,19 +39,19 @@
         return member_;
     }
 
-    /// True while a connection stands or is being opened.
+    /// True while a connection is open or being opened.
     [[nodiscard]] bool connected() const noexcept
     {
         return connection_ != nullptr;
     }
 
-    /// Requests that are not answered yet.
+    /// The number of requests without a reply yet.
     [[nodiscard]] std::size_t pending() const noexcept
     {
         return pending_.size();
     }
 
-    /// Sends \a request; \a done is called once, within about the time that expire() allows.
+    /// Sends \a request; \a done is called once, at the latest when expire() closes the connection.
     void send(relay::MemberRequest request, Handler done)
     {
         pending_.push_back({evloop::bootTimeNow(), std::move(done)});
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Gives up the connection when its oldest request has waited for \a patience.
+    /// Closes the connection when its oldest request has waited for \a timeout.
     void expire(TimePoint now, Milliseconds timeout)
     {
         if (!pending_.empty() && now - pending_.front().first >= timeout) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Closes the connection; what waits is told that no answer came.
+    /// Closes the connection; pending requests complete without a reply.
     void close()
     {
         if (connection_) {
@@ -95,7 +95,7 @@
         };
         handlers.closed = [self = this->shared_from_this()](std::optional<relay::MemberFault> refusal) {
             self->connection_ = nullptr;
-            // A member that refuses a connection because it has too many is alive.
+            // A member that refuses a connection because it has too many is alive, which counts as a reply.
             self->failAll(refusal == relay::MemberFault::TooManyConnections);
         };
         connection_ = std::make_shared<MemberConnection<Wire>>(std::move(handlers));
@@ -110,11 +110,11 @@
         }
         const auto done = std::move(pending_.front().second);
         pending_.pop_front();
-        ControlReply answer{true, std::nullopt};
+        ControlReply controlReply{true, std::nullopt};
         if (!reply.fault && !reply.rows.empty()) {
-            answer.account = Wire::parseAccount(reply.rows.front());
+            controlReply.status = Wire::parseAccount(reply.rows.front());
         }
-        done(answer);
+        done(controlReply);
     }
 
     void failAll(bool alive)
--- a/src/gateway/membercontrolconnections.h
+++ b/src/gateway/membercontrolconnections.h
@@ -1,4 +1,4 @@
-// The control connections of the lease's holder, one to each member.
+// The control connections of the lease holder, one to each member.
 #pragma once
 
 #include "gateway/leadershipcontext.h"
@@ -11,7 +11,7 @@
 
 namespace cardamomstep::gateway {
 
-/// Opens, keeps and closes control connections.
+/// Opens, maintains and closes control connections.
 template<relay::WireCodec Wire, typename Store>
 class MemberControlConnections
 {
@@ -23,7 +23,7 @@
     {
     }
 
-    /// Sends one request to \a member, with a term where it is not 0.
+    /// Sends one request to \a member, with \a term as its argument unless that is 0.
     void send(const relay::MemberEntry &member, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
     {
         auto &control = controlConnections_[member.name];
@@ -39,7 +39,7 @@
         control->send(std::move(request), std::move(done));
     }
 
-    /// Sends one request to the member named \a name; false when it is not known.
+    /// Sends one request to the member named \a name; false when the directory has no such member.
     bool send(const MemberName &name, relay::MemberVerb verb, std::uint64_t term, typename Control::Handler done)
     {
         const auto *member = context_.host.directory.find(name);
@@ -49,7 +49,7 @@
         return member != nullptr;
     }
 
-    /// Gives up requests that were not answered in time.
+    /// Closes connections whose oldest request got no reply within `controlTimeout`.
     void expire(TimePoint now)
     {
         for (auto &[member, control] : controlConnections_) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Keeps a connection to each member, so that a move does not begin with opening them.
+    /// Maintains a connection to each member, so that a primary change does not start with opening them; closes those of removed members.
     void maintainConnections(TimePoint now)
     {
         if (now - maintainedAt_ < context_.limits.probeInterval) {
--- a/src/gateway/primarychanges.h
+++ b/src/gateway/primarychanges.h
@@ -1,4 +1,4 @@
-// Moves of leadership under way at the lease's holder: carries out what each decides, and brings back the answers.
+// Primary changes in progress at the lease holder: performs the actions of each and reports the replies to it.
 #pragma once
 
 #include "evloop/clock.h"
@@ -18,7 +18,7 @@
 
 namespace cardamomstep::gateway {
 
-/// The moves of all groups; \a Promoter is the platform's service for promotions.
+/// The primary changes of all groups; \a Promoter is the platform's service for promotions.
 template<relay::WireCodec Wire, typename Store, typename Promoter>
 class PrimaryChanges
 {
@@ -42,7 +42,7 @@
         return changes_.contains(group);
     }
 
-    /// Begins a move of the group's leadership where there is a reason to.
+    /// Starts a change of the group's primary if there is a reason for one.
     void startIfNeeded(const leadership::GroupRecord &record, TimePoint now)
     {
         std::optional<leadership::PrimaryChangeReason> reason;
@@ -69,7 +69,7 @@
         change.setMembers(context_.host.directory.membersOf(record.group));
     }
 
-    /// Goes on with all moves.
+    /// Performs the actions that are due of all primary changes; drops finished ones.
     void stepAll(TimePoint now)
     {
         for (auto change = changes_.begin(); change != changes_.end();) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes in that the directory of members changed.
+    /// Handles a change of the directory of members.
     void membersChanged()
     {
         for (auto &[group, change] : changes_) {
@@ -106,14 +106,14 @@
         }
     }
 
-    /// The group's move, if it is still under way; answers of earlier ones are ignored.
+    /// The group's primary change; null when none is in progress any more, and replies are ignored then.
     leadership::PrimaryChange *changeOf(const GroupName &group)
     {
         const auto found = changes_.find(group);
         return found == changes_.end() ? nullptr : &found->second;
     }
 
-    void stepSoon(const GroupName &group)
+    void scheduleStep(const GroupName &group)
     {
         boost::asio::post(context_.loop, [this, group] {
             const auto now = evloop::bootTimeNow();
@@ -144,7 +144,7 @@
                                });
     }
 
-    /// Finds out whether a write whose answer was lost or refused took effect.
+    /// Reads the stored record to find out whether a write that failed or whose reply was lost took effect.
     void resolveRecord(const GroupName &group, const leadership::GroupRecord &wanted)
     {
         context_.renewStore.list(
@@ -164,9 +164,9 @@
                     if (record == nullptr || record->group != group) {
                         continue;
                     }
-                    const bool same = record->primary == wanted.primary && record->generation == wanted.generation
+                    const bool matchesWanted = record->primary == wanted.primary && record->generation == wanted.generation
                         && record->changeInProgress == wanted.changeInProgress;
-                    if (same && record->revision != wanted.revision) {
+                    if (matchesWanted && record->revision != wanted.revision) {
                         recordStored(group, wanted, record->revision);
                         return;
                     }
@@ -189,7 +189,7 @@
         context_.primaryTable.accept(record);
         if (record.changeInProgress) {
             context_.primaryTableChanged(now);
-            stepSoon(group);
+            scheduleStep(group);
             return;
         }
         context_.host.log(LogLevel::Info,
@@ -221,7 +221,7 @@
             const auto now = evloop::bootTimeNow();
             context_.applyListing(*listing, now);
             change->proxiesListed(registry_.names(), now);
-            stepSoon(group);
+            scheduleStep(group);
         });
     }
 
@@ -230,7 +230,7 @@
         const auto onQuiesced = [this, group, proxy = action.proxy](const fleet::QuiesceReply &reply) {
             if (auto *change = changeOf(group)) {
                 change->quiesced(proxy, reply.acknowledged, reply.uptime, evloop::bootTimeNow());
-                stepSoon(group);
+                scheduleStep(group);
             }
         };
         if (action.proxy == context_.settings.instance) {
@@ -257,9 +257,9 @@
     {
         controlConnections_.send(action.member, relay::MemberVerb::Pause, action.term, [this, group, action](const ControlReply &reply) {
             auto *change = changeOf(group);
-            if (change != nullptr && reply.account) {
-                change->replicationStopped({action.member, *reply.account}, action.term);
-                stepSoon(group);
+            if (change != nullptr && reply.status) {
+                change->replicationStopped({action.member, *reply.status}, action.term);
+                scheduleStep(group);
             }
         });
     }
@@ -269,9 +269,9 @@
         controlConnections_.send(
             action.member, relay::MemberVerb::Status, 0, [this, group, name = action.member](const ControlReply &reply) {
                 auto *change = changeOf(group);
-                if (change != nullptr && reply.account) {
-                    change->memberStatus({name, *reply.account});
-                    stepSoon(group);
+                if (change != nullptr && reply.status) {
+                    change->memberStatus({name, *reply.status});
+                    scheduleStep(group);
                 }
             });
     }
@@ -283,7 +283,7 @@
         if (change == nullptr) {
             return;
         }
-        // The call must end before another proxy can hold the lease.
+        // The call must end before another proxy can acquire the lease.
         if (!context_.lease.holds(now + context_.limits.promoteTimeout)) {
             change->promoted(action.member, false, false, now);
             return;
@@ -311,7 +311,7 @@
                                       {{"group", group.text()}, {"member", name.text()}, {"fault", result.error().description}});
                               }
                               pending->promoted(name, static_cast<bool>(result), refused, evloop::bootTimeNow());
-                              stepSoon(group);
+                              scheduleStep(group);
                           });
     }
 
--- a/src/gateway/primarymonitor.h
+++ b/src/gateway/primarymonitor.h
@@ -1,4 +1,4 @@
-// Gathers, at the lease's holder, what is seen of each group's primary.
+// Collects, at the lease holder, all proxies' observations of each group's primary.
 #pragma once
 
 #include "evloop/clock.h"
@@ -13,7 +13,7 @@
 
 namespace cardamomstep::gateway {
 
-/// Probes primaries and judges what all proxies see of them.
+/// Probes primaries and evaluates all proxies' observations of them.
 template<relay::WireCodec Wire, typename Store>
 class PrimaryMonitor
 {
@@ -24,7 +24,7 @@
     {
     }
 
-    /// Keeps an eye on the group's primary.
+    /// Records this process' own observation of the group's primary, and probes the primary when that is due.
     void check(const leadership::GroupRecord &record, TimePoint now)
     {
         auto &monitored = monitored_[record.group];
@@ -54,11 +54,11 @@
                 if (!reply.received || found == monitored_.end() || found->second.generation != generation) {
                     return;
                 }
-                found->second.failureDetector.onProbeReply(!reply.account || reply.account->primary, evloop::bootTimeNow());
+                found->second.failureDetector.onProbeReply(!reply.status || reply.status->primary, evloop::bootTimeNow());
             });
     }
 
-    /// Takes in what another proxy sees.
+    /// Records the observations that another proxy reports.
     void onObservations(const fleet::RenewRequest &request, TimePoint now)
     {
         for (const auto &observation : request.observations) {
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Why the group's primary should be replaced; nothing when it should not.
+    /// The reason to replace the group's primary; std::nullopt when there is none.
     [[nodiscard]] std::optional<leadership::PrimaryChangeReason> evaluate(const GroupName &group, TimePoint now)
     {
         return monitored_[group].failureDetector.evaluate(now);
     }
 
-    /// Begins anew for all groups, after this process stood still.
+    /// Restarts failure detection for all groups, after a pause of this process.
     void restart(TimePoint now)
     {
         for (auto &[group, monitored] : monitored_) {
--- a/src/gateway/primaryobservation.h
+++ b/src/gateway/primaryobservation.h
@@ -1,4 +1,4 @@
-// What this process' own statements tell of a group's primary.
+// This process' own observation of a group's primary, from the statements that it sent there.
 #pragma once
 
 #include "leadership/primaryfailuredetector.h"
@@ -7,7 +7,7 @@
 
 namespace cardamomstep::gateway {
 
-/// Answers, stalled writes and acknowledged positions of \a record's primary, as seen by \a engine.
+/// Returns the last reply, stalled writes and acknowledged position of \a record's primary, as observed by \a engine.
 [[nodiscard]] inline leadership::PrimaryObservation
 observationOf(const relay::Engine &engine, const leadership::GroupRecord &record, TimePoint now)
 {
--- a/src/gateway/primarytablesync.h
+++ b/src/gateway/primarytablesync.h
@@ -1,4 +1,4 @@
-// Keeps this process' view of primaries current, and that of the proxies that ask it.
+// Keeps this process' primary table current, and the tables of the proxies that renew theirs here.
 #pragma once
 
 #include "evloop/clock.h"
@@ -18,29 +18,29 @@
 
 namespace cardamomstep::gateway {
 
-/// What a view keeper reports.
+/// Callbacks of a PrimaryTableSync.
 struct PrimaryTableSyncHandlers {
-    /// A proxy told what it sees of primaries.
+    /// Another proxy reported its observations of primaries.
     std::function<void(const fleet::RenewRequest &request, TimePoint now)> onObservations;
 };
 
-/// Renews the view from the holder, a proxy that asks the holder, or the store; grants views to others.
+/// Renews the primary table from the lease holder, a proxy that renews there, or the store; grants the table to other proxies.
 template<typename Store>
 class PrimaryTableSync
 {
 public:
     PrimaryTableSync(LeadershipContext<Store> &context,
-                     LeaseManager<Store> &lease,
+                     LeaseManager<Store> &leaseManager,
                      ProxyRegistry<Store> &registry,
                      PrimaryTableSyncHandlers handlers)
         : context_(context)
-        , lease_(lease)
+        , leaseManager_(leaseManager)
         , registry_(registry)
         , handlers_(std::move(handlers))
     {
     }
 
-    /// Asks for a view where it is time to; the store is asked only once it has listed the fleet.
+    /// Renews the primary table when that is due; from the store only once it has listed the fleet.
     void renew(TimePoint now, bool fleetListed)
     {
         if (!renewPending_ && now - renewedAt_ >= context_.limits.renewInterval) {
@@ -48,21 +48,21 @@
         }
         const auto renewAfter = context_.renewalTree.readsStore(context_.settings.instance) ? context_.limits.readerRenewAfter
                                                                                             : context_.limits.storeRenewAfter;
-        const bool old = now - context_.primaryTable.asOf() >= renewAfter;
-        if (old && fleetListed && registry_.registered() && !storeRenewing_
+        const bool stale = now - context_.primaryTable.asOf() >= renewAfter;
+        if (stale && fleetListed && registry_.registered() && !storeRenewPending_
             && now - storeRenewedAt_ >= context_.limits.storeRenewInterval) {
             queryStore(now);
         }
     }
 
-    /// Answers a proxy that asks here for its view.
+    /// Returns the reply to a proxy that renews its primary table here.
     fleet::RenewReply grant(const fleet::RenewRequest &request)
     {
         const auto now = evloop::bootTimeNow();
-        lease_.relinquishIfIsolated(request, now);
+        leaseManager_.relinquishIfIsolated(request, now);
         fleet::RenewReply reply;
         reply.lease = context_.lease.report(now);
-        reply.relinquishedToken = lease_.relinquishedToken();
+        reply.relinquishedToken = leaseManager_.relinquishedToken();
         downstreamProxies_[request.instance] = now;
         for (const auto &observation : request.observations) {
             auto &reported = acknowledged_[observation.group];
@@ -72,16 +72,16 @@
         reply.catalogRevisions = context_.host.catalogRevisions();
         handlers_.onObservations(request, now);
         if (!context_.lease.holds(now)) {
-            // A view is passed on with its age, so it ends for the asker when it ends here.
-            // Moves wait for the views of registered proxies only.
+            // The table is granted with its age, so it expires at the requesting proxy when it expires here.
+            // Primary changes wait only for the tables of registered proxies, so others are granted none.
             reply.granted =
                 now - context_.primaryTable.asOf() < leadership::primaryTableLease * 3 / 4 && registry_.find(request.instance) != nullptr;
             reply.age = std::chrono::ceil<Milliseconds>(now - context_.primaryTable.asOf());
             reply.records = context_.primaryTable.current();
             return reply;
         }
-        // The view that is granted must end before another proxy can take the lease.
-        reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && lease_.recordsCurrent()
+        // The granted table must expire before another proxy can acquire the lease.
+        reply.granted = context_.lease.holds(now + leadership::primaryTableLease) && leaseManager_.recordsCurrent()
             && registry_.find(request.instance) != nullptr;
         reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.lastStoreReplyAt);
         registry_.onContact(request.instance, now);
@@ -92,7 +92,7 @@
         return reply;
     }
 
-    /// Takes in a record that the holder announces; \a answer is called once the announcement is heeded.
+    /// Applies a record that the lease holder announces; \a sendReply is called as by quiesceThenReply().
     void onAnnouncement(const fleet::Announcement &announcement, const std::function<void(fleet::QuiesceReply)> &sendReply)
     {
         context_.primaryTable.accept(announcement.record);
@@ -100,13 +100,15 @@
         quiesceThenReply(announcement.record, evloop::bootTimeNow() + announcement.drainTimeout, sendReply);
     }
 
-    /// Answers once nothing with lasting effects is in flight at the group's primary, at the latest at \a until.
+    /// Replies once nothing with durable effects is in flight at the group's primary, at the latest at \a until.
+    ///
+    /// Fences the primary before the reply. Without a primary change in progress, replies at once and fences nothing.
     void quiesceThenReply(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::QuiesceReply)> &sendReply)
     {
-        constexpr Milliseconds step{10};
+        constexpr Milliseconds pollInterval{10};
         const auto now = evloop::bootTimeNow();
         if (record.changeInProgress && now < until && context_.host.engine.durableInFlight(record.group) > 0) {
-            const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop, step);
+            const auto timer = std::make_shared<boost::asio::steady_timer>(context_.loop, pollInterval);
             timer->async_wait(
                 [this, record, until, sendReply, timer](const boost::system::error_code &) { quiesceThenReply(record, until, sendReply); });
             return;
@@ -118,7 +120,7 @@
         sendReply(fleet::QuiesceReply{context_.host.engine.acknowledged(record.group), wholeMilliseconds(now - context_.startedAt)});
     }
 
-    /// Highest position in \a group that this process acknowledged, or that others told here that they did.
+    /// Highest position in \a group that this process acknowledged to callers, or that other proxies reported here as acknowledged.
     [[nodiscard]] LogPosition acknowledged(const GroupName &group) const
     {
         const auto reported = acknowledged_.find(group);
@@ -133,12 +135,12 @@
     }
 
 private:
-    /// Calls to a proxy that fail in a row before its connection is made anew.
+    /// Consecutive failed calls to a proxy after which its connection is dropped, so that the next call opens a new one.
     static constexpr unsigned maxRenewFailures = 2;
-    /// A proxy that did not ask here for this long is not spoken for.
+    /// A proxy that did not renew here for this long is no longer reported as downstream.
     static constexpr Milliseconds downstreamTimeout{3000};
 
-    /// Asks the holder, or a proxy that asks it, for its view.
+    /// Requests the primary table of the lease holder, or of a proxy that renews there.
     void queryProxy(TimePoint now)
     {
         const auto *source =
@@ -191,7 +193,7 @@
         }
         renewFailures_.erase(address);
         context_.host.onPeerRevisions(reply->catalogRevisions);
-        lease_.onRenewReply(*reply, now);
+        leaseManager_.onRenewReply(*reply, now);
         if (!reply->granted) {
             ++renewAttempt_;
             return;
@@ -199,19 +201,20 @@
         renewAttempt_ = 0;
         context_.primaryTable.renew(reply->records, requestedAt - reply->age);
         context_.primaryTableChanged(now);
-        // A holder that the store does not answer yields to one that it does; so this process finds out whether it does.
+        // A lease holder without replies from the store relinquishes the lease to a proxy that gets them; this read shows whether
+        // this proxy does.
         if (reply->leaseHolderSinceStoreReply && *reply->leaseHolderSinceStoreReply >= context_.limits.storeSilenceTimeout
-            && !storeRenewing_) {
+            && !storeRenewPending_) {
             queryStore(now);
         }
     }
 
     void queryStore(TimePoint now)
     {
-        storeRenewing_ = true;
+        storeRenewPending_ = true;
         storeRenewedAt_ = now;
         context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, now](const Result<StoreListing> &listing) {
-            storeRenewing_ = false;
+            storeRenewPending_ = false;
             if (!listing) {
                 return;
             }
@@ -219,7 +222,9 @@
         });
     }
 
-    /// Takes the view that the store held at \a askedAt; only a registered proxy is waited for by moves, so only it may use one.
+    /// Renews the primary table from a listing that was requested at \a requestedAt.
+    ///
+    /// Primary changes wait only for registered proxies, so an unregistered one must not use the stored table.
     void applyStoredTable(const StoreListing &listing, TimePoint requestedAt)
     {
         bool registered = false;
@@ -241,20 +246,20 @@
     }
 
     LeadershipContext<Store> &context_;
-    LeaseManager<Store> &lease_;
+    LeaseManager<Store> &leaseManager_;
     ProxyRegistry<Store> &registry_;
     PrimaryTableSyncHandlers handlers_;
     bool renewPending_ = false;
     TimePoint renewedAt_;
-    /// Renewals in a row that failed, by proxy.
+    /// The number of consecutive failed renewals, by proxy.
     std::map<Address, unsigned> renewFailures_;
-    /// Renewals in a row that brought no view.
+    /// The number of consecutive attempts at a renewal that granted no table.
     std::size_t renewAttempt_ = 0;
-    /// Proxies that renew their views here, and when they last did.
+    /// Proxies that renew their primary tables here, and when they last did.
     std::map<InstanceName, TimePoint> downstreamProxies_;
-    /// What others told here that they acknowledged to callers.
+    /// Highest positions that other proxies reported here as acknowledged to callers.
     std::map<GroupName, LogPosition> acknowledged_;
-    bool storeRenewing_ = false;
+    bool storeRenewPending_ = false;
     TimePoint storeRenewedAt_;
 };
 
--- a/src/gateway/proxymetrics.h
+++ b/src/gateway/proxymetrics.h
@@ -11,21 +11,21 @@
 
 namespace cardamomstep::gateway {
 
-/// What the gauges show of the leadership.
+/// Leadership values that are shown as gauges.
 struct LeadershipGauges {
     bool holdsLease = false;
-    /// Empty while no holder is known.
+    /// Empty while no lease holder is known.
     InstanceName leaseHolder;
-    /// Time for which the view of primaries is still good; negative when it has ended.
+    /// Time until the primary table expires; negative when it has expired.
     Milliseconds primaryTableTimeLeft{0};
     std::uint32_t proxies = 0;
 };
 
-/// Names and keeps all values of the metrics page.
+/// Collects the values of the metrics page under their names.
 class ProxyMetrics
 {
 public:
-    /// Takes in one answer to a caller.
+    /// Counts one answer to a caller.
     void answered(const relay::ReplyToCaller &answer)
     {
         const auto outcome = answer.reply.error ? std::string(answerRule(answer.reply.error->kind).name) : std::string("ok");
@@ -45,7 +45,7 @@
         metrics_.count("store_failures_total{of=\"" + std::string(dependency) + "\"}");
     }
 
-    /// A session was served here in place of another proxy, or sent back to it.
+    /// Counts a session that was resumed locally after its proxy was lost, or redirected to another proxy; \a how tells which.
     void sessionMoved(std::string_view how)
     {
         metrics_.count("sessions_moved_total{how=\"" + std::string(how) + "\"}");
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -1,4 +1,4 @@
-// The registered proxies: this one's entry in the store, the others', and which of them live.
+// The registered proxies: this proxy's entry in the store, the entries of the others, and their liveness.
 #pragma once
 
 #include "evloop/clock.h"
@@ -18,7 +18,7 @@
     Revision revision;
 };
 
-/// Knows the registered proxies and keeps this one among them.
+/// Tracks the registered proxies and keeps this one registered.
 template<typename Store>
 class ProxyRegistry
 {
@@ -41,7 +41,7 @@
                 return;
             }
             if (created.error().kind == ErrorKind::Conflict) {
-                // Left by an earlier process of this instance; its address may be another one.
+                // An earlier process of this instance left the entry, possibly with another address.
                 context_.store.replace(key, Revision{}, value, context_.limits.storeTimeout, [this](const Result<StoredObject> &replaced) {
                     if (replaced) {
                         ownRevision_ = replaced->version;
@@ -55,7 +55,7 @@
         });
     }
 
-    /// Registers again where the store refused or did not answer.
+    /// Registers again if the store refused the last attempt or did not reply.
     void retryRegistration()
     {
         if (std::exchange(registrationFailed_, false)) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in that the store holds no entry of this proxy, though it should.
+    /// Handles the absence of this proxy's entry from the store: retryRegistration() registers it again.
     void onEntryMissing()
     {
         if (registered()) {
@@ -78,7 +78,7 @@
         return ownRevision_.value != 0;
     }
 
-    /// Takes in the entry of a proxy.
+    /// Adds or replaces the entry of a proxy.
     void put(const leadership::ProxyEntry &entry, Revision revision, TimePoint now)
     {
         proxies_[entry.instance] = {entry, revision};
@@ -121,7 +121,7 @@
         return names;
     }
 
-    /// The registered proxies that take sessions of others, as targets of sessions.
+    /// The registered proxies as targets of forwarded sessions; the address is empty for those that accept none.
     [[nodiscard]] std::vector<LiveInstance> sessionTargets() const
     {
         std::vector<LiveInstance> targets;
@@ -131,19 +131,19 @@
         return targets;
     }
 
-    /// Notes that \a instance renewed its view here or through a proxy that did.
+    /// Records that \a instance renewed its primary table here or through a proxy that did.
     void onContact(const InstanceName &instance, TimePoint now)
     {
         liveness_.onContact(instance, now);
     }
 
-    /// Gives every proxy time to be heard of, when this process takes the lease.
+    /// Restarts the liveness timeout of every proxy, when this process acquires the lease.
     void restart(TimePoint now)
     {
         liveness_.restart(now);
     }
 
-    /// Removes proxies from the store that are gone for good.
+    /// Removes proxies from the store that had no contact for the removal timeout.
     void removeExpired(TimePoint now)
     {
         for (const auto &[instance, proxy] : proxies_) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// When a proxy was last removed; its view may last for a view lease from then.
+    /// When a proxy was last removed; its primary table may stay valid for a whole `primaryTableLease` from then.
     [[nodiscard]] TimePoint removedAt() const noexcept
     {
         return removedAt_;
--- a/src/gateway/sessionplacement.h
+++ b/src/gateway/sessionplacement.h
@@ -1,4 +1,4 @@
-// Which proxy serves a session: this one, or one that holds more of the group's connections.
+// Decides which proxy serves a session: this one, or one with a pool of connections to the group's members.
 #pragma once
 
 #include "evloop/clock.h"
@@ -14,29 +14,29 @@
 
 namespace cardamomstep::gateway {
 
-/// Places sessions on the proxies that are registered and can be reached.
+/// Assigns sessions to proxies that are registered and reachable.
 class SessionPlacement
 {
 public:
-    /// A proxy that could not be reached gets no sessions for this long.
+    /// Time for which no sessions are forwarded to a proxy that failed to serve one.
     static constexpr Milliseconds failedTargetBackoff{3000};
 
-    /// \a self has no address where this proxy takes no sessions of others.
+    /// \a self has an empty address when this proxy accepts no forwarded sessions; it then forwards none either.
     SessionPlacement(relay::Engine &engine, LiveInstance self)
         : engine_(engine)
         , self_(std::move(self))
     {
     }
 
-    /// Takes in the registered proxies that take sessions of others.
+    /// Sets the registered proxies as targets of forwarded sessions.
     void setProxies(std::vector<LiveInstance> proxies)
     {
         proxies_ = std::move(proxies);
-        place();
+        updatePlacement();
     }
 
-    /// Works out anew which proxies hold connections to which members.
-    void place()
+    /// Recomputes which proxies have pools of connections to which groups' members.
+    void updatePlacement()
     {
         const auto now = evloop::bootTimeNow();
         auto targets = proxies_;
@@ -46,13 +46,13 @@
         });
         targets_ = InstanceSet(std::move(targets));
         for (const auto &[group, config] : engine_.routes().groups()) {
-            const auto holders = poolPlacementOf(config);
-            const bool hasPool = !relay::forwardTo(targets_, holders, group, self_, 0);
-            engine_.setPoolCount(group, hasPool ? holders.poolCount : 0);
+            const auto placement = poolPlacementOf(config);
+            const bool hasPool = !relay::forwardTo(targets_, placement, group, self_, 0);
+            engine_.setPoolCount(group, hasPool ? placement.poolCount : 0);
         }
     }
 
-    /// Where a session for \a database is passed on to, if it is.
+    /// The proxy to forward a session for \a database to; std::nullopt when this process serves it.
     std::optional<ForwardTarget> targetOf(const relay::DatabaseName &database, relay::CallerKey caller)
     {
         const auto now = evloop::bootTimeNow();
@@ -62,7 +62,7 @@
             return std::nullopt;
         }
         if (std::erase_if(failedTargets_, [now](const auto &failed) { return now >= failed.second; }) > 0) {
-            place();
+            updatePlacement();
         }
         const auto target = relay::forwardTo(targets_, poolPlacementOf(*config), route->group, self_, caller);
         return target ? std::optional(ForwardTarget{target->address, route->statementTimeout}) : std::nullopt;
@@ -71,7 +71,7 @@
     void onTargetFailed(const Address &proxy)
     {
         failedTargets_[proxy] = evloop::bootTimeNow() + failedTargetBackoff;
-        place();
+        updatePlacement();
     }
 
 private:
@@ -79,19 +79,19 @@
     {
         const auto reserve = relay::EngineLimits{}.reservedConnections;
         const auto connections = config.memberConnections > reserve ? config.memberConnections - reserve : config.memberConnections;
-        auto holders = relay::placePools(targets_, connections);
+        auto placement = relay::placePools(targets_, connections);
         if (self_.address.empty()) {
-            holders.poolsPerDomain = 0;
+            placement.poolsPerDomain = 0;
         }
-        return holders;
+        return placement;
     }
 
     relay::Engine &engine_;
     LiveInstance self_;
     std::vector<LiveInstance> proxies_;
-    /// Proxies that sessions may be passed on to, this one included.
+    /// Proxies that sessions may be forwarded to, this one included.
     InstanceSet targets_;
-    /// Proxies that could not be reached, and until when they get no sessions.
+    /// Proxies that failed to serve a session, and until when none are forwarded to them.
     std::map<Address, TimePoint> failedTargets_;
 };
 
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -1,4 +1,4 @@
-// The session proxy: one event loop that performs the relay's actions and reports what came of them.
+// The session proxy: one event loop that performs the relay's actions and reports their results to it.
 #pragma once
 
 #include "base/hash.h"
@@ -25,17 +25,17 @@
 
 namespace cardamomstep::gateway {
 
-/// Bounds of the shell.
+/// Limits of a SessionProxy.
 struct SessionProxyLimits {
     /// Time between two writes of the log.
     Milliseconds logInterval{100};
-    /// Time that a stopping proxy goes on taking new connections.
+    /// Time for which a stopping proxy still accepts new connections.
     Milliseconds acceptAfterStop{2500};
-    /// Time after that for connections that were accepted last.
+    /// Time after that for the connections that were accepted last.
     Milliseconds lastConnectionsGrace{250};
 };
 
-/// One process on the platform; \a Wire is the line format, \a Store and \a Promoter the platform's services.
+/// One session proxy process; \a Wire is the line format, \a Store and \a Promoter are the platform's services.
 template<relay::WireCodec Wire, typename Store, typename Promoter>
 class SessionProxy
 {
@@ -56,7 +56,7 @@
     {
     }
 
-    /// Opens the listeners and begins to follow the store; the error is ErrorKind::InvalidSettings.
+    /// Opens the listeners and starts to watch the store; the error is ErrorKind::InvalidSettings.
     [[nodiscard]] Result<Success> start()
     {
         log(LogLevel::Info, "start", {{"failure_domain", settings_.failureDomain.text()}});
@@ -65,7 +65,7 @@
             opened = serveReadiness();
         }
         if (opened && !settings_.listen.metrics.empty()) {
-            // Callers are served without metrics, too.
+            // Callers are served even without metrics.
             const auto metrics = serveMetrics();
             if (!metrics) {
                 log(LogLevel::Warning, "metrics_not_served", {{"fault", metrics.error().description}});
@@ -88,7 +88,7 @@
         return leadership_.start();
     }
 
-    /// Reads the settings file again; what can change while running is taken over.
+    /// Reads the settings file again and applies the settings that can change at run time.
     void reload()
     {
         const auto read = readSessionSettingsFile(settingsFile_);
@@ -103,7 +103,7 @@
         log(LogLevel::Info, "reload", {{"changed", static_cast<std::int64_t>(changed ? 1 : 0)}});
     }
 
-    /// Begins a graceful shutdown; the loop ends when the last session has.
+    /// Starts a graceful shutdown; the loop stops after the last session has ended, or shortly before the end of the stop grace.
     void stop()
     {
         if (engine_.draining()) {
@@ -181,7 +181,7 @@
             && leadership_.primaryTableCurrent(evloop::bootTimeNow());
     }
 
-    /// Accepts connections; those of other proxies bring sessions that are served here and not passed on again.
+    /// Accepts connections; sessions on those from other proxies are served by this process and never forwarded again.
     void accept(boost::asio::ip::tcp::acceptor &acceptor, bool fromProxy)
     {
         acceptor.async_accept([this, &acceptor, fromProxy](const boost::system::error_code &error, boost::asio::ip::tcp::socket socket) {
@@ -263,13 +263,13 @@
 
     void applyConfiguration(const relay::Configuration &configuration, Revision revision)
     {
-        const auto before = engine_.routes().version();
+        const auto previousVersion = engine_.routes().version();
         engine_.configure(configuration, evloop::bootTimeNow());
-        placement_.place();
+        placement_.updatePlacement();
         log(LogLevel::Info,
             "configuration",
             {{"version", static_cast<std::int64_t>(configuration.version)},
-             {"before", static_cast<std::int64_t>(before)},
+             {"before", static_cast<std::int64_t>(previousVersion)},
              {"revision", static_cast<std::int64_t>(revision.value)},
              {"routes", static_cast<std::int64_t>(configuration.routes.size())}});
         membersChanged();
@@ -284,7 +284,7 @@
 
     // Actions
 
-    /// Performs what the engine asks for until it asks for nothing more.
+    /// Performs the engine's actions until it has none left.
     void perform()
     {
         if (performing_) {
@@ -305,7 +305,7 @@
         const auto caller = callers_.find(action.caller);
         metrics_.answered(action);
         if (caller != callers_.end()) {
-            // The reply may bring the caller's next statement, and with it the end of the session.
+            // Sending the answer may deliver the caller's next statement, which may end the session and remove it from callers_.
             const auto connection = caller->second;
             connection->reply(action.reply);
         }
@@ -371,7 +371,7 @@
         log(action.level, action.event, action.fields);
     }
 
-    /// Ends the sessions that are passed on, each as it comes to rest.
+    /// Ends the forwarded sessions, each as soon as it is idle.
     void endForwarded()
     {
         std::vector<std::shared_ptr<Caller>> idle;
@@ -388,7 +388,7 @@
         }
     }
 
-    // Time
+    // Timers
 
     void scheduleWake()
     {
@@ -421,7 +421,7 @@
         });
     }
 
-    /// Ends the loop once a stopping process has no sessions left, or no time.
+    /// Stops the loop once a stopping process has no sessions left and accepts no more, or at 90 % of the stop grace.
     void checkStopped()
     {
         if (!stoppingSince_) {
@@ -429,8 +429,8 @@
         }
         const auto since = evloop::bootTimeNow() - *stoppingSince_;
         if (since >= limits_.acceptAfterStop && acceptor_.is_open()) {
-            // A caller that connects from here on is turned away at once and goes elsewhere; those in the queue are still served.
-            boost::system::error_code ignored; // It listens no more in either case.
+            // Callers that connect from now on are refused at once and go elsewhere; connections already accepted are still served.
+            boost::system::error_code ignored; // The acceptor no longer listens even when closing it fails.
             acceptor_.close(ignored);
             sessionAcceptor_.close(ignored);
         }
@@ -468,10 +468,10 @@
     relay::CallerKey nextCaller_ = 1;
     boost::asio::steady_timer wakeTimer_;
     boost::asio::steady_timer logTimer_;
-    /// When wakeTimer_ fires; nothing while it is not set.
+    /// When wakeTimer_ fires; std::nullopt while it is not set.
     std::optional<TimePoint> wakeAt_;
     std::optional<TimePoint> stoppingSince_;
-    /// True while actions are carried out; what they bring about is carried out in the same turn.
+    /// True while actions are performed; further actions that result from them are performed by the same call.
     bool performing_ = false;
 };
 
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -1,4 +1,4 @@
-// What a session proxy believes, as JSON for `cardamomstep status --session`.
+// The state of a session proxy as JSON, for `cardamomstep status --session`.
 #pragma once
 
 #include "gateway/proxymetrics.h"
@@ -10,7 +10,7 @@
 
 namespace cardamomstep::gateway {
 
-/// One group as the proxy sees it.
+/// Returns the proxy's state of one group.
 [[nodiscard]] inline nlohmann::json toJson(const relay::GroupStats &group, TimePoint now)
 {
     return {{"group", group.group.text()},
@@ -24,7 +24,7 @@
             {"connectionsLent", group.connectionsInUse}};
 }
 
-/// The whole page.
+/// Returns the whole page.
 [[nodiscard]] inline std::string
 statusPage(const InstanceName &instance, const relay::Engine &engine, const LeadershipGauges &leadership, TimePoint now)
 {
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -1,4 +1,4 @@
-// Follows all objects of one kind in the store: lists, watches, and lists again where the history is gone.
+// Watches all objects of one kind in the store: lists, watches, and lists again when the history was compacted.
 #pragma once
 
 #include "evloop/clock.h"
@@ -18,20 +18,20 @@
 
 namespace cardamomstep::gateway {
 
-/// What a follower reports.
+/// Callbacks of a StoreWatcher.
 struct StoreWatcherHandlers {
     std::function<void(const StoreListing &listing)> listed;
     std::function<void(const StoreChanges &changes)> changed;
-    /// The store did not answer, or answered from an old state.
+    /// A call failed; not called for replies from an outdated state of the store, which are repeated after a delay.
     std::function<void(const Error &error)> failed;
 };
 
-/// Follows one kind; \a Store offers list(), watch() and abandon().
+/// Watches the objects of one kind; \a Store provides list(), watch() and abandon().
 template<typename Store>
 class StoreWatcher : public std::enable_shared_from_this<StoreWatcher<Store>>
 {
 public:
-    /// After news, the next call waits for \a settle, so that changes in quick succession cost few calls.
+    /// After changes, the next call waits for \a settleDelay, so that changes in quick succession need few calls.
     StoreWatcher(boost::asio::io_context &loop,
                  Store store,
                  ObjectKind kind,
@@ -49,7 +49,7 @@
     {
     }
 
-    /// Makes the next call; calls follow each other until stop().
+    /// Makes the next call, or schedules it; calls follow each other until stop().
     void step()
     {
         if (stopped_) {
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Revision of the newest change that was seen.
+    /// Revision of the newest change received.
     [[nodiscard]] Revision newest() const noexcept
     {
         return newest_;
     }
 
-    /// Sets the longest wait of watches; a watch under way that would wait longer is made anew.
+    /// Sets the longest wait of watches; a watch in progress that would wait longer is restarted.
     void setWait(Milliseconds wait)
     {
         const bool shorter = wait < wait_;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes in that another process knows a change at \a newest; true when the watch was made anew because it missed that.
+    /// Records that another process knows a change at \a newest; true when the watch was restarted because it missed that change.
     bool onPeerRevision(Revision newest, TimePoint now)
     {
         return missedChanges_.onPeerRevision(newest, completeUpTo_, now) && restartWatch();
@@ -99,7 +99,7 @@
 
 private:
     static constexpr Milliseconds listTimeout{1000};
-    /// A change that another process knows of arrives here within this time, or the watch is silent.
+    /// A watch that does not bring a change within this time after another process reported it counts as silent.
     static constexpr Milliseconds changeGrace{500};
 
     bool restartWatch()
@@ -129,7 +129,7 @@
             onFailure(listing.error(), now);
             return;
         }
-        // A listing starts over: nothing that was known before bounds its revision but what was taken over.
+        // A listing starts over: its revision must not precede the changes applied so far, and nothing else bounds it.
         if (resume_.onListing(*listing, completeUpTo_, now) == StoreReplyKind::Current) {
             completeUpTo_ = listing->revision;
             updateNewest(listing->objects);
@@ -182,14 +182,14 @@
     WatchResume resume_;
     Milliseconds settleDelay_;
     StoreWatcherHandlers handlers_;
-    /// All changes up to here are known.
+    /// All changes up to this revision were received.
     Revision completeUpTo_;
     Revision newest_;
     MissedChangeDetector missedChanges_{changeGrace};
     Milliseconds wait_;
-    /// A watch is under way.
+    /// A watch is in progress.
     bool watching_ = false;
-    /// It was given up to be made anew.
+    /// The watch in progress was abandoned, to be restarted.
     bool watchAbandoned_ = false;
     bool stopped_ = false;
 };
