--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -1,4 +1,4 @@
-// Keeps the configuration of this process in step with the store and with other proxies.
+// Synchronizes the configuration of this process with the store and with other proxies.
 #include "app/configurationservice.h"
 
 #include "logging/log.h"
@@ -15,7 +15,7 @@
 constexpr Milliseconds tickPeriod{200};
 constexpr Milliseconds exchangeTimeout{500};
 constexpr Milliseconds listTimeout{3'000};
-constexpr Milliseconds longestPause{200};
+constexpr Milliseconds maxStoreDelay{200};
 
 GossipOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
 {
@@ -27,8 +27,10 @@
     return options;
 }
 
-/// The change of a record that \a object is; a null record for a deletion. Nothing for objects that are no records.
-std::optional<RecordChange> recordChange(const StoredObject &object)
+/// Converts \a object to a change of a record; the record is null for a deletion.
+///
+/// Returns nothing for an object that is not a record, or whose record cannot be read (logged).
+std::optional<RecordChange> toRecordChange(const StoredObject &object)
 {
     const auto kind = recordKindFromText(object.kind.text());
     if (!kind) {
@@ -53,10 +55,10 @@
 } // namespace
 
 ConfigurationService::ConfigurationService(
-    const LiveInstance &self, StoreClient &store, peer::Client &peers, std::uint64_t seed, Changed changed)
+    const LiveInstance &self, StoreClient &store, peer::Client &peers, std::uint64_t seed, ChangeHandler changeHandler)
     : store_(store)
     , peers_(peers)
-    , changed_(std::move(changed))
+    , changeHandler_(std::move(changeHandler))
     , gossip_(optionsFor(self, seed))
 {
 }
@@ -84,9 +86,9 @@
 GossipMessage ConfigurationService::onRequest(const GossipMessage &request)
 {
     std::unique_lock lock(mutex_);
-    auto handled = gossip_.onRequest(request, steadyNow());
-    finishInput(lock, handled.actions);
-    return std::move(handled.reply);
+    auto response = gossip_.onRequest(request, steadyNow());
+    finishInput(lock, response.actions);
+    return std::move(response.reply);
 }
 
 void ConfigurationService::onWriteAccepted(const StoredObject &change)
@@ -125,7 +127,7 @@
 void ConfigurationService::awaitRevision(Revision revision, Milliseconds wait)
 {
     std::unique_lock lock(mutex_);
-    advanced_.wait_for(lock, wait, [this, revision] { return gossip_.state().digest().complete >= revision; });
+    revisionAdvanced_.wait_for(lock, wait, [this, revision] { return gossip_.state().digest().complete >= revision; });
 }
 
 // Peers
@@ -142,11 +144,11 @@
 {
     const auto before = catalog_;
     perform(actions);
-    advanced_.notify_all();
+    revisionAdvanced_.notify_all();
     const bool changed = catalog_ != before;
     lock.unlock();
     if (changed) {
-        changed_();
+        changeHandler_();
     }
 }
 
@@ -182,7 +184,7 @@
 {
     std::vector<RecordChange> records;
     for (const auto &object : objects) {
-        if (auto change = recordChange(object)) {
+        if (auto change = toRecordChange(object)) {
             records.push_back(std::move(*change));
         }
     }
@@ -198,11 +200,11 @@
         const std::lock_guard lock(mutex_);
         step = gossip_.nextStoreStep(steadyNow());
     }
-    if (const auto *pause = std::get_if<DelayUntil>(&step)) {
-        return std::clamp(wholeMilliseconds(pause->time - steadyNow()) + Milliseconds{1}, Milliseconds{1}, longestPause);
+    if (const auto *delay = std::get_if<DelayUntil>(&step)) {
+        return std::clamp(wholeMilliseconds(delay->time - steadyNow()) + Milliseconds{1}, Milliseconds{1}, maxStoreDelay);
     }
-    if (const auto *watching = std::get_if<WatchAfter>(&step)) {
-        watch(*watching);
+    if (const auto *watchStep = std::get_if<WatchAfter>(&step)) {
+        watch(*watchStep);
     } else {
         list();
     }
--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -1,4 +1,4 @@
-// Keeps the configuration of this process in step with the store and with other proxies.
+// Synchronizes the configuration of this process with the store and with other proxies.
 #pragma once
 
 #include "app/fwd.h"
@@ -16,45 +16,47 @@
 
 namespace cardamomstep {
 
-/// Performs the exchanges of a ConfigurationSpread; safe for use by many threads.
+/// I/O layer of a ConfigurationGossip: exchanges messages with peers and reads the store; safe for use by many threads.
 class ConfigurationService
 {
 public:
-    /// Told after each change, without the lock held.
-    using Changed = std::function<void()>;
+    /// Called after each change of the catalog, without the lock held.
+    using ChangeHandler = std::function<void()>;
 
-    ConfigurationService(const LiveInstance &self, StoreClient &store, peer::Client &peers, std::uint64_t seed, Changed changed);
+    ConfigurationService(
+        const LiveInstance &self, StoreClient &store, peer::Client &peers, std::uint64_t seed, ChangeHandler changeHandler);
     ConfigurationService(const ConfigurationService &) = delete;
     ConfigurationService &operator=(const ConfigurationService &) = delete;
 
-    /// Begins to follow the store and the peers.
+    /// Starts to synchronize with the store and the peers.
     void start();
 
-    /// Stops after the calls in progress.
+    /// Stops; blocks until the calls in progress have finished.
     void stop();
 
-    /// Takes in the live proxies and the number of failure domains that the platform lists.
+    /// Sets the live proxies and the number of failure domains that the platform lists.
     void setInstances(std::shared_ptr<const InstanceSet> live, std::size_t listedDomains);
 
-    /// Answers a peer.
+    /// Applies a peer's gossip message and returns the reply.
     [[nodiscard]] GossipMessage onRequest(const GossipMessage &request);
 
-    /// Takes in a change that the store confirmed to this proxy as its own, and pushes it on.
+    /// Applies a change that the store accepted from this proxy, and pushes it to peers.
     void onWriteAccepted(const StoredObject &change);
 
-    /// The records in force.
+    /// Returns the records in force.
     [[nodiscard]] std::shared_ptr<const Catalog> catalog() const;
 
-    /// What this proxy can know about its configuration.
+    /// Returns whether this proxy can know that its configuration is current.
     [[nodiscard]] ConfigurationFreshnessState configurationFreshness() const;
 
-    /// True when this proxy may write changes to the store.
+    /// Returns true if this proxy may write changes to the store: its configuration is current and it has contact with a majority
+    /// of the failure domains.
     [[nodiscard]] bool mayWriteToStore() const;
 
-    /// Revision up to which the configuration is complete.
+    /// Returns the revision up to which the configuration is complete.
     [[nodiscard]] Revision revision() const;
 
-    /// Blocks until the configuration is complete up to \a revision, at most for \a wait.
+    /// Blocks until the configuration is complete up to \a revision, or until \a wait has passed.
     void awaitRevision(Revision revision, Milliseconds wait);
 
 private:
@@ -69,13 +71,13 @@
 
     StoreClient &store_;
     peer::Client &peers_;
-    Changed changed_;
+    ChangeHandler changeHandler_;
     mutable std::mutex mutex_;
-    std::condition_variable advanced_;
-    /// All guarded by mutex_.
+    std::condition_variable revisionAdvanced_;
+    /// Guarded by mutex_, like catalog_.
     ConfigurationGossip gossip_;
     std::shared_ptr<const Catalog> catalog_ = Catalog::empty();
-    // Stopped first.
+    // Declared last, so that they are destroyed first: their threads use the members above.
     std::unique_ptr<TaskPool> tasks_;
     std::unique_ptr<Periodic> ticker_;
     std::unique_ptr<Periodic> storeWatcher_;
--- a/src/app/fwd.h
+++ b/src/app/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the app slice: the process that puts the slices together.
+// Forward declarations of the app module, which composes the other modules into a proxy process.
 #pragma once
 
 namespace cardamomstep {
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,4 @@
-// The program: picks the subcommand.
+// Entry point of the program: runs the subcommand named on the command line.
 #include "app/proxycommand.h"
 #include "app/replaycommand.h"
 #include "cli/run.h"
--- a/src/app/membershipservice.cpp
+++ b/src/app/membershipservice.cpp
@@ -1,4 +1,4 @@
-// Keeps track of the other proxies by pings and by the platform's instance list.
+// Tracks the other proxies through pings and the platform's instance list.
 #include "app/membershipservice.h"
 
 #include "logging/log.h"
@@ -17,9 +17,9 @@
 constexpr Milliseconds pingTimeout{800};
 constexpr Milliseconds snapshotTimeout{2'000};
 constexpr Milliseconds instancesTimeout{1'000};
-/// The instance list is read this often in a small fleet, and less often in a larger one.
-constexpr Milliseconds shortestPoll{1'000};
-constexpr Milliseconds pollForEachProxy{10};
+/// The poll interval of the instance list grows with the number of known proxies, but is at least minPollInterval.
+constexpr Milliseconds minPollInterval{1'000};
+constexpr Milliseconds pollIntervalPerProxy{10};
 
 std::vector<SchemaForm> formsOfThisRelease()
 {
@@ -43,7 +43,7 @@
     return options;
 }
 
-/// The seeds of the settings, as the platform would list them.
+/// Converts the seeds in the settings to entries of an instance list.
 std::vector<ListedInstance> seedsOf(const Settings &settings)
 {
     std::vector<ListedInstance> listed;
@@ -55,12 +55,16 @@
 
 } // namespace
 
-MembershipService::MembershipService(
-    const Settings &settings, StoreClient &store, peer::Client &peers, std::uint64_t seed, Changed changed, Listed listed)
+MembershipService::MembershipService(const Settings &settings,
+                                     StoreClient &store,
+                                     peer::Client &peers,
+                                     std::uint64_t seed,
+                                     ChangeHandler changeHandler,
+                                     ListHandler listHandler)
     : store_(store)
     , peers_(peers)
-    , changed_(std::move(changed))
-    , listed_(std::move(listed))
+    , changeHandler_(std::move(changeHandler))
+    , listHandler_(std::move(listHandler))
     , view_(optionsFor(settings, seed))
 {
     if (!settings.seeds.empty()) {
@@ -86,7 +90,7 @@
 {
     std::unique_lock lock(mutex_);
     view_.leave(steadyNow());
-    // The others should know at once, not with the next period's ping.
+    // All other proxies are notified at once instead of by the next periodic pings.
     const auto message = view_.onPing({view_.proxies().front().update->instance.name, Revision{}, false, {}}, steadyNow());
     std::vector<LiveInstance> others;
     for (const auto &proxy : view_.proxies()) {
@@ -106,19 +110,19 @@
     return view_.isLeaving();
 }
 
-// Answers
+// Requests
 
 peer::Ping MembershipService::onPing(const peer::Ping &ping)
 {
     if (!ping.target.empty()) {
         const auto result = peers_.ping(ping.target, {ping.message, {}, true}, pingTimeout);
-        const auto *answer = std::get_if<peer::Ping>(&result);
-        return answer != nullptr ? *answer : peer::Ping{{}, {}, false};
+        const auto *reply = std::get_if<peer::Ping>(&result);
+        return reply != nullptr ? *reply : peer::Ping{{}, {}, false};
     }
     std::unique_lock lock(mutex_);
-    peer::Ping answer{view_.onPing(ping.message, steadyNow()), {}, true};
+    peer::Ping reply{view_.onPing(ping.message, steadyNow()), {}, true};
     finishInput(lock);
-    return answer;
+    return reply;
 }
 
 std::vector<SharedUpdate> MembershipService::snapshot() const
@@ -170,7 +174,7 @@
     }
     lock.unlock();
     if (changed) {
-        changed_();
+        changeHandler_();
     }
 }
 
@@ -203,9 +207,9 @@
     tasks_->add([this, id, to, ping, direct] {
         const auto result = peers_.ping(to, ping, pingTimeout);
         std::unique_lock lock(mutex_);
-        if (const auto *answer = std::get_if<peer::Ping>(&result)) {
-            if (answer->answered) {
-                view_.onAck(id, answer->message, steadyNow());
+        if (const auto *reply = std::get_if<peer::Ping>(&result)) {
+            if (reply->answered) {
+                view_.onAck(id, reply->message, steadyNow());
             }
         } else if (direct && std::get<peer::Failure>(result).refused) {
             view_.onRefused(id, steadyNow());
@@ -221,14 +225,14 @@
     const auto instances = store_.instances(instancesTimeout);
     std::unique_lock lock(mutex_);
     const auto proxies = static_cast<std::int64_t>(view_.proxies().size());
-    const auto pause = std::max(shortestPoll, pollForEachProxy * proxies);
+    const auto interval = std::max(minPollInterval, pollIntervalPerProxy * proxies);
     if (!instances) {
-        return pause;
+        return interval;
     }
     view_.onListed(*instances, steadyNow());
     finishInput(lock);
-    listed_(*instances);
-    return pause;
+    listHandler_(*instances);
+    return interval;
 }
 
 } // namespace cardamomstep
--- a/src/app/membershipservice.h
+++ b/src/app/membershipservice.h
@@ -1,4 +1,4 @@
-// Keeps track of the other proxies by pings and by the platform's instance list.
+// Tracks the other proxies through pings and the platform's instance list.
 #pragma once
 
 #include "app/fwd.h"
@@ -16,48 +16,52 @@
 
 namespace cardamomstep {
 
-/// Performs the pings of a MembershipView; safe for use by many threads.
+/// I/O layer of a MembershipView: sends pings, fetches snapshots and polls the instance list; safe for use by many threads.
 class MembershipService
 {
 public:
-    /// Told when the proxies that may own groups have changed, without the lock held.
-    using Changed = std::function<void()>;
-    /// Told of each instance list, without the lock held; for leaving endpoints.
-    using Listed = std::function<void(const std::vector<ListedInstance> &)>;
-
-    MembershipService(
-        const Settings &settings, StoreClient &store, peer::Client &peers, std::uint64_t seed, Changed changed, Listed listed);
+    /// Called when the set of proxies that may own groups has changed, without the lock held.
+    using ChangeHandler = std::function<void()>;
+    /// Called with each instance list read from the platform, without the lock held; the list also names leaving endpoints.
+    using ListHandler = std::function<void(const std::vector<ListedInstance> &)>;
+
+    MembershipService(const Settings &settings,
+                      StoreClient &store,
+                      peer::Client &peers,
+                      std::uint64_t seed,
+                      ChangeHandler changeHandler,
+                      ListHandler listHandler);
     MembershipService(const MembershipService &) = delete;
     MembershipService &operator=(const MembershipService &) = delete;
 
-    /// Begins to ping and to read the instance list.
+    /// Starts to ping proxies and to poll the instance list.
     void start();
 
-    /// Stops after the calls in progress.
+    /// Stops; blocks until the calls in progress have finished.
     void stop();
 
-    /// Tells the others that this proxy takes no more work.
+    /// Marks this proxy as leaving, so that it no longer owns groups, and notifies all other proxies at once.
     void leave();
 
-    /// True once this proxy is leaving, also by the platform's list.
+    /// Returns true once this proxy is leaving: after leave(), or if the platform's list says so.
     [[nodiscard]] bool isLeaving() const;
 
-    /// Answers a ping; one for another target is passed on.
+    /// Returns the reply to a ping. A ping with a target is forwarded to it; the target's reply is returned.
     [[nodiscard]] peer::Ping onPing(const peer::Ping &ping);
 
-    /// All news known here.
+    /// Returns the latest update of every known proxy.
     [[nodiscard]] std::vector<SharedUpdate> snapshot() const;
 
-    /// The proxies that may own groups.
+    /// Returns the proxies that may own groups.
     [[nodiscard]] std::shared_ptr<const InstanceSet> owners() const;
 
-    /// All proxies known, this one included.
+    /// Returns all known proxies, this one included.
     [[nodiscard]] std::vector<KnownProxy> proxies() const;
 
-    /// Number of failure domains that the platform lists.
+    /// Returns the number of failure domains that the platform lists.
     [[nodiscard]] std::size_t listedDomains() const;
 
-    /// Sets the configuration revision that pings tell of.
+    /// Sets the configuration revision that pings report.
     void setConfigurationRevision(Revision revision);
 
 private:
@@ -69,14 +73,14 @@
 
     StoreClient &store_;
     peer::Client &peers_;
-    Changed changed_;
-    Listed listed_;
+    ChangeHandler changeHandler_;
+    ListHandler listHandler_;
     mutable std::mutex mutex_;
-    /// All guarded by mutex_.
+    /// Guarded by mutex_, like generation_ and owners_.
     MembershipView view_;
     std::uint64_t generation_ = 0;
     std::shared_ptr<const InstanceSet> owners_ = std::make_shared<const InstanceSet>();
-    // Stopped first.
+    // Declared last, so that they are destroyed first: their threads use the members above.
     std::unique_ptr<TaskPool> tasks_;
     std::unique_ptr<Periodic> ticker_;
     std::unique_ptr<Periodic> poller_;
--- a/src/app/observationexchange.cpp
+++ b/src/app/observationexchange.cpp
@@ -1,4 +1,4 @@
-// Sends and answers sightings of groups.
+// Exchange of observations between the owners of a group.
 #include "app/observationexchange.h"
 
 #include <utility>
--- a/src/app/observationexchange.h
+++ b/src/app/observationexchange.h
@@ -1,4 +1,4 @@
-// What the owners of a group tell each other of it.
+// Exchange of observations between the owners of a group.
 #pragma once
 
 #include "app/configurationservice.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep {
 
-/// Exchanges sightings with the other owners of groups that this proxy owns.
+/// Exchanges observations with the other owners of the groups that this proxy owns; safe for use by many threads.
 class ObservationExchange
 {
 public:
@@ -25,13 +25,17 @@
                         peer::Client &peers,
                         AddTask addTask);
 
-    /// Tells the group's other owners what is seen here and takes in what they see; they hold new work for \a hold where it is set.
+    /// Sends the local observation to the group's other owners in background tasks, and records their replies.
+    ///
+    /// If \a writePause is set, the others pause writes for that long; zero resumes them.
     void publish(const GroupName &group, std::optional<Milliseconds> writePause);
 
-    /// Takes in what another owner sees; returns what is seen here, nothing for a group that is not owned.
+    /// Records another owner's observation and applies its write pause.
+    ///
+    /// Returns the local observation, an empty one if this proxy does not own the group.
     [[nodiscard]] peer::GroupObservation onObservation(const peer::GroupObservation &received);
 
-    /// Asks one other owner what it sees; nothing when it does not answer.
+    /// Sends the local observation to one other owner and returns that owner's; nothing if it does not reply. Blocks meanwhile.
     [[nodiscard]] std::optional<peer::GroupObservation>
     query(const LiveInstance &other, const GroupOwner &owner, const GroupName &group) const;
 
--- a/src/app/operatorenvironment.cpp
+++ b/src/app/operatorenvironment.cpp
@@ -1,4 +1,4 @@
-// What the operators' interface sees of this process.
+// Environment of the operators' interface: the fleet as this process knows it, and its record store.
 #include "app/operatorenvironment.h"
 
 #include <utility>
--- a/src/app/operatorenvironment.h
+++ b/src/app/operatorenvironment.h
@@ -1,4 +1,4 @@
-// What the operators' interface sees of this process: its fleet, and a store that spreads what it accepted.
+// Environment of the operators' interface: the fleet as this process knows it, and a record store that propagates accepted writes.
 #pragma once
 
 #include "app/configurationservice.h"
@@ -10,7 +10,7 @@
 
 namespace cardamomstep {
 
-/// The fleet as operators see it; models operators::OperatorEnvironment.
+/// The fleet as this process knows it; models operators::OperatorEnvironment.
 class FleetEnvironment
 {
 public:
@@ -28,7 +28,7 @@
     MembershipService &membership_;
 };
 
-/// Writes records to the store and hands accepted ones to the fleet at once; models operators::RecordStore.
+/// Writes records to the store and propagates accepted writes to the fleet at once; models operators::RecordStore.
 class RecordWriter
 {
 public:
@@ -37,7 +37,7 @@
     [[nodiscard]] Result<operators::StoredText> get(const RecordKey &key);
     [[nodiscard]] Result<std::vector<operators::StoredText>> list(RecordKind kind);
 
-    /// As PlatformStore::put(); the error is NotReady as long as this proxy cannot know that its configuration is current.
+    /// As PlatformStore::put(); the error is NotReady while ConfigurationService::mayWriteToStore() is false.
     [[nodiscard]] Result<std::uint64_t> put(const RecordKey &key, const std::string &text, const operators::StoredText *replaced);
 
     /// As PlatformStore::remove(); the error is NotReady as for put().
--- a/src/app/ownership.cpp
+++ b/src/app/ownership.cpp
@@ -1,4 +1,4 @@
-// Keeps a GroupOwner for each database group that falls to this proxy.
+// Maintains a GroupOwner for each database group that is assigned to this proxy.
 #include "app/ownership.h"
 
 #include "base/hash.h"
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::uint32_t membersInGroup = 3;
+constexpr std::uint32_t assumedMembersPerGroup = 3;
 constexpr double percent = 100.0;
-/// How long an owner that was given up still serves those who have not heard of it.
-constexpr Seconds retirement{5};
+/// Minimum time that a retired owner continues to serve proxies that have not yet learned of the change.
+constexpr Seconds minRetirement{5};
 
 std::vector<InstanceName> namesOf(const std::vector<LiveInstance> &instances)
 {
@@ -27,7 +27,7 @@
     return names;
 }
 
-/// The guaranteed parts of the services whose intents name \a group.
+/// Returns the guaranteed shares of the services whose routing intents name \a group.
 std::vector<ServiceShare> sharesFor(const Catalog &catalog, const GroupName &group)
 {
     std::vector<ServiceShare> shares;
@@ -36,8 +36,8 @@
         if (intent == nullptr || intent->guaranteedPercent == 0) {
             continue;
         }
-        const bool names = std::find(intent->groups.begin(), intent->groups.end(), group) != intent->groups.end();
-        if (names) {
+        const bool appliesToGroup = std::find(intent->groups.begin(), intent->groups.end(), group) != intent->groups.end();
+        if (appliesToGroup) {
             shares.push_back({intent->service, intent->guaranteedPercent / percent});
         }
     }
@@ -71,10 +71,10 @@
         for (const auto *owner : fleet.instances->owners(name, domains)) {
             owners.push_back(*owner);
         }
-        const auto known = owned_.find(name);
-        if (known != owned_.end() && known->second.record == *record) {
-            auto owned = std::move(known->second);
-            owned_.erase(known);
+        const auto existing = owned_.find(name);
+        if (existing != owned_.end() && existing->second.record == *record) {
+            auto owned = std::move(existing->second);
+            owned_.erase(existing);
             owned.owner->setOwners(namesOf(owners), static_cast<unsigned>(*rank));
             owned.owners = std::move(owners);
             next.emplace(name, std::move(owned));
@@ -106,13 +106,13 @@
 
 void Ownership::refresh()
 {
-    std::vector<std::shared_ptr<GroupOwner>> ended;
+    std::vector<std::shared_ptr<GroupOwner>> removed;
     const std::lock_guard lock(mutex_);
     publishLeaving();
-    const auto longAgo = steadyNow() - retirement;
+    const auto retiredBefore = steadyNow() - minRetirement;
     for (auto retired = retired_.begin(); retired != retired_.end();) {
-        if (retired->second.since < longAgo && transactions_.countOf(retired->first) == 0) {
-            ended.push_back(std::move(retired->second.owner));
+        if (retired->second.retiredAt < retiredBefore && transactions_.countOf(retired->first) == 0) {
+            removed.push_back(std::move(retired->second.owner));
             retired = retired_.erase(retired);
         } else {
             ++retired;
@@ -192,7 +192,7 @@
     const auto count = static_cast<std::uint32_t>(groups);
     PacingBudget budget;
     budget.minInterval = settings_.failover.heartbeat;
-    const auto pacing = paceReports(count, count * membersInGroup, budget);
+    const auto pacing = paceReports(count, count * assumedMembersPerGroup, budget);
     policy.heartbeatInterval = pacing.heartbeatInterval;
     policy.replicaHeartbeatFactor = pacing.replicaHeartbeatFactor;
     return policy;
@@ -235,10 +235,10 @@
 
 void Ownership::clear()
 {
-    std::map<GroupName, Owned> ended;
+    std::map<GroupName, Owned> removed;
     std::map<GroupName, Retired> retired;
     const std::lock_guard lock(mutex_);
-    ended.swap(owned_);
+    removed.swap(owned_);
     retired.swap(retired_);
 }
 
--- a/src/app/ownership.h
+++ b/src/app/ownership.h
@@ -1,4 +1,4 @@
-// Keeps a GroupOwner for each database group that falls to this proxy.
+// Maintains a GroupOwner for each database group that is assigned to this proxy.
 #pragma once
 
 #include "app/fwd.h"
@@ -22,49 +22,52 @@
 public:
     Ownership(const Settings &settings, LiveInstance self, GroupOwnerHandlers handlers, Transactions &transactions, std::uint64_t seed);
 
-    /// Begins, changes and ends owners as \a view says; ended ones finish their statements.
+    /// Creates, updates and retires owners to match \a fleet.
+    ///
+    /// A group whose record changed gets a new owner. Retired owners finish their statements and transactions, see find().
     void reconcile(const entry::FleetSnapshot &fleet);
 
-    /// Takes in the members that the platform's list says are leaving.
+    /// Sets the members that are leaving according to the platform's instance list.
     void setListedLeaving(std::vector<MemberName> leaving);
 
-    /// The owner of \a group; null when this proxy does not own it.
+    /// Returns the owner of \a group; null if this proxy does not own it.
     ///
-    /// An owner that was given up is still found for a while: other proxies learn of the change with some delay, and open
-    /// transactions stay where they are.
+    /// A retired owner is still returned for a while: other proxies learn of the change with some delay, and open transactions
+    /// stay at the proxy that began them.
     [[nodiscard]] std::shared_ptr<GroupOwner> find(const GroupName &group) const;
 
-    /// Looks at the plans again, since their time may have come, and ends owners that were given up long enough ago.
+    /// Re-evaluates the stop plans, which become due with time, and destroys owners that were retired long enough ago and whose
+    /// group has no open transactions.
     void refresh();
 
-    /// The groups where this proxy is the first owner.
+    /// Returns the groups where this proxy is the first owner (rank 0).
     [[nodiscard]] std::vector<GroupName> groupsOwnedAsFirst() const;
 
-    /// The plans for members of groups where this proxy is the first owner.
+    /// Returns the active stop plans for members of groups where this proxy is the first owner.
     [[nodiscard]] std::vector<DuePlan> plansToMonitor() const;
 
-    /// All owned groups, sorted by name.
+    /// Returns the owners of all owned groups, sorted by group name.
     [[nodiscard]] std::vector<std::shared_ptr<GroupOwner>> all() const;
 
-    /// The other owners of \a group.
+    /// Returns the other proxies that own \a group; empty if this proxy does not own it.
     [[nodiscard]] std::vector<LiveInstance> otherOwners(const GroupName &group) const;
 
-    /// Gives all groups up.
+    /// Releases all groups and destroys their owners, retired ones included.
     void clear();
 
 private:
     struct Owned {
         std::shared_ptr<GroupOwner> owner;
         std::vector<LiveInstance> owners;
-        /// The configuration that the owner was made for.
+        /// The group record that the owner was created from.
         DatabaseGroup record;
         std::vector<DuePlan> plans;
     };
 
-    /// An owner that was given up.
+    /// An owner of a group that this proxy no longer owns, or whose record changed.
     struct Retired {
         std::shared_ptr<GroupOwner> owner;
-        TimePoint since;
+        TimePoint retiredAt;
     };
 
     [[nodiscard]] std::shared_ptr<GroupOwner> makeOwner(const entry::FleetSnapshot &fleet,
@@ -81,7 +84,7 @@
     Transactions &transactions_;
     std::uint64_t seed_;
     mutable std::mutex mutex_;
-    /// Guarded by mutex_.
+    /// Guarded by mutex_, like all members below.
     std::map<GroupName, Owned> owned_;
     std::map<GroupName, Retired> retired_;
     std::vector<MemberName> listedLeaving_;
--- a/src/app/periodic.h
+++ b/src/app/periodic.h
@@ -1,4 +1,4 @@
-// A thread that calls a function in turns until it is stopped.
+// A thread that calls a function repeatedly until it is destroyed.
 #pragma once
 
 #include "base/time.h"
@@ -10,7 +10,7 @@
 
 namespace cardamomstep {
 
-/// Calls a function again and again; each call says how long to pause.
+/// Calls a function repeatedly on a separate thread; each call returns the pause before the next one.
 class Periodic
 {
 public:
@@ -25,7 +25,7 @@
     Periodic(const Periodic &) = delete;
     Periodic &operator=(const Periodic &) = delete;
 
-    /// Waits for the call in progress.
+    /// Stops the thread; blocks until the call in progress has finished.
     ~Periodic()
     {
         {
@@ -36,7 +36,7 @@
         thread_.join();
     }
 
-    /// Ends the pause.
+    /// Ends the current pause; while a call is in progress, the next call follows without a pause.
     void wake()
     {
         {
@@ -62,7 +62,7 @@
     Function function_;
     std::mutex mutex_;
     std::condition_variable condition_;
-    /// Guarded by mutex_.
+    /// Guarded by mutex_, like woken_.
     bool stopping_ = false;
     bool woken_ = false;
     std::thread thread_;
--- a/src/app/planmonitor.cpp
+++ b/src/app/planmonitor.cpp
@@ -1,4 +1,4 @@
-// Decides for each due plan how far it has come.
+// Monitors stop plans of members: replaces leaving primaries and publishes when a member is drained.
 #include "app/planmonitor.h"
 
 #include "logging/log.h"
@@ -34,11 +34,11 @@
             continue;
         }
         const auto others = ownership_.otherOwners(group);
-        const bool free = std::none_of(others.begin(), others.end(), [&](const auto &other) {
+        const bool hasNoTransactions = std::none_of(others.begin(), others.end(), [&](const auto &other) {
             const auto observed = observations_.query(other, *owner, group);
             return observed && observed->openTransactions > 0;
         });
-        if (free) {
+        if (hasNoTransactions) {
             owner->replaceLeavingPrimary();
         }
     }
@@ -56,8 +56,8 @@
     observation.isPrimary = primary && primary->member == plan.member;
     observation.drained = plan.due && !observation.isPrimary && isDrained(plan, *owner);
     const auto progress = planProgress(observation);
-    const auto known = lastPublished_.find(plan.plan);
-    if (known != lastPublished_.end() && known->second == std::pair{plan.version, progress}) {
+    const auto published = lastPublished_.find(plan.plan);
+    if (published != lastPublished_.end() && published->second == std::pair{plan.version, progress}) {
         return;
     }
     lastPublished_[plan.plan] = {plan.version, progress};
@@ -65,11 +65,10 @@
     logEvent(LogLevel::Info, "plan-progress", {{"plan", plan.plan.text()}, {"detail", planDetail(observation)}});
 }
 
-/// True when no owner has work at the plan's member, and all know of the plan.
 bool PlanMonitor::isDrained(const DuePlan &plan, const GroupOwner &owner) const
 {
-    const auto isBusy = [&plan](const std::vector<MemberName> &busy) {
-        return std::find(busy.begin(), busy.end(), plan.member) != busy.end();
+    const auto isBusy = [&plan](const std::vector<MemberName> &members) {
+        return std::find(members.begin(), members.end(), plan.member) != members.end();
     };
     if (isBusy(owner.busyMembers())) {
         return false;
--- a/src/app/planmonitor.h
+++ b/src/app/planmonitor.h
@@ -1,4 +1,4 @@
-// Follows stop plans of members: moves their leadership away and tells when they are quiet.
+// Monitors stop plans of members: replaces leaving primaries and publishes when a member is drained.
 #pragma once
 
 #include "app/observationexchange.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep {
 
-/// Follows the stop plans of the groups that this proxy owns; used by one thread.
+/// Monitors the stop plans of the groups where this proxy is the first owner; used by one thread.
 class PlanMonitor
 {
 public:
@@ -21,19 +21,20 @@
                 const ObservationExchange &observations,
                 StatusWriter &status);
 
-    /// Looks at everything once.
+    /// Replaces leaving primaries where possible, and publishes the progress of each plan that has changed.
     void check();
 
 private:
     void replaceLeavingPrimaries();
     void checkPlan(const DuePlan &plan);
+    /// Returns true if no owner has work at the plan's member and all owners have the plan in force.
     [[nodiscard]] bool isDrained(const DuePlan &plan, const GroupOwner &owner) const;
 
     const Ownership &ownership_;
     const Transactions &transactions_;
     const ObservationExchange &observations_;
     StatusWriter &status_;
-    /// The version of each plan and the progress that was last told of it.
+    /// Version of each plan and its progress, as last published.
     std::map<RecordName, std::pair<std::uint64_t, PlanProgress>> lastPublished_;
 };
 
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -1,4 +1,4 @@
-// One proxy process: puts the slices together, starts and stops them.
+// One proxy process: composes the modules, starts and stops them.
 #include "app/proxy.h"
 
 #include "app/configurationservice.h"
@@ -30,12 +30,12 @@
 
 constexpr std::size_t backgroundThreads = 4;
 constexpr unsigned operatorThreads = 16;
-constexpr Milliseconds drainPoll{10};
-/// A leaving proxy serves on until no statement has come for this long.
-constexpr Milliseconds quietTime{1'000};
+constexpr Milliseconds drainPollInterval{10};
+/// A leaving proxy continues to serve until no statement has arrived for this long.
+constexpr Milliseconds drainIdleTime{1'000};
 constexpr Milliseconds maintenancePeriod{100};
-/// Plans are looked at in every so many rounds of maintenance.
-constexpr std::uint64_t planRounds = 5;
+/// Stop plans are checked once in this many maintenance rounds.
+constexpr std::uint64_t roundsPerPlanCheck = 5;
 constexpr int hexadecimalDigits = 16;
 
 std::uint64_t drawSeed()
@@ -70,7 +70,8 @@
     explicit Impl(const Settings &given);
     ~Impl();
 
-    [[nodiscard]] Result<Success> listen();
+    /// Starts all servers and services.
+    [[nodiscard]] Result<Success> startServices();
     void stop();
 
     [[nodiscard]] GroupOwnerHandlers groupOwnerHandlers();
@@ -83,14 +84,14 @@
     [[nodiscard]] bool isReady() const;
     void onFleetChanged();
     void onListed(const std::vector<ListedInstance> &listed);
-    void finished(const Statement &statement, const Answer &answer, Microseconds took);
+    void onStatementFinished(const Statement &statement, const Answer &answer, Microseconds duration);
     [[nodiscard]] RequestId drawRequestId();
     void reconcile();
     [[nodiscard]] Milliseconds maintain();
-    /// Ends transactions that have long been idle where requests wait for their connections.
-    void yieldIdleTransactions();
+    /// In each group where requests wait for a connection, ends the longest idle transaction if it exceeds the idle limit under demand.
+    void evictIdleTransactions();
     void beginLeaving();
-    void serveUntilQuiet(TimePoint until);
+    void serveUntilIdle(TimePoint until);
     [[nodiscard]] std::string metricsPage();
 
     Settings settings;
@@ -115,7 +116,7 @@
     entry::Dispatcher dispatcher;
     entry::CallerApi callers;
     std::atomic<std::uint32_t> forwardedInFlight{0};
-    // Started last and stopped first.
+    // Declared last, so that they are destroyed first: their threads use the members above.
     std::unique_ptr<peer::Server> peerServer;
     std::unique_ptr<http::Server> callerServer;
     std::unique_ptr<http::Server> operatorServer;
@@ -151,7 +152,7 @@
     stop();
 }
 
-Result<Success> Proxy::Impl::listen()
+Result<Success> Proxy::Impl::startServices()
 {
     tasks = std::make_unique<TaskPool>(backgroundThreads);
     auto peerStarted = peer::Server::start(settings.peers.listen, credentialsOf(settings.peers), peerHandlers());
@@ -202,7 +203,7 @@
     ownership.clear();
 }
 
-// What the slices need from the process
+// Handlers that connect the modules
 
 GroupOwnerHandlers Proxy::Impl::groupOwnerHandlers()
 {
@@ -221,10 +222,11 @@
                   {"previous", change.previous.text()},
                   {"sinceDetectionUs", static_cast<std::int64_t>((steadyNow() - change.detectedAt).count())}});
     };
-    ownerHandlers.auditEvent = [](const GroupName &group, const AuditEvent &note) {
-        logEvent(LogLevel::Info,
-                 toText(note.kind),
-                 {{"group", group.text()}, {"member", note.member.text()}, {"term", toText(note.term)}, {"reason", toText(note.reason)}});
+    ownerHandlers.auditEvent = [](const GroupName &group, const AuditEvent &event) {
+        logEvent(
+            LogLevel::Info,
+            toText(event.kind),
+            {{"group", group.text()}, {"member", event.member.text()}, {"term", toText(event.term)}, {"reason", toText(event.reason)}});
     };
     ownerHandlers.queryPeers = [this](const GroupName &group) {
         addTask([this, group] { observations.publish(group, std::nullopt); });
@@ -273,8 +275,8 @@
     services.metrics = [this] {
         return metricsPage();
     };
-    services.finished = [this](const Statement &statement, const Answer &answer, Microseconds took) {
-        finished(statement, answer, took);
+    services.finished = [this](const Statement &statement, const Answer &answer, Microseconds duration) {
+        onStatementFinished(statement, answer, duration);
     };
     services.drawRequestId = [this] {
         return drawRequestId();
@@ -297,11 +299,11 @@
     return RequestId{settings.instance.text() + "-" + digits + "-" + std::to_string(nextRequest++)};
 }
 
-void Proxy::Impl::finished(const Statement &statement, const Answer &answer, Microseconds took)
+void Proxy::Impl::onStatementFinished(const Statement &statement, const Answer &answer, Microseconds duration)
 {
     const std::string verb(nameOf(statement));
     metrics.count("statements_total{verb=\"" + verb + "\",ran=\"" + std::string(toText(answer.ran)) + "\"}");
-    metrics.observe("statement_ms{verb=\"" + verb + "\"}", took);
+    metrics.observe("statement_ms{verb=\"" + verb + "\"}", duration);
     if (verb == "read" && !answer.error) {
         metrics.count(answer.fromReplica ? "reads_from_replicas_total" : "reads_from_primary_total");
     }
@@ -318,7 +320,7 @@
               {"kind", kind},
               {"ran", toText(answer.ran)},
               {"description", answer.error->description},
-              {"tookUs", static_cast<std::int64_t>(took.count())}});
+              {"tookUs", static_cast<std::int64_t>(duration.count())}});
 }
 
 // The fleet
@@ -370,16 +372,16 @@
     ownership.reconcile({configuration.catalog(), owners, true});
 }
 
-void Proxy::Impl::yieldIdleTransactions()
+void Proxy::Impl::evictIdleTransactions()
 {
     for (const auto &owner : ownership.all()) {
         if (!owner->waitsForConnection()) {
             continue;
         }
         const auto group = owner->snapshot().group;
-        if (const auto yielded = transactions.evictIdle(group)) {
-            logEvent(LogLevel::Info, "idle-transaction-ended", {{"group", group.text()}, {"transaction", yielded->transaction.id.text()}});
-            owner->closeConnection(*yielded);
+        if (const auto evicted = transactions.evictIdle(group)) {
+            logEvent(LogLevel::Info, "idle-transaction-ended", {{"group", group.text()}, {"transaction", evicted->transaction.id.text()}});
+            owner->closeConnection(*evicted);
         }
     }
 }
@@ -391,10 +393,10 @@
             owner->closeConnection(expired);
         }
     }
-    yieldIdleTransactions();
+    evictIdleTransactions();
     configuration.setInstances(membership.owners(), membership.listedDomains());
     membership.setConfigurationRevision(configuration.revision());
-    if (++maintenanceRound % planRounds == 0) {
+    if (++maintenanceRound % roundsPerPlanCheck == 0) {
         const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
         if (instancePlanDue(*configuration.catalog(), self.name, now)) {
             beginLeaving();
@@ -417,10 +419,10 @@
     membership.leave();
 }
 
-void Proxy::Impl::serveUntilQuiet(TimePoint until)
+void Proxy::Impl::serveUntilIdle(TimePoint until)
 {
-    while (steadyNow() < until && steadyNow() - callers.lastArrival() < quietTime) {
-        std::this_thread::sleep_for(drainPoll);
+    while (steadyNow() < until && steadyNow() - callers.lastArrival() < drainIdleTime) {
+        std::this_thread::sleep_for(drainPollInterval);
     }
 }
 
@@ -455,9 +457,9 @@
 Result<std::unique_ptr<Proxy>> Proxy::start(const Settings &settings)
 {
     auto impl = std::make_unique<Impl>(settings);
-    const auto listening = impl->listen();
-    if (!listening) {
-        return listening.error();
+    const auto started = impl->startServices();
+    if (!started) {
+        return started.error();
     }
     logEvent(LogLevel::Info, "started", {{"callers", settings.callers.listen.text()}, {"peers", settings.peers.listen.text()}});
     return std::unique_ptr<Proxy>(new Proxy(std::move(impl)));
@@ -467,17 +469,17 @@
 {
     impl_->beginLeaving();
     const auto until = steadyNow() + impl_->settings.drain;
-    impl_->serveUntilQuiet(until);
+    impl_->serveUntilIdle(until);
     impl_->callers.beginRefusing();
     const auto busy = [this] {
         return impl_->callers.inFlight() + impl_->forwardedInFlight + impl_->transactions.size() > 0;
     };
     while (busy() && steadyNow() < until) {
-        std::this_thread::sleep_for(drainPoll);
+        std::this_thread::sleep_for(drainPollInterval);
     }
-    const bool whole = !busy();
-    logEvent(LogLevel::Info, "drained", {{"whole", whole ? "true" : "false"}});
-    return whole;
+    const bool complete = !busy();
+    logEvent(LogLevel::Info, "drained", {{"whole", complete ? "true" : "false"}});
+    return complete;
 }
 
 } // namespace cardamomstep
--- a/src/app/proxy.h
+++ b/src/app/proxy.h
@@ -1,4 +1,4 @@
-// One proxy process: puts the slices together, starts and stops them.
+// One proxy process: composes the modules, starts and stops them.
 #pragma once
 
 #include "app/fwd.h"
@@ -13,17 +13,20 @@
 class Proxy
 {
 public:
-    /// Starts everything; the error says what could not be started, and nothing runs then.
+    /// Starts all servers and services; on an error, which says what could not be started, nothing is left running.
     [[nodiscard]] static Result<std::unique_ptr<Proxy>> start(const Settings &settings);
 
     Proxy(const Proxy &) = delete;
     Proxy &operator=(const Proxy &) = delete;
 
-    /// Stops at once; call drain() first for a graceful shutdown.
+    /// Stops without draining; call drain() first for a graceful shutdown.
     ~Proxy();
 
-    /// Graceful shutdown: fails the readiness page, takes no new callers, hands its groups on and waits for the statements and
-    /// transactions in flight, at most as long as the settings say. True when nothing was cut.
+    /// Drains the proxy for a graceful shutdown; takes at most the drain time in the settings.
+    ///
+    /// Fails the readiness check and announces to the other proxies that this one is leaving, so that they become the owners of its
+    /// groups. Serves until no statement has arrived for a while, then refuses new ones, except those of open transactions, and waits
+    /// for the statements and transactions in flight. Returns true if none of them was left unfinished.
     [[nodiscard]] bool drain();
 
 private:
--- a/src/app/proxycommand.cpp
+++ b/src/app/proxycommand.cpp
@@ -16,7 +16,7 @@
 using cli::ExitCode;
 using cli::toInt;
 
-/// Blocks the stop signals in this and all later threads, so that one call can wait for them.
+/// Blocks SIGTERM and SIGINT in this thread and those started after it, so that sigwait() receives them; ignores SIGPIPE.
 sigset_t blockStopSignals()
 {
     sigset_t signals;
--- a/src/app/replaycommand.cpp
+++ b/src/app/replaycommand.cpp
@@ -1,4 +1,4 @@
-// The subcommand `replay`: runs a recorded trace again.
+// The subcommand `replay`: replays a recorded trace.
 #include "app/replaycommand.h"
 
 #include "trace/replay.h"
@@ -13,8 +13,8 @@
 constexpr int exitUsage = 2;
 
 constexpr const char *help = "Usage: cardamomstep replay FILE\n\n"
-                             "Runs the decisions of a recorded trace again and compares them with the stated ones.\n"
-                             "Exit codes: 0 the same, 1 different (both sides are shown), 2 bad usage or an unreadable trace.\n\n"
+                             "Replays a recorded trace and compares the decisions with the recorded ones.\n"
+                             "Exit codes: 0 the same, 1 different (both decisions are printed), 2 bad usage or an unreadable trace.\n\n"
                              "Example: cardamomstep replay proxy-1.trace.ledger-1.jsonl\n";
 
 } // namespace
--- a/src/app/statuswriter.cpp
+++ b/src/app/statuswriter.cpp
@@ -1,4 +1,4 @@
-// Writes status records and the audit entries of the system's own actions to the store.
+// Writes status records, and audit entries for actions of the system itself, to the store.
 #include "app/statuswriter.h"
 
 #include "logging/log.h"
@@ -11,25 +11,25 @@
 namespace {
 
 constexpr Milliseconds storeTimeout{2'000};
-constexpr Milliseconds idlePause{100};
+constexpr Milliseconds pollInterval{100};
 
 WallTime wallNow()
 {
     return std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
 }
 
-/// True when \a candidate says something newer than \a stored.
-bool isNews(const Record &candidate, const Record &stored)
+/// Returns true if \a candidate may replace \a stored: a group status with a higher term, or a plan status with another progress.
+bool shouldReplace(const Record &candidate, const Record &stored)
 {
     const auto *group = std::get_if<GroupStatus>(&candidate.spec);
-    const auto *oldGroup = std::get_if<GroupStatus>(&stored.spec);
-    if (group != nullptr && oldGroup != nullptr) {
-        return group->term > oldGroup->term;
+    const auto *storedGroup = std::get_if<GroupStatus>(&stored.spec);
+    if (group != nullptr && storedGroup != nullptr) {
+        return group->term > storedGroup->term;
     }
     const auto *plan = std::get_if<PlanStatus>(&candidate.spec);
-    const auto *oldPlan = std::get_if<PlanStatus>(&stored.spec);
-    if (plan != nullptr && oldPlan != nullptr) {
-        return plan->progress != oldPlan->progress;
+    const auto *storedPlan = std::get_if<PlanStatus>(&stored.spec);
+    if (plan != nullptr && storedPlan != nullptr) {
+        return plan->progress != storedPlan->progress;
     }
     return false;
 }
@@ -97,7 +97,7 @@
         record = queue_.next(steadyNow());
     }
     if (!record) {
-        return idlePause;
+        return pollInterval;
     }
     const bool done = write(*record);
     const std::lock_guard lock(mutex_);
@@ -106,7 +106,7 @@
     } else {
         queue_.failed(*record, steadyNow());
     }
-    return idlePause;
+    return pollInterval;
 }
 
 bool StatusWriter::write(const Record &record)
@@ -118,12 +118,12 @@
     }
     if (current) {
         const auto stored = readRecord(toText(key), current->text);
-        if (stored && !isNews(record, *stored)) {
+        if (stored && !shouldReplace(record, *stored)) {
             return true;
         }
     }
     const auto written = records_.put(key, writeRecord(record), current ? &*current : nullptr);
-    // After a conflict the next try reads the newer version and decides again.
+    // A conflict is retried: the next attempt reads the newer version and compares again. An invalid record is dropped.
     return written ? true : written.error().kind == ErrorKind::InvalidRecord;
 }
 
--- a/src/app/statuswriter.h
+++ b/src/app/statuswriter.h
@@ -1,4 +1,4 @@
-// Writes status records and the audit entries of the system's own actions to the store, at a bounded rate.
+// Writes status records, and audit entries for actions of the system itself, to the store at a bounded rate.
 #pragma once
 
 #include "app/fwd.h"
@@ -13,9 +13,9 @@
 
 namespace cardamomstep {
 
-/// Carries a StatusQueue's records to the store; safe for use by many threads.
+/// Writes the records of a StatusQueue to the store; safe for use by many threads.
 ///
-/// A status record is only written over one that it is newer than: a group's by its term, a plan's by its progress.
+/// A stored status record is replaced only by one with a higher term (group status) or another progress (plan status).
 class StatusWriter
 {
 public:
@@ -23,17 +23,17 @@
     StatusWriter(const StatusWriter &) = delete;
     StatusWriter &operator=(const StatusWriter &) = delete;
 
-    /// Begins to write.
+    /// Starts to write.
     void start();
 
-    /// Stops after the write in progress; what waits is dropped.
+    /// Stops after the write in progress; queued records are not written.
     void stop();
 
-    /// Takes in that \a primary leads \a group at \a term, with the entry for the audit trail.
+    /// Queues a status record that \a primary leads \a group at \a term, and an entry for the audit trail.
     void
     onPromotion(const GroupName &group, const MemberName &previous, const MemberName &primary, const Term &term, std::string_view reason);
 
-    /// Takes in how far a plan has come.
+    /// Queues a status record with the progress of \a plan.
     void onPlan(const RecordName &plan, PlanProgress progress, std::string_view detail);
 
 private:
--- a/src/app/taskpool.h
+++ b/src/app/taskpool.h
@@ -1,4 +1,4 @@
-// A few threads that run short tasks in the background.
+// A fixed number of threads that run short tasks in the background.
 #pragma once
 
 #include <condition_variable>
@@ -11,7 +11,7 @@
 
 namespace cardamomstep {
 
-/// Runs tasks in the order in which they were added, a few at a time.
+/// Starts tasks in the order in which they were added, one at a time on each of its threads.
 class TaskPool
 {
 public:
@@ -26,7 +26,7 @@
     TaskPool(const TaskPool &) = delete;
     TaskPool &operator=(const TaskPool &) = delete;
 
-    /// Waits for the tasks in progress; those that did not begin are dropped.
+    /// Blocks until the tasks in progress have finished; waiting tasks are dropped.
     ~TaskPool()
     {
         {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds a task; beyond maxTasks waiting ones it is dropped and the result is false.
+    /// Adds a task; returns false and drops it if maxTasks tasks wait already or the pool is stopping.
     bool add(Task task)
     {
         {
@@ -75,7 +75,7 @@
 
     std::mutex mutex_;
     std::condition_variable condition_;
-    /// Guarded by mutex_.
+    /// Guarded by mutex_, like stopping_.
     std::deque<Task> tasks_;
     bool stopping_ = false;
     std::vector<std::thread> threads_;
--- a/src/fleet/client.cpp
+++ b/src/fleet/client.cpp
@@ -1,4 +1,4 @@
-// gRPC's callback client over the kept channels.
+// FleetClient with gRPC's callback API; calls to one proxy share a channel.
 #include "fleet/client.h"
 
 #include "fleet/generated/fleet.grpc.pb.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// What one call needs until its result is there.
+/// State of one call, kept alive until its result is reported.
 template<typename Request, typename Reply>
 struct Call {
     grpc::ClientContext context;
--- a/src/fleet/client.h
+++ b/src/fleet/client.h
@@ -1,4 +1,4 @@
-// The calling side of the link between session proxies, over gRPC, without waiting.
+// Client for calls between session proxies, over gRPC, without blocking.
 #pragma once
 
 #include "base/ids.h"
@@ -11,7 +11,7 @@
 
 namespace cardamomstep::fleet {
 
-/// Calls other proxies. Results arrive on gRPC's threads; each is told once, an error is ErrorKind::PeerUnreachable.
+/// Calls other proxies. Each call invokes its `done` exactly once, on one of gRPC's threads; the error is ErrorKind::PeerUnreachable.
 class FleetClient
 {
 public:
@@ -20,11 +20,13 @@
     FleetClient(const FleetClient &) = delete;
     FleetClient &operator=(const FleetClient &) = delete;
 
+    /// Requests the primary table from \a proxy.
     void renew(const Address &proxy, const RenewRequest &request, Milliseconds timeout, std::function<void(Result<RenewReply>)> done);
+    /// Sends a newer record of one group to \a proxy.
     void
     announce(const Address &proxy, const Announcement &announcement, Milliseconds timeout, std::function<void(Result<QuiesceReply>)> done);
 
-    /// Drops the connection to \a proxy, which is gone or silent; the next call makes a new one.
+    /// Drops the connection to \a proxy, which is unreachable or silent; the next call opens a new one.
     void forget(const Address &proxy);
 
 private:
--- a/src/fleet/fwd.h
+++ b/src/fleet/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the fleet slice: what session proxies tell each other.
+// Forward declarations of the fleet module: calls between session proxies.
 #pragma once
 
 namespace cardamomstep::fleet {
--- a/src/fleet/impl/fleetcodec.cpp
+++ b/src/fleet/impl/fleetcodec.cpp
@@ -1,14 +1,14 @@
-// Field by field between plain values and generated messages.
+// Conversions between plain messages and the generated gRPC ones.
 #include "fleet/impl/fleetcodec.h"
 
 namespace cardamomstep::fleet::impl {
 
 namespace {
 
-void fill(wire::Position &message, const LogPosition &mark)
+void fill(wire::Position &message, const LogPosition &position)
 {
-    message.set_term(mark.term.number);
-    message.set_number(mark.index);
+    message.set_term(position.term.number);
+    message.set_number(position.index);
 }
 
 LogPosition positionOf(const wire::Position &message)
@@ -54,8 +54,8 @@
     wire::RenewRequest message;
     message.set_instance(request.instance.text());
     message.set_since_store_ms(request.sinceStoreReply ? request.sinceStoreReply->count() : -1);
-    for (const auto &client : request.downstreamProxies) {
-        message.add_clients(client.text());
+    for (const auto &proxy : request.downstreamProxies) {
+        message.add_clients(proxy.text());
     }
     fill(*message.mutable_marks(), request.catalogRevisions);
     for (const auto &observation : request.observations) {
@@ -76,8 +76,8 @@
     if (message.since_store_ms() >= 0) {
         request.sinceStoreReply = Milliseconds{message.since_store_ms()};
     }
-    for (const auto &client : message.clients()) {
-        request.downstreamProxies.emplace_back(client);
+    for (const auto &proxy : message.clients()) {
+        request.downstreamProxies.emplace_back(proxy);
     }
     request.catalogRevisions = revisionsOf(message.marks());
     for (const auto &entry : message.sightings()) {
--- a/src/fleet/impl/fleetcodec.h
+++ b/src/fleet/impl/fleetcodec.h
@@ -1,4 +1,4 @@
-// Plain values to and from the generated messages.
+// Conversions between plain messages and the generated gRPC ones.
 #pragma once
 
 #include "fleet/generated/fleet.pb.h"
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -1,4 +1,4 @@
-// What session proxies tell each other, as plain values.
+// Messages between session proxies, as plain values.
 #pragma once
 
 #include "leadership/fleetlease.h"
@@ -11,43 +11,45 @@
 
 namespace cardamomstep::fleet {
 
-/// Asks the lease holder for a renewed view.
+/// Requests the primary table from the lease holder, or from a proxy that renews its own there, and reports observations.
 struct RenewRequest {
     InstanceName instance;
     std::vector<leadership::PrimaryObservation> observations;
-    /// Time since the store last answered the sender.
+    /// Time since the store last replied to the sender; nothing when it never did.
     std::optional<Milliseconds> sinceStoreReply;
-    /// Proxies that renew their views at the sender.
+    /// Proxies that renew their primary tables at the sender; the lease holder counts this as contact with them.
     std::vector<InstanceName> downstreamProxies;
-    /// How new a catalog the sender knows or was told of.
+    /// Newest catalog revisions that the sender knows, or that other proxies reported to it.
     CatalogRevisions catalogRevisions;
 };
 
-/// A view of the primaries, and the lease as far as the sender knows it.
+/// The sender's primary table, and the lease as far as the sender knows it.
 struct RenewReply {
-    /// The records were current `age` before the reply was sent.
+    /// True if the receiver may use `records`, which were current `age` before the reply was sent.
     bool granted = false;
     Milliseconds age{0};
     std::vector<leadership::GroupRecord> records;
     leadership::LeaseReport lease;
-    /// Time since the store last answered the holder, where the holder itself replies.
+    /// Time since the store last replied to the lease holder; set only if the lease holder itself sends this reply.
     std::optional<Milliseconds> leaseHolderSinceStoreReply;
-    /// How new a catalog the sender knows or was told of.
+    /// Newest catalog revisions that the sender knows, or that other proxies reported to it.
     CatalogRevisions catalogRevisions;
-    /// Fencing token of a lease that the sender held and gives up by this word; 0 for none.
+    /// Fencing token of a lease that the sender held and relinquished, whatever the store still says; 0 for none.
     std::uint64_t relinquishedToken = 0;
 };
 
-/// A newer record of one group.
+/// A newer record of one group, sent by the lease holder.
 struct Announcement {
     leadership::GroupRecord record;
-    /// Statements in flight at the old primary may end within this time.
+    /// How long the receiver may wait for statements in flight at the old primary before it replies.
     Milliseconds drainTimeout{0};
 };
 
-/// What the receiver of an announcement has acknowledged to callers.
+/// Reply to an announcement: what the receiver has acknowledged to callers in that group.
 struct QuiesceReply {
+    /// Highest log position acknowledged.
     LogPosition acknowledged;
+    /// Time since the receiver started; a process that restarted does not know what it acknowledged before.
     Milliseconds uptime{0};
 };
 
--- a/src/fleet/server.cpp
+++ b/src/fleet/server.cpp
@@ -1,4 +1,4 @@
-// gRPC's callback server: no thread waits for an answer.
+// FleetServer with gRPC's callback API: no thread blocks while a reply is pending.
 #include "fleet/server.h"
 
 #include "fleet/generated/fleet.grpc.pb.h"
@@ -25,8 +25,8 @@
     Renew(grpc::CallbackServerContext *context, const impl::wire::RenewRequest *request, impl::wire::RenewReply *reply) override
     {
         auto *reactor = context->DefaultReactor();
-        handlers_.renew(decode(*request), [reactor, reply](const RenewReply &answer) {
-            *reply = encode(answer);
+        handlers_.renew(decode(*request), [reactor, reply](const RenewReply &result) {
+            *reply = encode(result);
             reactor->Finish(grpc::Status::OK);
         });
         return reactor;
@@ -36,8 +36,8 @@
     Announce(grpc::CallbackServerContext *context, const impl::wire::AnnounceRequest *request, impl::wire::AnnounceReply *reply) override
     {
         auto *reactor = context->DefaultReactor();
-        handlers_.announce(decode(*request), [reactor, reply](const QuiesceReply &answer) {
-            *reply = encode(answer);
+        handlers_.announce(decode(*request), [reactor, reply](const QuiesceReply &result) {
+            *reply = encode(result);
             reactor->Finish(grpc::Status::OK);
         });
         return reactor;
--- a/src/fleet/server.h
+++ b/src/fleet/server.h
@@ -1,4 +1,4 @@
-// The called side of the link between session proxies, over gRPC.
+// Server for calls between session proxies, over gRPC.
 #pragma once
 
 #include "base/ids.h"
@@ -10,7 +10,7 @@
 
 namespace cardamomstep::fleet {
 
-/// What the server asks of the process; handlers run on gRPC's threads, so they hand over to the event loop.
+/// Handlers of requests. They are called on gRPC's threads, so they post to the event loop; each must call `reply` exactly once.
 struct FleetHandlers {
     std::function<void(RenewRequest request, std::function<void(RenewReply)> reply)> renew;
     std::function<void(Announcement announcement, std::function<void(QuiesceReply)> reply)> announce;
@@ -28,7 +28,7 @@
     /// Listens on \a address; the error is ErrorKind::InvalidSettings.
     [[nodiscard]] Result<Success> listen(const Address &address);
 
-    /// Ends all calls; no handler runs afterwards.
+    /// Cancels all calls and stops listening; no handler is called afterwards.
     void stop();
 
 private:
--- a/src/peer/client.cpp
+++ b/src/peer/client.cpp
@@ -1,4 +1,4 @@
-// The calling side of the link between proxies, over gRPC.
+// Client for calls between proxies, over gRPC.
 #include "peer/client.h"
 
 #include "peer/generated/peer.grpc.pb.h"
@@ -32,7 +32,7 @@
     {
     }
 
-    /// Makes one call by \a call(stub, context); connects first, so that a failure to connect is known as not sent.
+    /// Runs \a call(stub, context) once; waits for a connection first, so that a failure to connect is reported as not sent.
     template<typename T, typename Call>
     PeerResult<T> run(const Address &peer, Microseconds timeout, Microseconds connectTimeout, Call call)
     {
--- a/src/peer/client.h
+++ b/src/peer/client.h
@@ -1,4 +1,4 @@
-// The calling side of the link between proxies.
+// Client for calls between proxies.
 #pragma once
 
 #include "base/result.h"
@@ -12,29 +12,29 @@
 
 namespace cardamomstep::peer {
 
-/// Certificates for the link between proxies; plain TCP when all are empty.
+/// Paths of the PEM files for mutual TLS between proxies; plain TCP if all are empty.
 struct Credentials {
     std::string certificateFile;
     std::string keyFile;
     std::string caFile;
 };
 
-/// Why a peer gave no answer.
+/// Why a call to a peer failed.
 struct Failure {
-    /// True when the request did not reach the peer.
+    /// True if the request was not sent, because there was no connection to the peer.
     bool notSent = false;
-    /// True when the peer's address refuses connections.
+    /// True if the last attempt to connect failed, as when the peer's address refuses connections.
     bool refused = false;
     std::string description;
 };
 
-/// An answer of type \a T or the failure of the link.
+/// A reply of type \a T, or why the call failed.
 template<typename T>
 using PeerResult = std::variant<T, Failure>;
 
 /// Calls other proxies by address; safe for use by many threads.
 ///
-/// Channels are kept and shared by all calls to one address.
+/// All calls to one address share a channel, which stays open between calls.
 class Client
 {
 public:
@@ -43,24 +43,24 @@
     Client &operator=(const Client &) = delete;
     ~Client();
 
-    /// Runs \a statement at the peer; \a remaining is the time left, of which \a connectWithin may go into connecting.
+    /// Runs \a statement at the peer within \a remaining; waits for a connection for at most \a connectTimeout.
     [[nodiscard]] PeerResult<Answer>
     execute(const Address &peer, const Statement &statement, Microseconds remaining, Milliseconds connectTimeout);
 
-    /// Sends a probe.
+    /// Sends a ping and returns the reply.
     [[nodiscard]] PeerResult<Ping> ping(const Address &peer, const Ping &ping, Milliseconds timeout);
 
-    /// Asks for all news of the fleet.
+    /// Fetches the latest update of every proxy that the peer knows.
     [[nodiscard]] PeerResult<std::vector<SharedUpdate>> snapshot(const Address &peer, Milliseconds timeout);
 
-    /// Compares the configuration.
+    /// Sends a gossip message about the configuration and returns the reply.
     [[nodiscard]] PeerResult<GossipMessage> gossip(const Address &peer, const GossipMessage &message, Milliseconds timeout);
 
-    /// Tells and asks about a group's primary.
+    /// Sends an observation of a group's primary and returns the peer's, which is empty if the peer does not own the group.
     [[nodiscard]] PeerResult<GroupObservation>
     exchangeObservations(const Address &peer, const GroupObservation &observation, Milliseconds timeout);
 
-    /// Drops the channel to \a peer, for one that went away for good.
+    /// Drops the channel to \a peer, for a peer that does not return.
     void forget(const Address &peer);
 
 private:
--- a/src/peer/fwd.h
+++ b/src/peer/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the peer slice.
+// Forward declarations of the peer module: calls between proxies.
 #pragma once
 
 namespace cardamomstep::peer {
--- a/src/peer/impl/channels.cpp
+++ b/src/peer/impl/channels.cpp
@@ -1,4 +1,4 @@
-// The kept gRPC channels, one for each peer address.
+// Cache of gRPC channels, one for each peer address.
 #include "peer/impl/channels.h"
 
 #include <grpcpp/grpcpp.h>
--- a/src/peer/impl/channels.h
+++ b/src/peer/impl/channels.h
@@ -1,4 +1,4 @@
-// The kept gRPC channels, one for each peer address.
+// Cache of gRPC channels, one for each peer address.
 #pragma once
 
 #include "base/ids.h"
@@ -13,16 +13,16 @@
 
 namespace cardamomstep::peer::impl {
 
-/// Reads a whole file; empty when it cannot be read.
+/// Returns the content of a file; empty if it cannot be read.
 [[nodiscard]] std::string readFile(const std::string &path);
 
-/// Makes and keeps channels; safe for use by many threads.
+/// Creates channels and keeps them open; safe for use by many threads.
 class Channels
 {
 public:
     explicit Channels(const Credentials &credentials);
 
-    /// The channel to \a address, made on first use.
+    /// Returns the channel to \a address, which is created on first use.
     [[nodiscard]] std::shared_ptr<grpc::Channel> channelTo(const Address &address);
 
     /// Drops the channel to \a address; calls in flight keep it until they end.
--- a/src/peer/impl/peercodec.cpp
+++ b/src/peer/impl/peercodec.cpp
@@ -82,10 +82,10 @@
     return delta;
 }
 
-LogPosition markOrNone(const std::string &text)
+LogPosition positionOrNone(const std::string &text)
 {
-    const auto mark = parseLogPosition(text);
-    return mark ? *mark : LogPosition{};
+    const auto logPosition = parseLogPosition(text);
+    return logPosition ? *logPosition : LogPosition{};
 }
 
 Term termOrNone(const std::string &text)
@@ -183,7 +183,7 @@
     answer.fromReplica = message.from_replica();
     answer.requestId = RequestId{message.request_id()};
     answer.transaction = TransactionId{message.transaction()};
-    answer.position = markOrNone(message.mark());
+    answer.position = positionOrNone(message.mark());
     return answer;
 }
 
@@ -238,10 +238,10 @@
         message.mutable_confirmation()->set_revision(gossip.confirmation->revision.value);
         message.mutable_confirmation()->set_age_ms(gossip.confirmation->age.count());
     }
-    for (const auto &heard : gossip.domainAges) {
+    for (const auto &domainAge : gossip.domainAges) {
         auto *entry = message.add_heard();
-        entry->set_domain(heard.domain.text());
-        entry->set_age_ms(heard.age.count());
+        entry->set_domain(domainAge.domain.text());
+        entry->set_age_ms(domainAge.age.count());
     }
     return message;
 }
@@ -259,8 +259,8 @@
     if (message.has_confirmation()) {
         gossip.confirmation = StoreConfirmation{Revision{message.confirmation().revision()}, Milliseconds{message.confirmation().age_ms()}};
     }
-    for (const auto &heard : message.heard()) {
-        gossip.domainAges.push_back({FailureDomain{heard.domain()}, Milliseconds{heard.age_ms()}});
+    for (const auto &domainAge : message.heard()) {
+        gossip.domainAges.push_back({FailureDomain{domainAge.domain()}, Milliseconds{domainAge.age_ms()}});
     }
     return gossip;
 }
@@ -292,7 +292,7 @@
     observation.observation.primary = MemberName{message.primary()};
     observation.observation.term = termOrNone(message.term());
     observation.observation.highest = termOrNone(message.highest());
-    observation.observation.log = markOrNone(message.log());
+    observation.observation.log = positionOrNone(message.log());
     observation.observation.contactAge = Milliseconds{message.age_ms()};
     if (message.hold_ms() >= 0) {
         observation.writePause = Milliseconds{message.hold_ms()};
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -1,4 +1,4 @@
-// What proxies tell each other, as plain values apart from gRPC.
+// Messages between proxies, as plain values independent of gRPC.
 #pragma once
 
 #include "base/ids.h"
@@ -13,21 +13,21 @@
 
 namespace cardamomstep::peer {
 
-/// A liveness probe or its answer.
+/// A liveness probe or the reply to one.
 struct Ping {
     MembershipMessage message;
-    /// In a request: probe this address on behalf of the sender and pass its answer on.
+    /// In a request: the address to ping on behalf of the sender, whose reply is returned; empty for a direct ping.
     Address target;
-    /// In an answer: false when the target did not answer.
+    /// In a reply: false if the target did not reply.
     bool answered = true;
 };
 
-/// What a proxy knows of a group's primary, and whether writes to it are to be held.
+/// What an owner of a group observes of the group's primary, and whether the receiver should pause writes.
 struct GroupObservation {
     InstanceName from;
     GroupName group;
     PeerObservation observation;
-    /// Hold writes for this long; zero releases them; absent says nothing about it.
+    /// Pause writes for this long; zero resumes them; nothing leaves them as they are.
     std::optional<Milliseconds> writePause;
     /// Members at which the sender has statements or transactions.
     std::vector<MemberName> busyMembers;
--- a/src/peer/server.cpp
+++ b/src/peer/server.cpp
@@ -1,4 +1,4 @@
-// The serving side of the link between proxies, over gRPC.
+// Server for calls between proxies, over gRPC.
 #include "peer/server.h"
 
 #include "peer/generated/peer.grpc.pb.h"
--- a/src/peer/server.h
+++ b/src/peer/server.h
@@ -1,4 +1,4 @@
-// The serving side of the link between proxies.
+// Server for calls between proxies.
 #pragma once
 
 #include "base/result.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep::peer {
 
-/// What the server calls; each is called from many threads and may block.
+/// Handlers of requests; each is called from many threads at once and may block.
 struct Handlers {
     /// Runs a statement within the remaining time.
     std::function<Answer(const Statement &, Microseconds remaining)> execute;
@@ -22,13 +22,13 @@
     std::function<GroupObservation(const GroupObservation &)> exchangeObservations;
 };
 
-/// Listens for other proxies.
+/// Serves calls from other proxies.
 ///
-/// The destructor lets the calls in flight finish within a short bound.
+/// The destructor gives calls in flight a short time to finish, then cancels them.
 class Server
 {
 public:
-    /// Listens on \a address; the error is ErrorKind::Internal when that fails.
+    /// Starts to listen on \a address; the error is ErrorKind::Internal.
     [[nodiscard]] static Result<std::unique_ptr<Server>> start(const Address &address, const Credentials &credentials, Handlers handlers);
 
     Server(const Server &) = delete;
