--- a/tests/platform/test_callerconnection.cpp
+++ b/tests/platform/test_callerconnection.cpp
@@ -1,4 +1,4 @@
-// Tests of sessions that are passed on to another proxy, over loopback sockets.
+// Tests of sessions that are forwarded to another proxy, over loopback sockets.
 #include "gateway/callerconnection.h"
 #include "platform/lineprotocol.h"
 
@@ -16,7 +16,7 @@
 
 using Connection = gateway::CallerConnection<platform::LineProtocol>;
 
-/// A caller's link whose sessions are passed on to a proxy that is played by the test.
+/// A caller's connection whose sessions are forwarded to a proxy that the test simulates.
 struct Forwarding {
     Forwarding()
         : callers(loop, tcp::endpoint(asio::ip::address_v4::loopback(), 0))
@@ -30,11 +30,11 @@
         const Address address{"127.0.0.1:" + std::to_string(proxy.local_endpoint().port())};
         gateway::CallerConnectionHandlers handlers;
         handlers.opened = [this](const relay::DatabaseName &) {
-            ++openedHere;
+            ++openedLocally;
             return Result<Success>(Success{});
         };
         handlers.statement = [this](const relay::SessionStatement &statement) {
-            runHere.push_back(statement.id);
+            runLocally.push_back(statement.id);
         };
         handlers.closed = [] {
         };
@@ -49,25 +49,26 @@
             ++failures;
         };
         handlers.redirected = [this](const Address &) {
-            ++sentOn;
+            ++redirections;
         };
         connection = std::make_shared<Connection>(loop, std::move(accepted), std::move(handlers));
         connection->start();
     }
 
-    /// Opens a session that the other proxy takes.
+    /// Opens a session that the other proxy accepts.
     void open()
     {
         asio::write(caller, asio::buffer(std::string("START db who\r\n")));
-        turn();
+        runLoop();
         proxy.accept(upstream);
         (void)readLine(upstream);
         asio::write(upstream, asio::buffer(std::string("READY I -\r\n")));
-        turn();
+        runLoop();
         (void)readLine(caller);
     }
 
-    void turn()
+    /// Runs the event loop for 50 ms.
+    void runLoop()
     {
         loop.restart();
         loop.run_for(std::chrono::milliseconds(50));
@@ -85,137 +86,139 @@
     tcp::acceptor proxy;
     tcp::socket caller;
     tcp::socket upstream;
-    int openedHere = 0;
+    int openedLocally = 0;
     int failures = 0;
-    int sentOn = 0;
+    int redirections = 0;
     bool reachable = true;
     std::shared_ptr<Connection> connection;
     std::optional<relay::CallerSession> adopted;
-    std::vector<std::string> runHere;
+    std::vector<std::string> runLocally;
 };
 
 } // namespace
 
-Test(platform, sessionsArePassedOnUnchanged)
+Test(platform, forwardsSessionLinesUnchanged)
 {
     Forwarding forwarding;
     asio::write(forwarding.caller, asio::buffer(std::string("START db who\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     forwarding.proxy.accept(forwarding.upstream);
     cr_assert(Forwarding::readLine(forwarding.upstream) == "START db who\r\n");
     asio::write(forwarding.upstream, asio::buffer(std::string("READY I -\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     cr_assert(Forwarding::readLine(forwarding.caller) == "READY I -\r\n");
-    cr_assert(forwarding.openedHere == 0);
+    cr_assert(forwarding.openedLocally == 0);
 }
 
-// Seen on convenio-cantabrico-grown trouble-1: the proxy that held the connections was cut off from the store and refused a database that
-// had been added, which its neighbours knew.
-Test(platform, aSessionThatAnotherProxyRefusesIsServedHere)
+// Guards against refused sessions (convenio-cantabrico-grown trouble-1): the proxy with the member connections was isolated from the store
+// and refused a newly added database that the other proxies already had in their configuration.
+Test(platform, servesASessionLocallyWhenTheOtherProxyRefusesIt)
 {
     Forwarding forwarding;
     asio::write(forwarding.caller, asio::buffer(std::string("START db who\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     forwarding.proxy.accept(forwarding.upstream);
     asio::write(forwarding.upstream, asio::buffer(std::string("ERROR NODB db\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     cr_assert(Forwarding::readLine(forwarding.caller) == "READY I -\r\n");
-    cr_assert(forwarding.openedHere == 1 && forwarding.failures == 1);
+    cr_assert(forwarding.openedLocally == 1 && forwarding.failures == 1);
 }
 
-Test(platform, aSessionWhoseProxyIsGoneIsServedHere)
+Test(platform, servesASessionLocallyWhenTheOtherProxyIsUnreachable)
 {
     Forwarding forwarding;
     forwarding.proxy.close();
     asio::write(forwarding.caller, asio::buffer(std::string("START db who\r\n")));
-    forwarding.turn();
-    forwarding.turn();
+    forwarding.runLoop();
+    forwarding.runLoop();
     cr_assert(Forwarding::readLine(forwarding.caller) == "READY I -\r\n");
-    cr_assert(forwarding.openedHere == 1);
+    cr_assert(forwarding.openedLocally == 1);
 }
 
-// Seen on convenio-cantabrico-grown trouble-3: the proxy that held the connections was cut off, and callers waited for it until their own
-// deadlines passed.
-Test(platform, aReadWhoseProxyFallsSilentRunsHere)
+// Guards against reads that time out (convenio-cantabrico-grown trouble-3): the proxy with the member connections was isolated, and callers
+// waited for its answers until their own deadlines passed.
+Test(platform, runsAReadLocallyWhenTheOtherProxyIsSilent)
 {
     Forwarding forwarding;
     forwarding.open();
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY r1 READ a\r\n")));
-    forwarding.turn();
-    cr_assert(forwarding.runHere.empty(), "not before its time is over");
-    for (int turn = 0; turn < 5 && forwarding.runHere.empty(); ++turn) {
-        forwarding.turn();
+    forwarding.runLoop();
+    cr_assert(forwarding.runLocally.empty(), "not before the statement's timeout");
+    for (int iteration = 0; iteration < 5 && forwarding.runLocally.empty(); ++iteration) {
+        forwarding.runLoop();
     }
-    cr_assert(forwarding.runHere == std::vector<std::string>{"r1"});
+    cr_assert(forwarding.runLocally == std::vector<std::string>{"r1"});
     cr_assert(forwarding.adopted && forwarding.failures == 1);
 }
 
-Test(platform, aWriteWhoseProxyIsLostIsToldAsUnknown)
+Test(platform, answersWithAnErrorWhenTheOtherProxyIsLostDuringAWrite)
 {
     Forwarding forwarding;
     forwarding.open();
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY w1 WRITE a 1\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     forwarding.upstream.close();
-    forwarding.turn();
+    forwarding.runLoop();
     const auto error = Forwarding::readLine(forwarding.caller);
     cr_assert(error.starts_with("ERROR ") && error.find("MALFORMED") == std::string::npos, "%s", error.c_str());
-    cr_assert(forwarding.runHere.empty() && forwarding.adopted);
+    cr_assert(forwarding.runLocally.empty() && forwarding.adopted);
 }
 
-// Seen on convenio-cantabrico-grown trouble-3: sessions that were served away from the connections while a proxy was cut off stayed there.
-Test(platform, aSessionGoesBackToItsProxyWhenItRests)
+// Guards against sessions that stay on the wrong proxy (convenio-cantabrico-grown trouble-3): while the proxy with the member connections
+// was isolated, other proxies served its sessions, and kept them after it had recovered.
+Test(platform, redirectsALocalSessionWhenItIsIdle)
 {
     Forwarding forwarding;
     forwarding.reachable = false;
     asio::write(forwarding.caller, asio::buffer(std::string("START db who\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     (void)Forwarding::readLine(forwarding.caller);
-    cr_assert(forwarding.openedHere == 1);
+    cr_assert(forwarding.openedLocally == 1);
     relay::CallerReply reply;
     forwarding.connection->reply(reply);
-    cr_assert(forwarding.sentOn == 0, "nowhere to go yet");
+    cr_assert(forwarding.redirections == 0, "no other proxy is reachable yet");
     forwarding.reachable = true;
     reply.state = relay::SessionState::InTransaction;
     forwarding.connection->reply(reply);
-    cr_assert(forwarding.sentOn == 0, "not inside a transaction");
+    cr_assert(forwarding.redirections == 0, "not in a transaction");
     reply.state = relay::SessionState::Idle;
     forwarding.connection->reply(reply);
-    cr_assert(forwarding.sentOn == 1);
+    cr_assert(forwarding.redirections == 1);
 }
 
-// Seen on convenio-cantabrico trouble-3: sessions were sent on right after their set-up, and the statement that followed was cut.
-Test(platform, aSessionThatWasJustSetUpStaysForItsStatement)
+// Guards against lost statements (convenio-cantabrico trouble-3): sessions were redirected right after their setup, and the statement that
+// the caller had already sent after it was lost.
+Test(platform, doesNotRedirectASessionBetweenSetupAndStatement)
 {
     Forwarding forwarding;
     forwarding.reachable = false;
     asio::write(forwarding.caller, asio::buffer(std::string("START db who\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     (void)Forwarding::readLine(forwarding.caller);
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY s1 SET zone 1\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     forwarding.reachable = true;
     const relay::CallerReply reply;
     forwarding.connection->reply(reply);
-    cr_assert(forwarding.sentOn == 0, "its statement is on its way");
+    cr_assert(forwarding.redirections == 0, "the statement after the setup has yet to arrive");
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY r1 READ a\r\n")));
-    forwarding.turn();
-    cr_assert(forwarding.runHere == (std::vector<std::string>{"s1", "r1"}));
+    forwarding.runLoop();
+    cr_assert(forwarding.runLocally == (std::vector<std::string>{"s1", "r1"}));
     forwarding.connection->reply(reply);
-    cr_assert(forwarding.sentOn == 1);
+    cr_assert(forwarding.redirections == 1);
 }
 
-Test(platform, aStopEndsNoForwardedSessionBetweenItsSetUpAndItsStatement)
+Test(platform, doesNotEndAForwardedSessionBetweenSetupAndStatement)
 {
     Forwarding forwarding;
     forwarding.open();
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY s1 SET zone 1\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     (void)Forwarding::readLine(forwarding.upstream);
     asio::write(forwarding.upstream, asio::buffer(std::string("COMPLETE -\r\nREADY I -\r\n")));
-    forwarding.turn();
-    cr_assert(!forwarding.connection->endWhenIdle(), "its statement is on its way");
+    forwarding.runLoop();
+    cr_assert(!forwarding.connection->endWhenIdle(), "the statement after the setup has yet to arrive");
     asio::write(forwarding.caller, asio::buffer(std::string("QUERY r1 READ a\r\n")));
-    forwarding.turn();
+    forwarding.runLoop();
     cr_assert(Forwarding::readLine(forwarding.upstream) == "QUERY r1 READ a\r\n");
 }
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -1,4 +1,4 @@
-// Tests of the platform's line protocol and of the store's objects, with damaged input among them.
+// Tests of the platform's line protocol and of the JSON of its store, with malformed input.
 #include "platform/lineprotocol.h"
 #include "platform/objectforms.h"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(platform, statementsAreReadWithTheirTextUnchanged)
+Test(platform, parsesStatementsAndKeepsTheirText)
 {
     const auto read = statementOf("QUERY 5c0e READ 1a4");
     cr_assert(read.kind == StatementKind::Read && read.id == "5c0e" && read.text == "READ 1a4");
@@ -33,14 +33,14 @@
     cr_assert(statementOf("QUERY 5c0e AFTER 3.1 READ 1a4").kind == StatementKind::Malformed, "only proxies send positions");
 }
 
-Test(platform, linesThatCannotBeReadAreToldAsSuch)
+Test(platform, reportsMalformedCallerLines)
 {
     for (const char *line : {"", "QUERY", "QUERY 1", "QUERY - STATUS", "START", "HELLO", "\x01\xff", "QUERY  READ 1"}) {
         cr_assert(std::holds_alternative<UnreadableLine>(LineProtocol::parseCaller(line)), "%s", line);
     }
 }
 
-Test(platform, answersOfMembersAreRead)
+Test(platform, parsesMemberReplies)
 {
     cr_assert(std::get<MemberSuccess>(LineProtocol::parseMember("COMPLETE 7.1f3.c")).signature == "7.1f3.c");
     cr_assert(std::get<MemberSuccess>(LineProtocol::parseMember("COMPLETE -")).signature.empty());
@@ -48,12 +48,12 @@
     cr_assert(std::get<MemberError>(LineProtocol::parseMember("ERROR NEWCODE x")).fault == MemberFault::Unknown);
     const auto ready = std::get<MemberReady>(LineProtocol::parseMember("READY E 3.1209"));
     cr_assert(ready.state == SessionState::Failed && ready.position == (LogPosition{Term{3, 0}, 1209}));
-    const auto account = LineProtocol::parseAccount("replica 3 3.1209 0 12 2 17");
-    cr_assert(account && !account->primary && account->term == 3 && account->received.index == 1209);
+    const auto status = LineProtocol::parseAccount("replica 3 3.1209 0 12 2 17");
+    cr_assert(status && !status->primary && status->term == 3 && status->received.index == 1209);
     cr_assert(!LineProtocol::parseAccount("replica x"));
 }
 
-Test(platform, requestsToMembersAreWritten)
+Test(platform, formatsMemberRequests)
 {
     std::string out;
     MemberRequest read;
@@ -67,7 +67,7 @@
     cr_assert(out == "QUERY - PAUSE 4\r\n");
 }
 
-Test(platform, errorsKeepTheirPromise)
+Test(platform, errorCodesKeepTheGuaranteeOfTheError)
 {
     std::string out;
     CallerReply reply;
@@ -78,32 +78,32 @@
     reply.error = Error{ErrorKind::Overloaded, "full\r\nERROR"}.withRetryAfter(Milliseconds{40});
     LineProtocol::appendReply(out, reply);
     cr_assert(out == "ERROR BUSY full  ERROR; retry after 40 ms\r\nREADY I -\r\n");
-    // An error that may have run must never go out under a code that promises otherwise.
+    // A code that guarantees that nothing ran must not be sent for an error whose statement may have run.
     for (std::size_t index = 0; index < errorKindCount; ++index) {
         const Error error{static_cast<ErrorKind>(index), "x"};
         out.clear();
         LineProtocol::appendRefusal(out, error);
-        const bool promise = out.starts_with("ERROR BUSY") || out.starts_with("ERROR ABORTED") || out.starts_with("ERROR LAGGING")
-            || out.starts_with("ERROR READONLY");
-        cr_assert(!promise || error.ran == Ran::No, "%s", out.c_str());
+        const bool guaranteesNothingRan = out.starts_with("ERROR BUSY") || out.starts_with("ERROR ABORTED")
+            || out.starts_with("ERROR LAGGING") || out.starts_with("ERROR READONLY");
+        cr_assert(!guaranteesNothingRan || error.ran == Ran::No, "%s", out.c_str());
     }
 }
 
-Test(platform, configurationsAreRead)
+Test(platform, decodesConfigurations)
 {
     const auto configuration = decodeConfiguration(
         R"({"version":7,"routes":[{"name":"r","host":"db","kind":"read_your_writes","timeoutMs":800,"targetLatencyMs":250,"priority":2,
             "service":"g","maxStalenessMs":2500},{"host":"x"}],"services":[{"name":"g","maxConns":16,"syncReplicas":1}],
             "limits":{"txIdleMs":3000},"new":true})");
     cr_assert(configuration && configuration->version == 7);
-    cr_assert(configuration->routes.size() == 1, "a route that cannot be read is left out");
+    cr_assert(configuration->routes.size() == 1, "an invalid route is skipped");
     cr_assert(configuration->routes.front().consistency == Consistency::ReadYourWrites);
     cr_assert(configuration->routes.front().maxStaleness == Milliseconds{2500});
     cr_assert(configuration->groups.front().memberConnections == 16);
     cr_assert(!decodeConfiguration("[]"));
 }
 
-Test(platform, entriesOfOtherWritersNameNoMember)
+Test(platform, ignoresInvalidMemberEntries)
 {
     const ObjectName name{"i-7"};
     const std::string good =
@@ -119,7 +119,7 @@
     }
 }
 
-Test(platform, listingsAndChangesAreRead)
+Test(platform, decodesListingsAndChanges)
 {
     bool more = false;
     const ObjectKind kind{"servers"};
