--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -155,7 +155,7 @@
     async def _recover(self, session):
         """Brings the session back out of a failed transaction."""
         session.transaction, session.writes = None, []
-        if not session.wire.rests():
+        if not session.wire.is_idle():
             await session.ask(statements.ROLLBACK)
 
     async def _set(self, session):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -154,11 +154,11 @@
     world.trouble(for_s)
     away = [proxy.name for proxy in world.fleet.proxies if world.random.random() < 0.4]
     for name in away:
-        world.store.turned_away[name] = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT))
+        world.store.caller_outages[name] = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT))
     await world.store.interrupt()
     await asyncio.sleep(for_s)
     for name in away:
-        world.store.turned_away.pop(name, None)
+        world.store.caller_outages.pop(name, None)
 
 
 async def store_loses_answers(world):
@@ -166,7 +166,7 @@
     for_s = world.random.uniform(1.0, 6.0)
     world.trouble(for_s)
     world.store.lost_writes = 0.35
-    world.store.late_s = world.random.choice((0.0, 1.5, 5.0))
+    world.store.late_write_delay_s = world.random.choice((0.0, 1.5, 5.0))
     await asyncio.sleep(for_s)
     world.store.lost_writes = 0.0
 
