--- a/src/entry/callerapi.cpp
+++ b/src/entry/callerapi.cpp
@@ -1,4 +1,4 @@
-// The callers' HTTP interface.
+// Implements the callers' HTTP interface.
 #include "entry/callerapi.h"
 
 #include <utility>
@@ -11,34 +11,34 @@
 constexpr int statusOk = 200;
 constexpr int statusUnavailable = 503;
 
-/// Counts a statement for as long as this lives.
-class InFlight
+/// Counts a statement as in flight during the lifetime of this object.
+class InFlightGuard
 {
 public:
-    explicit InFlight(std::atomic<std::uint32_t> &count)
+    explicit InFlightGuard(std::atomic<std::uint32_t> &count)
         : count_(count)
-        , before_(count++)
+        , countBefore_(count++)
     {
     }
-    InFlight(const InFlight &) = delete;
-    InFlight &operator=(const InFlight &) = delete;
-    ~InFlight()
+    InFlightGuard(const InFlightGuard &) = delete;
+    InFlightGuard &operator=(const InFlightGuard &) = delete;
+    ~InFlightGuard()
     {
         --count_;
     }
 
-    /// Statements that ran when this one came.
-    [[nodiscard]] std::uint32_t before() const noexcept
+    /// The number of statements that were in flight before this one.
+    [[nodiscard]] std::uint32_t countBefore() const noexcept
     {
-        return before_;
+        return countBefore_;
     }
 
 private:
     std::atomic<std::uint32_t> &count_;
-    std::uint32_t before_;
+    std::uint32_t countBefore_;
 };
 
-http::Response page(int status, const std::string &type, std::string body)
+http::Response makeResponse(int status, const std::string &type, std::string body)
 {
     http::Response response;
     response.status = status;
@@ -65,15 +65,15 @@
 http::Response CallerApi::handle(const http::Request &request)
 {
     if (request.path == "/health") {
-        return page(statusOk, "application/json", R"({"status":"alive"})");
+        return makeResponse(statusOk, "application/json", R"({"status":"alive"})");
     }
     if (request.path == "/ready") {
         const bool ready = !draining_ && services_.ready();
-        return page(
+        return makeResponse(
             ready ? statusOk : statusUnavailable, "application/json", ready ? R"({"status":"ready"})" : R"({"status":"not-ready"})");
     }
     if (request.path == "/metrics") {
-        return page(statusOk, "text/plain", services_.metrics());
+        return makeResponse(statusOk, "text/plain", services_.metrics());
     }
     auto response = runStatement(request);
     if (draining_) {
@@ -103,13 +103,13 @@
 
 Answer CallerApi::runAdmitted(Statement &statement, TimePoint arrived)
 {
-    const InFlight mine(inFlight_);
-    const bool opensNothing = !statement.transaction.empty();
-    if (refusing_ && !opensNothing) {
+    const InFlightGuard guard(inFlight_);
+    const bool continuesTransaction = !statement.transaction.empty();
+    if (refusing_ && !continuesTransaction) {
         return failedAnswer(Error{ErrorKind::Draining, "this proxy is stopping"}.withRetryAfter(Milliseconds{0}));
     }
-    if (mine.before() >= maxInFlight_) {
-        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements at this proxy"}.withRetryAfter(defaultRetryAfter));
+    if (guard.countBefore() >= maxInFlight_) {
+        return failedAnswer(Error{ErrorKind::Overloaded, "too many statements in flight at this proxy"}.withRetryAfter(defaultRetryAfter));
     }
     return services_.run(statement, arrived + statement.window);
 }
--- a/src/entry/callerapi.h
+++ b/src/entry/callerapi.h
@@ -11,21 +11,21 @@
 
 namespace cardamomstep::entry {
 
-/// What the interface needs from the process around it.
+/// Functions that the process provides to CallerApi.
 struct CallerServices {
-    /// Runs a statement and answers by the deadline.
+    /// Runs a statement; returns its answer by the deadline.
     std::function<Answer(const Statement &, TimePoint deadline)> run;
-    /// True when this proxy may be sent callers.
+    /// True when this proxy is ready for callers.
     std::function<bool()> ready;
-    /// Text of the metrics page.
+    /// Returns the text of the metrics page.
     std::function<std::string()> metrics;
-    /// Told of each finished statement; for metrics and the log.
+    /// Called after each statement, for metrics and the log.
     std::function<void(const Statement &, const Answer &, Microseconds took)> finished;
-    /// Draws a request id for writes that came without one.
+    /// Generates a request id for a write or commit that has none.
     std::function<RequestId()> drawRequestId;
 };
 
-/// Answers callers' requests; safe for use by many threads.
+/// Answers callers' requests; thread-safe.
 class CallerApi
 {
 public:
@@ -34,26 +34,28 @@
     /// Answers one request; blocks while its statement runs.
     [[nodiscard]] http::Response handle(const http::Request &request);
 
-    /// From now on this proxy says that it is not ready and closes each caller's connection with its next answer, so that
-    /// callers go elsewhere; statements that come nevertheless are served.
+    /// Reports this proxy as not ready from now on and closes each caller's connection with its next answer, so that callers connect to
+    /// other proxies.
+    ///
+    /// Statements that still arrive are served.
     void beginDraining() noexcept
     {
         draining_ = true;
     }
 
-    /// From now on new statements are refused, except those of open transactions.
+    /// Refuses new statements from now on, except those of open transactions.
     void beginRefusing() noexcept
     {
         refusing_ = true;
     }
 
-    /// When the last statement came; the construction of this when none has come.
+    /// The time at which the last statement arrived; the time of construction when there was none.
     [[nodiscard]] TimePoint lastArrival() const noexcept
     {
         return lastArrival_;
     }
 
-    /// Statements that run now.
+    /// The number of statements in flight.
     [[nodiscard]] std::uint32_t inFlight() const noexcept
     {
         return inFlight_;
--- a/src/entry/callercodec.cpp
+++ b/src/entry/callercodec.cpp
@@ -1,4 +1,4 @@
-// Reads callers' requests and writes their answers.
+// Parses callers' requests and writes the responses.
 #include "entry/callercodec.h"
 
 #include "json/reader.h"
@@ -26,7 +26,7 @@
     Outcome,
 };
 
-/// What the path of a request says.
+/// The parsed path of a request.
 struct Route {
     Path path = Path::Statements;
     std::string service;
@@ -50,7 +50,7 @@
     return Error{ErrorKind::MalformedRequest, std::move(text)};
 }
 
-/// Paths are /v1/services/SERVICE/statements, .../transactions, .../transactions/ID/commit|rollback, .../requests/ID.
+/// Parses a path: /v1/services/SERVICE/statements, .../transactions, .../transactions/ID/commit|rollback, .../requests/ID.
 Result<Route> readRoute(const http::Request &request)
 {
     const auto parts = split(request.path);
@@ -107,7 +107,7 @@
     return Milliseconds{reader.number<std::int64_t>("windowMs", {1, limits.maxWindow.count()}, limits.defaultWindow.count())};
 }
 
-/// Fields that all bodies share.
+/// Reads the fields that all bodies have.
 void readCommon(json::ObjectReader &reader, const CallerLimits &limits, Statement &statement)
 {
     statement.window = readWindow(reader, limits);
@@ -177,7 +177,7 @@
     return statement;
 }
 
-std::string phrase(const Answer &answer)
+std::string errorName(const Answer &answer)
 {
     return std::string(answerRule(answer.error->kind).name);
 }
@@ -186,7 +186,7 @@
 {
     const auto &error = *answer.error;
     response.status = answerRule(error.kind).status;
-    body["error"] = phrase(answer);
+    body["error"] = errorName(answer);
     body["description"] = error.description;
     if (error.retryAfter) {
         const auto milliseconds = error.retryAfter->count();
@@ -249,7 +249,7 @@
         return response;
     }
     addSuccess(body, answer);
-    // Rows are a checked JSON array already: they are put in as text, not parsed again.
+    // The rows are a JSON array that was validated before: they are inserted as text instead of being parsed again.
     response.body = body.dump(-1, ' ', false, Json::error_handler_t::replace);
     response.body.pop_back();
     response.body += ",\"rows\":" + answer.rows + "}";
--- a/src/entry/dispatcher.cpp
+++ b/src/entry/dispatcher.cpp
@@ -1,4 +1,4 @@
-// Takes a caller's statement to the proxy that owns its group.
+// Routes a caller's statement to a proxy that owns its group.
 #include "entry/dispatcher.h"
 
 #include "requests/transactions.h"
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Milliseconds connectWithin{150};
+constexpr Milliseconds connectTimeout{150};
 constexpr Milliseconds defaultRetryAfter{100};
-/// Kept back from the window for the way back to the caller.
+/// Part of the window that is reserved for the return path to the caller.
 constexpr Microseconds answerMargin{2'000};
 
-/// The answer when a peer took a statement and did not say what became of it.
-Answer lostAtPeer(const Statement &statement, const std::string &why)
+/// Returns the answer for a statement that was sent to a peer and got no reply, so that its outcome is unknown.
+Answer answerForLostReply(const Statement &statement, const std::string &why)
 {
     if (statement.access == Access::Read && statement.verb == Verb::Execute) {
         return failedAnswer(Error{ErrorKind::PeerUnreachable, why}.withRetryAfter(defaultRetryAfter));
@@ -24,15 +24,15 @@
     return failedAnswer(Error{ErrorKind::OutcomeUnknown, why}.withRetryAfter(defaultRetryAfter));
 }
 
-/// True when the statement may be given to another owner after one took it and fell silent.
+/// True when the statement may be sent to another owner after one received it and did not reply.
 ///
-/// Members keep request ids with the effects, so a statement with its id runs at most once however often it arrives.
-bool mayGoToAnotherOwner(const Statement &statement)
+/// Members store the request id together with the effects, so a statement runs at most once, however often it arrives.
+bool mayRetryAtAnotherOwner(const Statement &statement)
 {
     return statement.verb == Verb::Outcome || (statement.verb == Verb::Execute && statement.transaction.empty());
 }
 
-/// True when a proxy did not run a statement because it does not own the group.
+/// True when a proxy refused a statement because it does not own the group.
 bool isNotOwner(const Answer &answer)
 {
     return answer.error && answer.error->kind == ErrorKind::PeerUnreachable;
@@ -104,9 +104,9 @@
     const auto found = std::find_if(instances.begin(), instances.end(), [&owner](const auto &instance) { return instance.name == *owner; });
     if (found == instances.end()) {
         const auto kind = statement.verb == Verb::Commit ? ErrorKind::OutcomeUnknown : ErrorKind::TransactionAborted;
-        return failedAnswer(Error{kind, "the proxy that held the transaction is gone"}.withRetryAfter(defaultRetryAfter));
+        return failedAnswer(Error{kind, "the proxy that ran the transaction is no longer live"}.withRetryAfter(defaultRetryAfter));
     }
-    const auto result = peers_.execute(found->address, routed, deadline - steadyNow() - answerMargin, connectWithin);
+    const auto result = peers_.execute(found->address, routed, deadline - steadyNow() - answerMargin, connectTimeout);
     if (const auto *answer = std::get_if<Answer>(&result)) {
         return *answer;
     }
@@ -114,13 +114,13 @@
     if (failure.notSent || statement.verb != Verb::Commit) {
         return failedAnswer(Error{ErrorKind::TransactionAborted, failure.description}.withRetryAfter(defaultRetryAfter));
     }
-    return lostAtPeer(statement, failure.description);
+    return answerForLostReply(statement, failure.description);
 }
 
 Answer Dispatcher::runAtOwners(const Statement &statement, const FleetSnapshot &fleet, TimePoint deadline)
 {
-    auto last = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.withRetryAfter(defaultRetryAfter));
-    bool taken = false;
+    auto lastFailure = failedAnswer(Error{ErrorKind::PeerUnreachable, "no owner of the group is live"}.withRetryAfter(defaultRetryAfter));
+    bool wasSent = false;
     for (const auto *owner : ownersByProximity(fleet, statement.group)) {
         const auto remaining = deadline - steadyNow() - answerMargin;
         if (remaining <= Microseconds{0}) {
@@ -128,39 +128,39 @@
         }
         if (owner->name == self_.name) {
             const auto answer = runLocally(statement, deadline);
-            const bool mayHaveRun = taken && answer.ran == Ran::No && statement.access == Access::Write;
-            return mayHaveRun ? lostAtPeer(statement, "an earlier owner may have run the request") : answer;
+            const bool mayHaveRun = wasSent && answer.ran == Ran::No && statement.access == Access::Write;
+            return mayHaveRun ? answerForLostReply(statement, "an earlier owner may have run the request") : answer;
         }
-        const auto result = peers_.execute(owner->address, statement, remaining, connectWithin);
+        const auto result = peers_.execute(owner->address, statement, remaining, connectTimeout);
         if (const auto *answer = std::get_if<Answer>(&result)) {
             if (isNotOwner(*answer)) {
-                last = taken ? last : *answer;
+                lastFailure = wasSent ? lastFailure : *answer;
                 continue;
             }
-            // An owner speaks for itself: an earlier one may have run what this one refused.
-            const bool mayHaveRun = taken && answer->ran == Ran::No && statement.access == Access::Write;
-            return mayHaveRun ? lostAtPeer(statement, "an earlier owner may have run the request") : *answer;
+            // The answer holds for this owner only: an earlier one may have run what this one refused.
+            const bool mayHaveRun = wasSent && answer->ran == Ran::No && statement.access == Access::Write;
+            return mayHaveRun ? answerForLostReply(statement, "an earlier owner may have run the request") : *answer;
         }
         const auto &failure = std::get<peer::Failure>(result);
-        taken = taken || !failure.notSent;
-        last = taken ? lostAtPeer(statement, failure.description)
-                     : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.withRetryAfter(defaultRetryAfter));
-        if (taken && !mayGoToAnotherOwner(statement)) {
+        wasSent = wasSent || !failure.notSent;
+        lastFailure = wasSent ? answerForLostReply(statement, failure.description)
+                              : failedAnswer(Error{ErrorKind::PeerUnreachable, failure.description}.withRetryAfter(defaultRetryAfter));
+        if (wasSent && !mayRetryAtAnotherOwner(statement)) {
             break;
         }
     }
-    return last;
+    return lastFailure;
 }
 
 Answer Dispatcher::runLocally(const Statement &statement, TimePoint deadline)
 {
     auto group = statement.group;
     if (!statement.transaction.empty()) {
-        const auto held = transactions_.groupOf(statement.transaction);
-        if (held && !group.empty() && *held != group) {
+        const auto transactionGroup = transactions_.groupOf(statement.transaction);
+        if (transactionGroup && !group.empty() && *transactionGroup != group) {
             return failedAnswer(Error{ErrorKind::MalformedRequest, "the key lies in another group than the transaction"});
         }
-        group = held.value_or(group);
+        group = transactionGroup.value_or(group);
     }
     const auto owner = sources_.localOwner(group);
     if (!owner && !statement.transaction.empty()) {
--- a/src/entry/dispatcher.h
+++ b/src/entry/dispatcher.h
@@ -1,4 +1,4 @@
-// Takes a caller's statement to the proxy that owns its group.
+// Routes a caller's statement to a proxy that owns its group.
 #pragma once
 
 #include "base/result.h"
@@ -15,32 +15,32 @@
 
 namespace cardamomstep::entry {
 
-/// What the dispatcher sees of the fleet and its configuration at one moment.
+/// The fleet and its configuration at one moment.
 struct FleetSnapshot {
     std::shared_ptr<const Catalog> catalog;
     std::shared_ptr<const InstanceSet> instances;
-    /// True once the configuration is known.
+    /// True while the configuration is loaded and fresh enough to serve statements.
     bool mayServe = false;
 };
 
-/// Routes statements; safe for use by many threads.
+/// Routes statements to the owners of their groups; thread-safe.
 class Dispatcher
 {
 public:
-    /// Where the dispatcher takes its knowledge from.
+    /// Functions that give the dispatcher its data.
     struct Sources {
-        /// The fleet now.
+        /// Returns the current state of the fleet.
         std::function<FleetSnapshot()> fleet;
-        /// The owner of a group in this process; null when it does not own the group.
+        /// Returns this process's owner of a group; null when this proxy does not own the group.
         std::function<std::shared_ptr<GroupOwner>(const GroupName &)> localOwner;
     };
 
     Dispatcher(LiveInstance self, Sources sources, peer::Client &peers, Transactions &transactions);
 
-    /// Runs \a statement for a caller and answers by \a deadline.
+    /// Runs \a statement for a caller; returns its answer by \a deadline.
     [[nodiscard]] Answer run(Statement statement, TimePoint deadline);
 
-    /// Runs \a statement that another proxy sent here.
+    /// Runs \a statement that another proxy forwarded to this one.
     [[nodiscard]] Answer runForwarded(const Statement &statement, TimePoint deadline);
 
 private:
--- a/src/entry/fwd.h
+++ b/src/entry/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the entry slice: the callers' interface.
+// Forward declarations of the entry module: the callers' interface.
 #pragma once
 
 namespace cardamomstep::entry {
--- a/src/operators/answers.cpp
+++ b/src/operators/answers.cpp
@@ -26,7 +26,7 @@
     return response;
 }
 
-Json parsed(const std::string &text)
+Json parseJson(const std::string &text)
 {
     return Json::parse(text, nullptr, false);
 }
@@ -35,10 +35,10 @@
 {
     Json value{{"field", change.field}};
     if (change.before) {
-        value["before"] = parsed(*change.before);
+        value["before"] = parseJson(*change.before);
     }
     if (change.after) {
-        value["after"] = parsed(*change.after);
+        value["after"] = parseJson(*change.after);
     }
     return value;
 }
@@ -64,7 +64,7 @@
 
 Json toJson(const CatalogEntry &entry)
 {
-    return {{"version", entry.version}, {"record", parsed(writeRecord(*entry.record))}};
+    return {{"version", entry.version}, {"record", parseJson(writeRecord(*entry.record))}};
 }
 
 std::string_view toText(InstanceState state)
@@ -120,25 +120,25 @@
     if (change.entry == nullptr) {
         value["deleted"] = true;
     } else {
-        value["record"] = parsed(writeRecord(*change.entry->record));
+        value["record"] = parseJson(writeRecord(*change.entry->record));
     }
     return value;
 }
 
-/// The changes after \a after that the catalog is complete up to, in order of their versions.
+/// Returns the changes after \a after and up to the catalog's revision, in order of their versions, without audit entries.
 std::vector<WatchedChange> changesAfter(const Catalog &catalog, std::uint64_t after)
 {
     std::vector<WatchedChange> changes;
-    const auto isWanted = [&catalog, after](const RecordKey &key, std::uint64_t version) {
+    const auto isIncluded = [&catalog, after](const RecordKey &key, std::uint64_t version) {
         return version > after && version <= catalog.revision() && key.kind != RecordKind::AuditEntry;
     };
     for (const auto &[key, entry] : catalog.entries()) {
-        if (isWanted(key, entry.version)) {
+        if (isIncluded(key, entry.version)) {
             changes.push_back({key, entry.version, &entry});
         }
     }
     for (const auto &[key, version] : catalog.deletions()) {
-        if (isWanted(key, version)) {
+        if (isIncluded(key, version)) {
             changes.push_back({key, version, nullptr});
         }
     }
@@ -186,7 +186,7 @@
 
 http::Response recordAnswer(const StoredText &record)
 {
-    auto value = parsed(record.text);
+    auto value = parseJson(record.text);
     if (value.is_object()) {
         value.erase("writer");
     }
--- a/src/operators/answers.h
+++ b/src/operators/answers.h
@@ -1,4 +1,4 @@
-// The answers of the operators' interface.
+// Writes the answers of the operators' interface.
 #pragma once
 
 #include "base/error.h"
@@ -15,49 +15,50 @@
 
 namespace cardamomstep::operators {
 
-/// Most records of one page of a list.
+/// The most records in one page of a list, and the most changes in one answer of a watch.
 inline constexpr std::uint64_t maxPageRecords = 1000;
-/// Longest wait of a watch.
+/// The longest wait of a watch, in milliseconds.
 inline constexpr std::uint64_t maxWatchMs = 30'000;
 
-/// An accepted or proposed change, for the answer.
+/// Content of the answer to an accepted or proposed change.
 struct ChangeAnswer {
-    /// False for a dry run and for a record that is as wanted already.
+    /// False for a dry run and when the stored record is already equal.
     bool written = false;
     std::uint64_t fromVersion = 0;
     std::uint64_t toVersion = 0;
     std::vector<FieldChange> changes;
-    /// Paths of fields that this release does not know.
+    /// Paths of the record's fields that this release does not know.
     std::vector<std::string> unknownFields;
-    /// True when the audit entry was written, too.
+    /// True when the audit entry was written as well.
     bool audited = false;
 };
 
-/// The answer to a request that failed, with all its faults; \a faults is not empty.
+/// Returns the answer to a failed request, with all its faults; \a faults must not be empty.
 [[nodiscard]] http::Response failureAnswer(const std::vector<Error> &faults);
 
-/// The answer to an accepted, proposed or needless change.
+/// Returns the answer to a change that was accepted, only checked, or had no effect.
 [[nodiscard]] http::Response changeAnswer(const ChangeAnswer &answer);
 
-/// One record, as the store gave it.
+/// Returns one record as the store holds it, without the writer stamp.
 [[nodiscard]] http::Response recordAnswer(const StoredText &record);
 
-/// One record from the catalog, for times when the store is away.
+/// Returns one record from the catalog, for use while the store is unavailable.
 [[nodiscard]] http::Response cachedRecordAnswer(const CatalogEntry &entry);
 
-/// A page of the records of the kind in \a key, from the names after the query's `after`, at most the query's `limit`.
+/// Returns a page of the records of \a kind whose names follow the query's `after`, at most the query's `limit`.
 [[nodiscard]] http::Response listAnswer(const Catalog &catalog, RecordKind kind, const http::Request &request);
 
-/// State of the fleet; only the proxies whose configuration has not come up to the query's `behind`, when that is given.
+/// Returns the state of the fleet; with the query's `behind`, it lists only the proxies whose revision is below that.
 [[nodiscard]] http::Response
 statusAnswer(const InstanceName &self, const Catalog &catalog, const std::vector<ProxyInfo> &proxies, const http::Request &request);
 
-/// Changes of records after \a after, at most maxPage of them; the answer's revision is what to ask after next.
+/// Returns the changes of records after \a after, at most maxPageRecords of them; the answer's revision is the next request's `after`.
 ///
-/// A reset, without changes, when \a after is 0 or some deletion since then is not known any more: list the records anew.
+/// The answer is a reset without changes when \a after is 0 or when the catalog no longer knows every deletion since then; the client
+/// must then list all records.
 [[nodiscard]] http::Response watchAnswer(const Catalog &catalog, std::uint64_t after);
 
-/// Audit entries.
+/// Returns the answer with the audit entries \a entries.
 [[nodiscard]] http::Response historyAnswer(const std::vector<AuditEntry> &entries);
 
 } // namespace cardamomstep::operators
--- a/src/operators/api.h
+++ b/src/operators/api.h
@@ -1,4 +1,4 @@
-// The operators' interface: reads and changes records, keeps the audit trail, tells status.
+// The operators' HTTP interface: reads and changes records, writes the audit trail, reports status.
 #pragma once
 
 #include "operators/answers.h"
@@ -19,16 +19,16 @@
 struct OperatorOptions {
     /// Bearer token that every request must carry.
     std::string token;
-    /// Longest wait for a revision that a request needs to be in force here.
+    /// The longest wait until the revision that a request requires is in force at this proxy.
     Milliseconds maxRevisionWait{2000};
-    /// Attempts at a change without an expected version, when others change the same record.
+    /// Attempts at a change without an expected version while others change the same record.
     unsigned maxAttempts = 4;
 };
 
-/// Answers operators' requests; safe for use by many threads when the store and the environment are.
+/// Answers operators' requests; thread-safe if the store and the environment are.
 ///
-/// A change is accepted when the store confirms its conditional update. Every change is made on a known version, so that the audit
-/// trail names both; without `if-match` the current version is taken and the change is tried again when it has moved.
+/// A change is accepted when the store confirms its conditional update. Every change is based on a known version, so that the audit
+/// trail names both versions. Without `if-match` that is the current version, and the change is retried when another one came first.
 ///
 /// Example:
 /// \code
@@ -39,7 +39,7 @@
 class OperatorApi
 {
 public:
-    /// Both \a store and \a environment must outlive this.
+    /// \a store and \a environment must outlive this object.
     OperatorApi(Store &store, Environment &environment, OperatorOptions options)
         : store_(store)
         , environment_(environment)
@@ -102,9 +102,9 @@
             return recordAnswer(*found);
         }
         const auto catalog = environment_.catalog();
-        const auto *known = catalog->find(route.key);
-        if (found.error().kind == ErrorKind::StoreUnavailable && known != nullptr) {
-            return cachedRecordAnswer(*known);
+        const auto *cached = catalog->find(route.key);
+        if (found.error().kind == ErrorKind::StoreUnavailable && cached != nullptr) {
+            return cachedRecordAnswer(*cached);
         }
         return failureAnswer({found.error()});
     }
@@ -120,8 +120,8 @@
             if (answer) {
                 return changeAnswer(*answer);
             }
-            const bool moved = answer.faults().front().kind == ErrorKind::Conflict && !route.expected;
-            if (!moved || attempt >= options_.maxAttempts) {
+            const bool versionChanged = answer.faults().front().kind == ErrorKind::Conflict && !route.expected;
+            if (!versionChanged || attempt >= options_.maxAttempts) {
                 return failureAnswer(answer.faults());
             }
         }
@@ -220,7 +220,7 @@
         return historyAnswer(selectHistory(*entries, *filter));
     }
 
-    /// Appends \a entry to the audit trail; true when it is there.
+    /// Writes \a entry to the audit trail; returns true when the store holds it.
     [[nodiscard]] bool audit(const Record &entry)
     {
         const auto key = entry.key();
@@ -228,7 +228,7 @@
         if (!written && written.error().kind != ErrorKind::Conflict) {
             written = store_.put(key, writeRecord(entry), nullptr);
         }
-        // Only this change has this entry's name, so a conflict shows that the first attempt took effect.
+        // The entry's name is unique to this change, so a conflict shows that the first attempt took effect.
         const bool present = written || written.error().kind == ErrorKind::Conflict;
         if (present && isTimeToDropEntries(key.name)) {
             dropOldEntries();
--- a/src/operators/change.cpp
+++ b/src/operators/change.cpp
@@ -1,4 +1,4 @@
-// Checks proposed changes and keeps the audit trail within bounds.
+// Checks proposed changes and limits the size of the audit trail.
 #include "operators/change.h"
 
 #include "base/hash.h"
@@ -15,7 +15,7 @@
 constexpr std::uint64_t entriesBetweenDrops = 64;
 constexpr std::uint64_t defaultHistoryLimit = 50;
 constexpr std::uint64_t maxHistoryLimit = 1000;
-/// Digits of the largest version.
+/// The number of decimal digits of the largest version.
 constexpr std::size_t versionDigits = 20;
 
 std::vector<ReadableForms> readableForms(const std::vector<ProxyInfo> &proxies)
@@ -28,16 +28,16 @@
     return forms;
 }
 
-/// \a version with leading zeros, so that names sort by version.
+/// Returns \a version with leading zeros, so that names sort by version.
 std::string paddedVersion(std::uint64_t version)
 {
     const auto digits = std::to_string(version);
     return std::string(versionDigits - digits.size(), '0') + digits;
 }
 
-/// A name that only one change has; a deletion goes by the version that it takes away, since it may have none of its own.
+/// Returns a name that is unique to one change; for a deletion, \a version is the deleted one, since a deletion may have no version itself.
 ///
-/// The system also audits promotions, whose versions are terms and repeat between groups; so the record is part of the name.
+/// The name contains a hash of the record's key: the system also audits promotions, whose versions are terms that repeat between groups.
 RecordName auditName(const RecordKey &key, std::uint64_t version, bool deleted)
 {
     const auto record = std::to_string(stableHash(toText(key)));
@@ -61,7 +61,8 @@
     }
     auto record = readRecord(toText(route.key), body);
     if (record && record->key() != route.key) {
-        return std::vector<Error>{{ErrorKind::MalformedRequest, "the record is " + toText(record->key()) + ", the path another"}};
+        return std::vector<Error>{
+            {ErrorKind::MalformedRequest, "the record is " + toText(record->key()) + ", but the path names another one"}};
     }
     return record;
 }
--- a/src/operators/change.h
+++ b/src/operators/change.h
@@ -1,4 +1,4 @@
-// Decides whether a proposed change of a record is acceptable, and what the audit trail keeps of it.
+// Checks proposed changes of records and defines the audit entries that they leave.
 #pragma once
 
 #include "operators/environment.h"
@@ -18,38 +18,38 @@
 
 namespace cardamomstep::operators {
 
-/// Most fields that one audit entry lists, and most bytes of one value.
+/// The most fields that one audit entry lists, and the most bytes of one value.
 inline constexpr std::size_t maxAuditChanges = 32;
 inline constexpr std::size_t maxAuditValueBytes = 128;
-/// Audit entries that are kept; above, the oldest go.
+/// The number of audit entries that are kept; the oldest ones above it are removed.
 inline constexpr std::size_t maxAuditEntries = 4096;
-/// Most entries that one pass of cleaning up removes.
+/// The most audit entries that one cleanup removes.
 inline constexpr std::size_t maxAuditEntriesDroppedAtOnce = 256;
 
-/// A change that passed all checks.
+/// A change that has passed all checks.
 struct ProposedChange {
-    /// The record to write, marked with who and when.
+    /// The record to write, including its change stamp.
     Record record;
-    /// Differences to the current version; empty when there is nothing to write.
+    /// Differences from the current version; empty when there is nothing to write.
     std::vector<FieldChange> changes;
 };
 
-/// Reads the record in a request's \a body and checks that it is the one that \a route names and that operators may write it.
+/// Reads the record in a request's \a body; checks that it is the one that \a route names and that operators may write its kind.
 [[nodiscard]] Checked<Record> readCandidate(const Route &route, std::string_view body);
 
-/// Checks \a candidate against the other records and the live proxies, and compares it with \a current (null when there is none).
+/// Checks \a candidate against the other records and the live proxies and compares it with \a current (null when there is none).
 ///
-/// ErrorKind::UnsupportedVersion when \a current is in a form that this release cannot read.
+/// The error is ErrorKind::UnsupportedVersion when \a current has a schema version that this release cannot read.
 [[nodiscard]] Checked<ProposedChange> proposeChange(const Record &candidate,
                                                     const StoredText *current,
                                                     const Catalog &catalog,
                                                     const std::vector<ProxyInfo> &proxies,
                                                     const ChangeStamp &change);
 
-/// The conflict of \a route's expected version with \a current (0 when there is none); none when they agree.
+/// Returns the conflict between \a route's expected version and \a current (0: no record exists); none when they agree.
 [[nodiscard]] std::optional<Error> checkExpected(const Route &route, std::uint64_t current);
 
-/// The audit trail's record of a change from \a before (null: created) to \a after (null: deleted).
+/// Returns the audit entry of a change of \a key; \a changes are shortened to the limits above.
 [[nodiscard]] Record auditRecord(const RecordKey &key,
                                  const ChangeStamp &change,
                                  std::uint64_t fromVersion,
@@ -57,26 +57,26 @@
                                  std::vector<FieldChange> changes,
                                  bool deleted);
 
-/// True when writing \a entry is a time to drop old entries; about once in 64 entries.
+/// True when old entries are to be dropped after writing \a entry; decided by a hash, about once in 64 entries.
 [[nodiscard]] bool isTimeToDropEntries(const RecordName &entry) noexcept;
 
-/// The oldest of \a entries beyond auditEntriesKept, at most auditEntriesDroppedAtOnce.
+/// Returns the oldest of \a entries above maxAuditEntries, at most maxAuditEntriesDroppedAtOnce.
 [[nodiscard]] std::vector<StoredText> entriesToDrop(std::vector<StoredText> entries);
 
-/// Which audit entries are asked for.
+/// Filter of a history request.
 struct HistoryFilter {
     std::optional<RecordKind> kind;
-    /// Empty for all.
+    /// Record name; empty matches all, as does an empty operator name.
     std::string name;
     std::string who;
     WallTime since{};
     std::size_t limit = 0;
 };
 
-/// Reads the filter of a history request; the error is ErrorKind::MalformedRequest.
+/// Parses the filter of a history request; the error is ErrorKind::MalformedRequest.
 [[nodiscard]] Result<HistoryFilter> readHistoryFilter(const http::Request &request);
 
-/// The entries that \a filter lets through, newest first.
+/// Returns the entries that match \a filter, newest first, at most its limit; entries that cannot be read are skipped.
 [[nodiscard]] std::vector<AuditEntry> selectHistory(const std::vector<StoredText> &entries, const HistoryFilter &filter);
 
 } // namespace cardamomstep::operators
--- a/src/operators/environment.h
+++ b/src/operators/environment.h
@@ -1,4 +1,4 @@
-// What the operators' interface needs to know of the proxy that it runs in and of the other proxies.
+// What the operators' interface requires of its proxy: the catalog in force and the state of the fleet.
 #pragma once
 
 #include "base/ids.h"
@@ -14,25 +14,25 @@
 
 namespace cardamomstep::operators {
 
-/// What is known of one live proxy.
+/// What is known about one live proxy.
 struct ProxyInfo {
     InstanceName instance;
     FailureDomain failureDomain;
     InstanceState state = InstanceState::Ready;
-    /// Revision up to which its configuration is complete, as last heard.
+    /// Revision up to which its configuration is complete, as last reported.
     std::uint64_t revision = 0;
-    /// Forms of records that it reads.
+    /// Forms of records that it can read.
     std::vector<RecordForm> forms;
-    /// Time since it was last heard.
+    /// Time since the last contact.
     Milliseconds timeSinceContact{0};
 };
 
-/// The proxy and its fleet, as the operators' interface sees them; called by many threads at once.
+/// The proxy and its fleet, as the operators' interface uses them; must be thread-safe.
 ///
-/// - `self()`: this instance.
-/// - `catalog()`: the configuration in force here.
-/// - `awaitRevision(revision, wait)`: blocks until the catalog is complete up to `revision`, at most `wait`.
-/// - `proxies()`: all live proxies, this one included.
+/// - `self()`: the name of this instance.
+/// - `catalog()`: the configuration in force at this proxy.
+/// - `awaitRevision(revision, wait)`: blocks until the catalog is complete up to `revision`, for at most `wait`.
+/// - `proxies()`: all live proxies, including this one.
 /// - `now()`: the wall-clock time.
 template<typename T>
 concept OperatorEnvironment = requires(T environment, std::uint64_t revision, Milliseconds wait)
--- a/src/operators/fwd.h
+++ b/src/operators/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the operators slice: the interface that operators' commands speak to.
+// Forward declarations of the operators module: the operators' HTTP interface.
 #pragma once
 
 namespace cardamomstep::operators {
--- a/src/operators/platformstore.cpp
+++ b/src/operators/platformstore.cpp
@@ -1,4 +1,4 @@
-// Turns records into objects of the platform's store.
+// Reads and writes records as objects of the platform's store.
 #include "operators/platformstore.h"
 
 #include "store/writer.h"
--- a/src/operators/platformstore.h
+++ b/src/operators/platformstore.h
@@ -1,4 +1,4 @@
-// The records in the platform's store, as the operators' interface uses them.
+// Implements RecordStore with the platform's store.
 #pragma once
 
 #include "base/random.h"
@@ -14,14 +14,14 @@
 
 namespace cardamomstep::operators {
 
-/// A RecordStore over the platform's store client; safe for use by many threads.
+/// A RecordStore that uses the platform's store client; thread-safe.
 class PlatformStore
 {
 public:
-    /// \a client must outlive this; \a seed must differ between processes, since each write's nonce is drawn from it.
+    /// \a client must outlive this object; \a seed must differ between processes, since the nonces of writes are generated from it.
     PlatformStore(StoreClient &client, std::uint64_t seed, Milliseconds timeout);
 
-    /// See RecordStore.
+    /// Functions of RecordStore.
     [[nodiscard]] Result<StoredText> get(const RecordKey &key);
     [[nodiscard]] Result<std::vector<StoredText>> list(RecordKind kind);
     [[nodiscard]] Result<std::uint64_t> put(const RecordKey &key, const std::string &text, const StoredText *replaced);
--- a/src/operators/route.cpp
+++ b/src/operators/route.cpp
@@ -1,4 +1,4 @@
-// Takes operators' requests apart.
+// Parses operators' requests.
 #include "operators/route.h"
 
 #include <algorithm>
@@ -61,7 +61,7 @@
     } else if (request.method == "DELETE" && named) {
         route.action = Action::DeleteRecord;
     } else {
-        return malformed("this path does not take " + request.method);
+        return malformed("this path does not support " + request.method);
     }
     return route;
 }
@@ -82,7 +82,7 @@
         return Error{ErrorKind::NotFound, "there is no such path"};
     }
     if (request.method != "GET") {
-        return malformed("this path does not take " + request.method);
+        return malformed("this path does not support " + request.method);
     }
     if (parts[1] == "watch") {
         route.action = Action::Watch;
@@ -96,7 +96,7 @@
 {
     constexpr char firstPrintable = ' ';
     constexpr char lastPrintable = '~';
-    return std::all_of(text.begin(), text.end(), [](char letter) { return letter >= firstPrintable && letter <= lastPrintable; });
+    return std::all_of(text.begin(), text.end(), [](char character) { return character >= firstPrintable && character <= lastPrintable; });
 }
 
 } // namespace
@@ -149,10 +149,10 @@
     if (given.substr(0, scheme.size()) != scheme) {
         return false;
     }
-    const auto offered = given.substr(scheme.size());
-    unsigned different = offered.size() == token.size() ? 0 : 1;
-    for (std::size_t index = 0; index < offered.size(); ++index) {
-        different |= static_cast<unsigned char>(offered[index]) ^ static_cast<unsigned char>(token[index % token.size()]);
+    const auto presented = given.substr(scheme.size());
+    unsigned different = presented.size() == token.size() ? 0 : 1;
+    for (std::size_t index = 0; index < presented.size(); ++index) {
+        different |= static_cast<unsigned char>(presented[index]) ^ static_cast<unsigned char>(token[index % token.size()]);
     }
     return different == 0;
 }
--- a/src/operators/route.h
+++ b/src/operators/route.h
@@ -1,4 +1,4 @@
-// What an operator's request asks for.
+// Parses operators' requests: action, record and conditions.
 #pragma once
 
 #include "base/result.h"
@@ -13,7 +13,7 @@
 
 namespace cardamomstep::operators {
 
-/// Everything that can be asked for.
+/// The actions of the operators' interface.
 enum class Action : std::uint8_t {
     ListRecords, ///< GET /v1/records/KIND
     GetRecord, ///< GET /v1/records/KIND/NAME
@@ -24,34 +24,36 @@
     History, ///< GET /v1/history
 };
 
-/// Longest name of an operator.
+/// The longest name of an operator.
 inline constexpr std::size_t maxOperatorNameBytes = 128;
 
-/// A request, taken apart.
+/// A parsed request.
 struct Route {
     Action action = Action::Status;
-    /// The record or, without a name, the kind.
+    /// The record; only the kind when the path names no record.
     RecordKey key;
-    /// Name that the operator gave in `x-operator`; claimed, not proven.
+    /// Name of the operator, from `x-operator`; it is not authenticated.
     std::string who;
-    /// Version that must be current, from `if-match`; 0 means that the record must not exist.
+    /// Version that must be the current one, from `if-match`; 0 means that the record must not exist.
     std::optional<std::uint64_t> expected;
-    /// Revision that must be in force here first, from `x-min-revision`.
+    /// Revision that must be in force at this proxy before the request is handled, from `x-min-revision`.
     std::uint64_t minRevision = 0;
-    /// True when only the checks are wanted, from `dryRun=1`.
+    /// True when the change is only to be checked, from `dryRun=1`.
     bool dryRun = false;
 };
 
-/// Takes \a request apart; the error is ErrorKind::NotFound for an unknown path, else ErrorKind::MalformedRequest.
+/// Parses \a request; the error is ErrorKind::NotFound for an unknown path or kind, else ErrorKind::MalformedRequest.
 [[nodiscard]] Result<Route> readRoute(const http::Request &request);
 
-/// The whole number \a name of the query; \a fallback when it is missing.
+/// Returns the whole number \a name of the query; \a fallback when it is missing.
 ///
 /// The error is ErrorKind::MalformedRequest when it is not a number from 0 to \a highest.
 [[nodiscard]] Result<std::uint64_t>
 numberParameter(const http::Request &request, const std::string &name, std::uint64_t fallback, std::uint64_t highest);
 
-/// True when \a request carries \a token as its bearer token; takes the same time for every wrong token of one length.
+/// True when \a request has \a token as its bearer token.
+///
+/// Takes the same time for all wrong tokens of one length, so that the time does not reveal the token.
 [[nodiscard]] bool isAuthorized(const http::Request &request, std::string_view token) noexcept;
 
 } // namespace cardamomstep::operators
--- a/src/operators/store.h
+++ b/src/operators/store.h
@@ -1,4 +1,4 @@
-// What the operators' interface needs of the platform's store.
+// What the operators' interface requires of the platform's store.
 #pragma once
 
 #include "base/result.h"
@@ -12,22 +12,22 @@
 
 namespace cardamomstep::operators {
 
-/// A record's text as it stands in the store.
+/// A record's text as the store holds it, with its version.
 struct StoredText {
     RecordKey key;
     std::uint64_t version = 0;
     std::string text;
 };
 
-/// The store as the operators' interface uses it; called by many threads at once, each call bounded in time.
+/// The store as the operators' interface uses it; must be thread-safe, and each call must return within a bounded time.
 ///
-/// - `get(key)`: ErrorKind::NotFound when there is none, else ErrorKind::StoreUnavailable.
+/// - `get(key)`: the record; ErrorKind::NotFound when there is none, ErrorKind::StoreUnavailable for any other failure.
 /// - `list(kind)`: all records of a kind.
-/// - `put(key, text, replaced)`: puts where `replaced` is still the current version (null: where there is none) and gives the new
-///   version. A lost answer is resolved before it returns. ErrorKind::Conflict tells the current version; Conflict,
-///   StoreUnavailable and TooLarge say that nothing was changed; ErrorKind::StoreOutcomeUnknown says that it may have been.
-/// - `remove(key, version)`: removes where `version` is current and gives the revision of the deletion, or 0 when only the
-///   record's absence was confirmed; errors as for `put`.
+/// - `put(key, text, replaced)`: writes the record if `replaced` is still the current version (null: if there is none) and returns the
+///   new version. A lost reply of the store is resolved before it returns. ErrorKind::Conflict holds the current version; after
+///   Conflict, StoreUnavailable and TooLarge nothing was changed; after ErrorKind::StoreOutcomeUnknown the write may have taken effect.
+/// - `remove(key, version)`: removes the record if `version` is the current one and returns the revision of the deletion, or 0 when
+///   only the record's absence was confirmed; errors as for `put`.
 template<typename T>
 concept RecordStore =
     requires(T store, const RecordKey &key, RecordKind kind, std::string text, const StoredText *replaced, std::uint64_t version)
--- a/src/records/catalog.cpp
+++ b/src/records/catalog.cpp
@@ -1,4 +1,4 @@
-// Keeps records by key, takes only news, and finds the group of a key.
+// Keeps the newest version of each record and finds the group of a key.
 #include "records/catalog.h"
 
 #include "base/hash.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The bucket of \a hash among \a buckets, of which only few keys move when one is appended (jump consistent hash).
+/// Returns the bucket of \a hash by jump consistent hashing: appending a bucket to n others moves only 1/(n + 1) of the keys.
 std::size_t bucketOf(std::uint64_t hash, std::size_t buckets) noexcept
 {
     constexpr std::uint64_t multiplier = 2862933555777941757ULL;
@@ -33,23 +33,23 @@
     return static_cast<std::size_t>(std::mismatch(left.begin(), end, right.begin()).first - left.begin());
 }
 
-/// The rule with the longest prefix of \a key; null when none matches. \a rules are sorted by prefix.
+/// Returns the rule with the longest prefix of \a key; null when none matches. \a rules must be sorted by prefix.
 const PrefixRule *longestMatch(const std::vector<PrefixRule> &rules, std::string_view key)
 {
-    auto wanted = key;
+    auto searched = key;
     for (;;) {
         const auto above = std::upper_bound(
-            rules.begin(), rules.end(), wanted, [](std::string_view text, const PrefixRule &rule) { return text < rule.prefix; });
+            rules.begin(), rules.end(), searched, [](std::string_view text, const PrefixRule &rule) { return text < rule.prefix; });
         if (above == rules.begin()) {
             return nullptr;
         }
         const auto &candidate = *std::prev(above);
-        const auto common = commonLength(candidate.prefix, wanted);
+        const auto common = commonLength(candidate.prefix, searched);
         if (common == candidate.prefix.size()) {
             return &candidate;
         }
-        // Every match that is left is a prefix of both the key and the candidate.
-        wanted = wanted.substr(0, common);
+        // Every remaining match is a prefix of both the key and the candidate.
+        searched = searched.substr(0, common);
     }
 }
 
@@ -184,16 +184,16 @@
 
 void Catalog::dropOldDeletions()
 {
-    if (deletions_.size() <= 2 * maxDeletions) {
+    if (deletions_.size() <= 2 * retainedDeletions) {
         return;
     }
     std::vector<std::uint64_t> versions;
     for (const auto &[key, version] : deletions_) {
         versions.push_back(version);
     }
-    const auto last = versions.end() - static_cast<std::ptrdiff_t>(maxDeletions) - 1;
+    const auto last = versions.end() - static_cast<std::ptrdiff_t>(retainedDeletions) - 1;
     std::nth_element(versions.begin(), last, versions.end());
-    // Above revision_ a deletion is still needed to refuse a late change of its key.
+    // A deletion above revision_ is still needed to refuse an outdated change of its key.
     deletionFloor_ = std::max(deletionFloor_, std::min(*last, revision_));
     std::erase_if(deletions_, [this](const auto &item) { return item.second <= deletionFloor_; });
 }
--- a/src/records/catalog.h
+++ b/src/records/catalog.h
@@ -1,4 +1,4 @@
-// All configuration that a proxy knows, as an immutable snapshot for the data path.
+// An immutable snapshot of all configuration that a proxy knows, for the data path.
 #pragma once
 
 #include "base/ids.h"
@@ -16,10 +16,10 @@
 
 namespace cardamomstep {
 
-/// The failure domains of a group's members, sorted, each once.
+/// Returns the failure domains of a group's members, sorted and without duplicates.
 [[nodiscard]] std::vector<FailureDomain> domainsOf(const DatabaseGroup &group);
 
-/// A change of one record, as the store's watch or another proxy reports it.
+/// A change of one record, as reported by the store's watch or by another proxy.
 struct RecordChange {
     RecordKey key;
     /// Store version of the change; for a deletion, the revision that deleted the record.
@@ -28,8 +28,8 @@
     std::shared_ptr<const Record> record;
 };
 
-/// Fewest deletions that a Catalog remembers for its watchers.
-inline constexpr std::size_t maxDeletions = 4096;
+/// The number of newest deletions that a Catalog retains for its watchers; it drops older ones when there are more than twice as many.
+inline constexpr std::size_t retainedDeletions = 4096;
 
 /// A record in a Catalog.
 struct CatalogEntry {
@@ -39,9 +39,10 @@
 
 /// An immutable set of records by key, each with its store version.
 ///
-/// A change is taken only when its version is above the known one of its key, deletions included, or above revision() when the key is
-/// not known; so the catalog never goes back, in whatever order changes arrive. Shared by pointer: a reader keeps its snapshot while newer
-/// ones are made.
+/// Invariant: the version of a key never decreases, in whatever order changes arrive. A change is applied only when its version is above
+/// the known version of its key, deletions included, or above revision() when the key is not known.
+///
+/// Catalogs are shared by pointer: a reader keeps its snapshot while newer ones are created.
 ///
 /// Example:
 /// \code
@@ -52,35 +53,36 @@
 class Catalog
 {
 public:
-    /// An empty catalog of revision 0.
+    /// Returns an empty catalog of revision 0.
     [[nodiscard]] static std::shared_ptr<const Catalog> empty();
 
-    /// A catalog of a whole list that the store gave at \a revision.
+    /// Returns a catalog of the complete list that the store returned at \a revision.
     [[nodiscard]] static std::shared_ptr<const Catalog> fromList(const std::vector<RecordChange> &records, std::uint64_t revision);
 
-    /// This catalog with \a changes, older ones left out; \a revision is the store's revision that the changes reach up to, or 0 when
-    /// they are single changes with gaps between them.
+    /// Returns this catalog with \a changes, except outdated ones.
+    ///
+    /// \a revision is the store revision up to which the changes are complete, or 0 when others may be missing between them.
     [[nodiscard]] std::shared_ptr<const Catalog> with(const std::vector<RecordChange> &changes, std::uint64_t revision = 0) const;
 
-    /// The whole list of the store at \a revision, merged: newer changes that are known already stay.
+    /// Returns this catalog merged with the complete list of the store at \a revision; newer versions that are already known are kept.
     [[nodiscard]] std::shared_ptr<const Catalog> withList(const std::vector<RecordChange> &records, std::uint64_t revision) const;
 
-    /// True when \a version of \a key would be a change.
+    /// True when \a version of \a key is newer than what this catalog knows of the key.
     [[nodiscard]] bool isNewer(const RecordKey &key, std::uint64_t version) const;
 
-    /// The group that holds \a key of \a service; the error is ErrorKind::UnknownService.
+    /// Returns the group that holds \a key of \a service; the error is ErrorKind::UnknownService.
     [[nodiscard]] Result<GroupName> groupFor(const ServiceName &service, std::string_view key) const;
 
-    /// The routing intent of \a service; null when there is none. Valid as long as this catalog.
+    /// Returns the routing intent of \a service; null when there is none. Valid during the lifetime of this catalog.
     [[nodiscard]] const RoutingIntent *intent(const ServiceName &service) const;
 
-    /// The database group \a name; null when no record describes it. Valid as long as this catalog.
+    /// Returns the database group \a name; null when no record describes it. Valid during the lifetime of this catalog.
     [[nodiscard]] const DatabaseGroup *group(const GroupName &name) const;
 
-    /// The names of all database groups, sorted.
+    /// Returns the names of all database groups, sorted.
     [[nodiscard]] std::vector<GroupName> groupNames() const;
 
-    /// The record of \a key; null when there is none.
+    /// Returns the record of \a key; null when there is none. Valid during the lifetime of this catalog.
     [[nodiscard]] const CatalogEntry *find(const RecordKey &key) const;
 
     /// All records by key.
@@ -95,20 +97,20 @@
         return deletions_;
     }
 
-    /// Every change up to this store revision is contained.
+    /// The store revision up to which this catalog contains every change.
     [[nodiscard]] std::uint64_t revision() const noexcept
     {
         return revision_;
     }
 
-    /// Deletions at or before this revision are not known one by one.
+    /// The revision up to which deletions() is incomplete: deletions at or before it are not listed.
     [[nodiscard]] std::uint64_t deletionFloor() const noexcept
     {
         return deletionFloor_;
     }
 
 private:
-    /// The intent that counts for one service, ready for lookups.
+    /// The routing intent in effect for one service, prepared for lookups.
     struct ServiceIndex {
         std::shared_ptr<const Record> record;
         // Sorted by prefix.
@@ -126,9 +128,9 @@
     std::map<RecordKey, CatalogEntry> entries_;
     // No key is in both entries_ and deletions_.
     std::map<RecordKey, std::uint64_t> deletions_;
-    // Point into the records that entries_ holds.
+    // The values point into the records of entries_.
     std::unordered_map<GroupName, const DatabaseGroup *> groups_;
-    // Where two intents name one service, the one with the lowest record name counts.
+    // When several intents name one service, the one with the lowest record name is in effect.
     std::unordered_map<ServiceName, ServiceIndex> services_;
     std::uint64_t revision_ = 0;
     // Not above revision_.
--- a/src/records/checks.cpp
+++ b/src/records/checks.cpp
@@ -1,4 +1,4 @@
-// Checks that records fit each other.
+// Checks records for consistency with each other.
 #include "records/checks.h"
 
 #include "records/catalog.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Calls \a visit with each entry of \a kind.
+/// Calls \a visit with the key and entry of each record of \a kind.
 template<typename Visit>
 void forEach(const Catalog &catalog, RecordKind kind, Visit visit)
 {
@@ -37,7 +37,7 @@
     return std::any_of(group.members.begin(), group.members.end(), [&name](const MemberSpec &member) { return member.name == name; });
 }
 
-/// The distinct members of \a name that plans other than \a except send away.
+/// Returns the members of the group \a name that active plans other than \a except stop.
 std::set<MemberName> plannedMembers(const Catalog &catalog, const GroupName &name, const RecordName &except)
 {
     std::set<MemberName> members;
@@ -52,9 +52,9 @@
 
 bool keepsMajority(const DatabaseGroup &group, const std::set<MemberName> &leaving)
 {
-    const auto gone = static_cast<std::size_t>(std::count_if(
+    const auto leavingCount = static_cast<std::size_t>(std::count_if(
         group.members.begin(), group.members.end(), [&leaving](const MemberSpec &member) { return leaving.count(member.name) > 0; }));
-    return group.members.size() - gone >= majorityOf(group.members.size());
+    return group.members.size() - leavingCount >= majorityOf(group.members.size());
 }
 
 Error fault(const RecordKey &key, ErrorKind kind, std::string field, std::string description)
@@ -174,16 +174,16 @@
     });
     std::sort(plans.begin(), plans.end());
     std::set<MemberName> leaving;
-    std::vector<MemberName> inOrder;
+    std::vector<MemberName> ordered;
     for (const auto &[version, member] : plans) {
         auto next = leaving;
         next.insert(member);
         if (next.size() > leaving.size() && keepsMajority(*description, next)) {
             leaving = std::move(next);
-            inOrder.push_back(member);
+            ordered.push_back(member);
         }
     }
-    return inOrder;
+    return ordered;
 }
 
 } // namespace cardamomstep
--- a/src/records/checks.h
+++ b/src/records/checks.h
@@ -1,4 +1,4 @@
-// Checks of a record against the others: what must hold between records, not within one.
+// Checks records against each other; the checks within one record are made when it is read.
 #pragma once
 
 #include "base/ids.h"
@@ -12,19 +12,19 @@
 
 namespace cardamomstep {
 
-/// The faults of putting \a candidate beside the records in \a catalog; empty when there are none.
+/// Returns the faults of adding \a candidate to the records in \a catalog; empty when there are none.
 ///
-/// ErrorKind::InvalidRecord: an intent names a group that no record describes, or a service that another intent describes; a plan names
-/// an unknown member. ErrorKind::PlanRefused: the active plans would leave a group without a majority of its members.
+/// ErrorKind::InvalidRecord: an intent names a group that no record describes, or a service that another intent names; an active plan
+/// names an unknown member. ErrorKind::PlanRefused: the active plans would leave a group without a majority of its members.
 [[nodiscard]] std::vector<Error> checkCandidate(const Catalog &catalog, const Record &candidate);
 
-/// The faults of deleting \a key: ErrorKind::InvalidRecord when an intent or an active plan needs it.
+/// Returns the faults of deleting \a key: ErrorKind::InvalidRecord for a group that an intent or an active plan names.
 [[nodiscard]] std::vector<Error> checkRemoval(const Catalog &catalog, const RecordKey &key);
 
-/// Members of \a group that active plans send away, oldest plan first.
+/// Returns the members of \a group that active plans stop, in order of the plans' store versions.
 ///
-/// Two plans can be accepted at the same moment and leave no majority together. Then the one with the lower store version counts and the
-/// other one waits; all proxies with the same catalog agree on which. Times are not looked at.
+/// Two plans that are accepted at the same moment can together leave no majority. Then the one with the lower store version takes effect
+/// and the other one waits, so all proxies with the same catalog agree. The plans' times are ignored.
 [[nodiscard]] std::vector<MemberName> leavingMembers(const Catalog &catalog, const GroupName &group);
 
 } // namespace cardamomstep
--- a/src/records/configuration.h
+++ b/src/records/configuration.h
@@ -30,17 +30,17 @@
 struct DatabaseGroup {
     /// One or more, with distinct names and addresses.
     std::vector<MemberSpec> members;
-    /// Most connections to each member, over all proxies.
+    /// The most connections to each member, over all proxies.
     std::uint32_t connections = 1;
-    /// Statements that each member runs at once; at most `connections`.
+    /// The number of statements that each member runs at once; at most `connections`.
     std::uint32_t slots = 1;
-    /// Usual time that a statement holds a slot.
+    /// The usual time for which a statement occupies a slot.
     Milliseconds serviceTime{5};
 
     [[nodiscard]] bool operator==(const DatabaseGroup &) const = default;
 };
 
-/// Sends the keys with one prefix to one group.
+/// Routes the keys with one prefix to one group.
 struct PrefixRule {
     std::string prefix;
     GroupName group;
@@ -51,19 +51,20 @@
 /// Which groups hold the keys of a service.
 struct RoutingIntent {
     ServiceName service;
-    /// Keys without a matching prefix rule are spread over these by hash; at least one. The order matters: appending moves few keys.
+    /// Groups over which keys without a matching prefix rule are distributed by hash; at least one. Their order is significant, and
+    /// appending a group moves few keys.
     std::vector<GroupName> groups;
-    /// The rule with the longest matching prefix wins.
+    /// The rule with the longest matching prefix applies.
     std::vector<PrefixRule> prefixes;
-    /// Age of data that a read accepts when it names none; none means that such a read must be current.
+    /// The age of data that a read accepts if it states none itself; without a value such a read must be current.
     std::optional<Milliseconds> acceptedAge;
-    /// Part of each group's slots, in percent, that this service always gets.
+    /// The share of each group's slots, in percent, that is guaranteed to this service.
     std::uint32_t guaranteedPercent = 0;
 
     [[nodiscard]] bool operator==(const RoutingIntent &) const = default;
 };
 
-/// A member that shall stop.
+/// A member that is to be stopped.
 struct EndpointTarget {
     GroupName group;
     MemberName member;
@@ -71,24 +72,24 @@
     [[nodiscard]] bool operator==(const EndpointTarget &) const = default;
 };
 
-/// A proxy that shall stop.
+/// A proxy that is to be stopped.
 struct InstanceTarget {
     InstanceName instance;
 
     [[nodiscard]] bool operator==(const InstanceTarget &) const = default;
 };
 
-/// Whether a stop plan is to be carried out.
+/// Whether a stop plan is in effect.
 enum class PlanState : std::uint8_t {
-    Active, ///< To be carried out once its time has come.
-    Ended, ///< Has no effect; what it stopped may take work again.
+    Active, ///< In effect once its time is reached.
+    Ended, ///< Has no effect; its target may receive work again.
 };
 
 /// A planned stop.
 struct StopPlan {
     std::variant<EndpointTarget, InstanceTarget> target;
     PlanState state = PlanState::Active;
-    /// Nothing happens before this time; none means at once.
+    /// The plan has no effect before this time; without a value it takes effect at once.
     std::optional<WallTime> notBefore;
 
     [[nodiscard]] bool operator==(const StopPlan &) const = default;
--- a/src/records/diff.cpp
+++ b/src/records/diff.cpp
@@ -1,4 +1,4 @@
-// Flattens two records to fields and compares them.
+// Flattens two records to maps of fields and compares these.
 #include "records/diff.h"
 
 #include "records/impl/envelope.h"
@@ -28,9 +28,9 @@
         return;
     }
     for (const auto &element : value) {
-        auto rest = element;
-        rest.erase(identity);
-        flatten(rest, path + "[" + element[identity].get<std::string>() + "]", fields);
+        auto remaining = element;
+        remaining.erase(identity);
+        flatten(remaining, path + "[" + element[identity].get<std::string>() + "]", fields);
     }
 }
 
@@ -53,7 +53,7 @@
     return found == fields.end() ? std::nullopt : std::optional<std::string>(found->second);
 }
 
-bool cutValue(std::optional<std::string> &value, std::size_t maxBytes)
+bool truncateValue(std::optional<std::string> &value, std::size_t maxBytes)
 {
     if (!value || value->size() <= maxBytes) {
         return false;
@@ -66,21 +66,21 @@
 
 std::vector<FieldChange> diffRecords(const Record *before, const Record *after)
 {
-    const auto *shape = after != nullptr ? after : before;
-    if (shape == nullptr) {
+    const auto *schemaSource = after != nullptr ? after : before;
+    if (schemaSource == nullptr) {
         return {};
     }
-    const auto old = fieldsOf(before, shape->schema);
-    const auto fresh = fieldsOf(after, shape->schema);
+    const auto oldFields = fieldsOf(before, schemaSource->schema);
+    const auto newFields = fieldsOf(after, schemaSource->schema);
     std::set<std::string> paths;
-    for (const auto *fields : {&old, &fresh}) {
+    for (const auto *fields : {&oldFields, &newFields}) {
         for (const auto &[path, value] : *fields) {
             paths.insert(path);
         }
     }
     std::vector<FieldChange> changes;
     for (const auto &path : paths) {
-        FieldChange change{path, valueOf(old, path), valueOf(fresh, path)};
+        FieldChange change{path, valueOf(oldFields, path), valueOf(newFields, path)};
         if (change.before != change.after) {
             changes.push_back(std::move(change));
         }
@@ -90,16 +90,16 @@
 
 bool boundChanges(std::vector<FieldChange> &changes, std::size_t maxChanges, std::size_t maxValueBytes)
 {
-    bool cut = changes.size() > maxChanges;
-    if (cut) {
+    bool truncated = changes.size() > maxChanges;
+    if (truncated) {
         changes.resize(maxChanges);
     }
     for (auto &change : changes) {
-        const bool cutBefore = cutValue(change.before, maxValueBytes);
-        const bool cutAfter = cutValue(change.after, maxValueBytes);
-        cut = cut || cutBefore || cutAfter;
+        const bool truncatedBefore = truncateValue(change.before, maxValueBytes);
+        const bool truncatedAfter = truncateValue(change.after, maxValueBytes);
+        truncated = truncated || truncatedBefore || truncatedAfter;
     }
-    return cut;
+    return truncated;
 }
 
 } // namespace cardamomstep
--- a/src/records/forms.cpp
+++ b/src/records/forms.cpp
@@ -1,4 +1,4 @@
-// Compares a form with what the live proxies read.
+// Checks a form against the forms that the live proxies can read.
 #include "records/forms.h"
 
 #include <algorithm>
@@ -18,38 +18,38 @@
 
 namespace {
 
-/// Time in which a proxy that has just started makes itself known.
-constexpr Milliseconds comeBackSoon{500};
+/// Time in which a proxy that has just started reports its forms.
+constexpr Milliseconds defaultRetryAfter{500};
 
 } // namespace
 
 std::optional<Error> checkReadable(const RecordForm &form, const std::vector<ReadableForms> &live)
 {
-    constexpr std::size_t mostNamed = 10;
+    constexpr std::size_t maxNamed = 10;
     std::string names;
     std::size_t count = 0;
-    std::optional<InstanceName> unheard;
+    std::optional<InstanceName> unreported;
     for (const auto &proxy : live) {
         if (proxy.forms.empty()) {
-            unheard = proxy.instance;
+            unreported = proxy.instance;
             continue;
         }
         if (std::find(proxy.forms.begin(), proxy.forms.end(), form) != proxy.forms.end()) {
             continue;
         }
-        if (++count <= mostNamed) {
+        if (++count <= maxNamed) {
             names += (names.empty() ? "" : ", ") + proxy.instance.text();
         }
     }
-    if (count == 0 && unheard) {
-        const auto text = "it is not known yet which forms " + unheard->text() + " reads";
-        return Error{ErrorKind::NotReady, text}.withRetryAfter(comeBackSoon);
+    if (count == 0 && unreported) {
+        const auto text = "it is not known yet which forms " + unreported->text() + " reads";
+        return Error{ErrorKind::NotReady, text}.withRetryAfter(defaultRetryAfter);
     }
     if (count == 0) {
         return std::nullopt;
     }
-    if (count > mostNamed) {
-        names += " and " + std::to_string(count - mostNamed) + " more";
+    if (count > maxNamed) {
+        names += " and " + std::to_string(count - maxNamed) + " more";
     }
     return Error{ErrorKind::UnreadableForm, toText(form) + " cannot be read by " + names};
 }
--- a/src/records/forms.h
+++ b/src/records/forms.h
@@ -1,4 +1,4 @@
-// Which forms of records the live proxies can read, and the refusal of a form that one of them cannot.
+// Checks that all live proxies can read a form of record.
 #pragma once
 
 #include "base/error.h"
@@ -10,17 +10,19 @@
 
 namespace cardamomstep {
 
-/// The forms that one live proxy reads.
+/// The forms that one live proxy can read.
 struct ReadableForms {
     InstanceName instance;
+    /// Empty while they are not known yet.
     std::vector<RecordForm> forms;
 };
 
-/// The forms that this release reads and writes.
+/// Returns the forms that this release reads and writes.
 [[nodiscard]] std::vector<RecordForm> ownForms();
 
-/// The refusal of \a form by the \a live proxies: ErrorKind::UnreadableForm naming those that cannot read it,
-/// ErrorKind::NotReady while the forms of one are not known yet (its list is empty); none when all can.
+/// Returns no error when all \a live proxies can read \a form.
+///
+/// ErrorKind::UnreadableForm names the proxies that cannot read it; ErrorKind::NotReady means that a proxy's forms are not known yet.
 [[nodiscard]] std::optional<Error> checkReadable(const RecordForm &form, const std::vector<ReadableForms> &live);
 
 } // namespace cardamomstep
--- a/src/records/fwd.h
+++ b/src/records/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the records slice.
+// Forward declarations of the records module.
 #pragma once
 
 #include "base/ids.h"
@@ -24,7 +24,7 @@
 struct FieldChange;
 class Catalog;
 
-/// Name of a record within its kind: letters, digits, '-', '.', '_', at most 63.
+/// Name of a record within its kind; see isValidName().
 using RecordName = StrongId<struct RecordNameTag>;
 
 } // namespace cardamomstep
--- a/src/records/impl/describe.h
+++ b/src/records/impl/describe.h
@@ -1,4 +1,6 @@
-// Describes the fields of each kind in each schema version, once for reading and writing.
+// Describes the fields of each kind of record in each schema version, once for both reading and writing.
+//
+// A Form is a FieldReader or a FieldWriter.
 #pragma once
 
 #include "records/impl/fieldreader.h"
@@ -15,7 +17,7 @@
 inline constexpr std::uint32_t maxConnections = 100'000;
 inline constexpr std::int64_t maxServiceTimeMs = 60'000;
 inline constexpr std::int64_t maxAcceptedAgeMs = 86'400'000;
-inline constexpr std::uint32_t wholePercent = 100;
+inline constexpr std::uint32_t maxPercent = 100;
 inline constexpr json::Length memberCount{1, 9};
 inline constexpr json::Length groupCount{1, 4096};
 inline constexpr json::Length prefixCount{0, 4096};
@@ -34,7 +36,7 @@
                                                                                           {"draining", PlanProgress::Draining},
                                                                                           {"done", PlanProgress::Done},
                                                                                           {"refused", PlanProgress::Refused}}};
-inline constexpr std::array<std::pair<std::string_view, RecordKind>, allRecordKinds.size()> kindWords{
+inline constexpr std::array<std::pair<std::string_view, RecordKind>, allRecordKinds.size()> kindNames{
     {{"DatabaseGroup", RecordKind::DatabaseGroup},
      {"RoutingIntent", RecordKind::RoutingIntent},
      {"StopPlan", RecordKind::StopPlan},
@@ -43,7 +45,7 @@
      {"PlanStatus", RecordKind::PlanStatus},
      {"AuditEntry", RecordKind::AuditEntry}}};
 
-/// \a name in v2, where the fields of one matter stand in an object of their own; empty in v1, which is flat.
+/// Returns \a name in v2, which groups related fields in nested objects; empty in v1, which is flat.
 inline std::string sectionInV2(SchemaVersion schema, const char *name)
 {
     return schema == SchemaVersion::V2 ? name : std::string();
@@ -88,7 +90,7 @@
         fields.optionalMilliseconds("acceptedAgeMs", intent.acceptedAge, {0, maxAcceptedAgeMs});
     });
     form.section(sectionInV2(schema, "share"), [&intent](auto &fields) {
-        fields.optionalNumber("guaranteedPercent", intent.guaranteedPercent, {0, wholePercent});
+        fields.optionalNumber("guaranteedPercent", intent.guaranteedPercent, {0, maxPercent});
     });
 }
 
@@ -119,7 +121,7 @@
 void describe(Form &form, SchemaVersion schema, StopPlan &plan)
 {
     form.section(sectionInV2(schema, "target"), [&plan](auto &fields) { describeTarget(fields, plan); });
-    form.optionalWord("state", plan.state, planStates);
+    form.optionalEnumValue("state", plan.state, planStates);
     form.section(sectionInV2(schema, "schedule"), [&plan](auto &fields) { fields.optionalWallTime("notBeforeMs", plan.notBefore); });
 }
 
@@ -138,7 +140,7 @@
 void describeForms(Form &form, std::vector<RecordForm> &forms)
 {
     if constexpr (Form::reads) {
-        // Forms that this release does not know are left out: a newer proxy may read more.
+        // Forms that this release does not know are skipped: a newer proxy may list them.
         for (const auto &text : form.texts("forms", formCount)) {
             if (const auto known = recordFormFromText(text)) {
                 forms.push_back(*known);
@@ -159,7 +161,7 @@
 {
     form.name("failureDomain", status.failureDomain);
     form.address("address", status.address);
-    form.word("state", status.state, instanceStates);
+    form.enumValue("state", status.state, instanceStates);
     form.section(sectionInV2(schema, "configuration"), [&status](auto &fields) {
         fields.number("revision", status.revision, {});
         describeForms(fields, status.forms);
@@ -170,7 +172,7 @@
 template<typename Form>
 void describe(Form &form, SchemaVersion schema, PlanStatus &status)
 {
-    form.word("progress", status.progress, planProgresses);
+    form.enumValue("progress", status.progress, planProgresses);
     form.optionalText("detail", status.detail, detailLength);
     form.section(sectionInV2(schema, "report"), [&status](auto &fields) {
         fields.optionalName("reportedBy", status.reportedBy);
@@ -184,7 +186,7 @@
     form.optionalText("who", entry.who, whoLength);
     form.wallTime("atMs", entry.at);
     form.section(sectionInV2(schema, "record"), [&entry](auto &fields) {
-        fields.word("kind", entry.key.kind, kindWords);
+        fields.enumValue("kind", entry.key.kind, kindNames);
         fields.name("name", entry.key.name);
         fields.number("fromVersion", entry.fromVersion, {});
         fields.number("toVersion", entry.toVersion, {});
--- a/src/records/impl/envelope.h
+++ b/src/records/impl/envelope.h
@@ -1,4 +1,4 @@
-// A record as a JSON value, for the parts of this slice that work on whole values.
+// A record as a JSON value, for the code of this module that works on whole values.
 #pragma once
 
 #include "records/record.h"
@@ -9,10 +9,10 @@
 
 namespace cardamomstep::impl {
 
-/// The whole envelope of \a record in the form \a schema.
+/// Returns the complete envelope of \a record in the schema version \a schema.
 [[nodiscard]] nlohmann::json toJson(const Record &record, SchemaVersion schema);
 
-/// The key whose distinct texts tell the elements of \a array apart; empty when there is none or it is no array.
+/// Returns the key whose texts identify the elements of \a array; empty when there is none or the value is not an array.
 [[nodiscard]] std::string identityOf(const nlohmann::json &array);
 
 } // namespace cardamomstep::impl
--- a/src/records/impl/fieldreader.h
+++ b/src/records/impl/fieldreader.h
@@ -1,4 +1,4 @@
-// Reads the described fields of a record from JSON and keeps the fields that no description asked for.
+// Reads the described fields of a record from JSON and keeps the unknown fields.
 #pragma once
 
 #include "http/address.h"
@@ -18,19 +18,19 @@
 
 namespace cardamomstep::impl {
 
-/// Latest time that a record can hold: 9999-12-31.
+/// The latest time that a record can hold, the end of 9999-12-31 UTC, in milliseconds since 1970.
 inline constexpr std::int64_t maxWallTimeMs = 253'402'300'799'999;
 
-/// One object of a record while it is read; FieldWriter has the same functions.
+/// Reads one JSON object of a record; FieldWriter has the same functions.
 ///
-/// Each function reads one field into its last-but-bounds argument and reports a faulty field.
+/// Each function reads the field \a key into \a value and reports a fault when the field is invalid.
 class FieldReader
 {
 public:
-    /// True for the form that checks its input.
+    /// True: this form reads, and checks its input.
     static constexpr bool reads = true;
 
-    /// Reads \a value; unknown fields go to \a unknown, which is an object.
+    /// Reads \a value at \a path; adds unknown fields to \a unknown, which must be an object.
     FieldReader(const nlohmann::json &value, std::string path, std::vector<json::Fault> &faults, nlohmann::json &unknown)
         : reader_(value, std::move(path), faults)
         , value_(&value)
@@ -44,7 +44,7 @@
         value = reader_.text(key, length);
     }
 
-    /// A text that is not written when it is empty.
+    /// A text that is omitted when it is empty.
     void optionalText(const std::string &key, std::string &value, json::Length length)
     {
         value = reader_.optionalText(key, length).value_or(std::string());
@@ -115,16 +115,16 @@
     }
 
     template<typename Value, std::size_t Count>
-    void word(const std::string &key, Value &value, const std::array<std::pair<std::string_view, Value>, Count> &words)
+    void enumValue(const std::string &key, Value &value, const std::array<std::pair<std::string_view, Value>, Count> &enumNames)
     {
-        value = reader_.oneOf<Value>(key, words, std::nullopt);
+        value = reader_.oneOf<Value>(key, enumNames, std::nullopt);
     }
 
-    /// A word that keeps its value when it is missing.
+    /// An enumeration value that keeps its value when it is missing.
     template<typename Value, std::size_t Count>
-    void optionalWord(const std::string &key, Value &value, const std::array<std::pair<std::string_view, Value>, Count> &words)
+    void optionalEnumValue(const std::string &key, Value &value, const std::array<std::pair<std::string_view, Value>, Count> &enumNames)
     {
-        value = reader_.oneOf<Value>(key, words, value);
+        value = reader_.oneOf<Value>(key, enumNames, value);
     }
 
     void term(const std::string &key, Term &value)
@@ -137,14 +137,14 @@
         }
     }
 
-    /// An optional JSON value as its text.
+    /// An optional JSON value, as JSON text.
     void optionalJson(const std::string &key, std::optional<std::string> &value)
     {
         const auto *found = reader_.find(key);
         value = found == nullptr ? std::nullopt : std::optional<std::string>(found->dump());
     }
 
-    /// Fields in the nested object \a key; at this level when \a key is empty.
+    /// Fields of the nested object \a key, or of this object when \a key is empty.
     template<typename Describe>
     void section(const std::string &key, Describe describe)
     {
@@ -163,19 +163,19 @@
         }
     }
 
-    /// True when the nested object or field \a key is present.
+    /// True when \a key is present.
     bool has(const std::string &key, bool /*whenWritten*/)
     {
         return reader_.has(key);
     }
 
-    /// Leaves \a key out of the unknown fields.
+    /// Excludes \a key from the unknown fields.
     void ignore(const std::string &key)
     {
         static_cast<void>(reader_.has(key));
     }
 
-    /// Elements that are objects, told apart by their distinct texts \a identity.
+    /// Elements that are objects, each identified by its distinct text \a identity.
     template<typename T, typename Describe>
     void list(const std::string &key, std::vector<T> &values, json::Length length, const std::string &identity, Describe describe)
     {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Distinct names.
+    /// An array of distinct names.
     template<typename Id>
     void names(const std::string &key, std::vector<Id> &values, json::Length length)
     {
@@ -218,7 +218,7 @@
         }
     }
 
-    /// The texts of a required array.
+    /// Returns the texts of a required array.
     std::vector<std::string> texts(const std::string &key, json::Length length)
     {
         std::vector<std::string> read;
@@ -232,13 +232,13 @@
         return read;
     }
 
-    /// Reports a fault of \a key.
+    /// Reports a fault at \a key.
     void fault(const std::string &key, std::string expected)
     {
         reader_.fault(key, std::move(expected));
     }
 
-    /// Keeps the fields that were never asked for.
+    /// Adds the fields that were not read to the unknown fields.
     void finish()
     {
         for (const auto &key : reader_.unknownKeys()) {
--- a/src/records/impl/fieldwriter.h
+++ b/src/records/impl/fieldwriter.h
@@ -1,4 +1,4 @@
-// Writes the described fields of a record over the unknown fields that were kept from reading it.
+// Writes the described fields of a record to JSON, over the unknown fields that were kept when it was read.
 #pragma once
 
 #include "records/configuration.h"
@@ -16,14 +16,14 @@
 
 namespace cardamomstep::impl {
 
-/// One object of a record while it is written; has the same functions as FieldReader.
+/// Writes one JSON object of a record; has the same functions as FieldReader.
 class FieldWriter
 {
 public:
-    /// False: what is written was checked before.
+    /// False: this form writes, and its input was checked before.
     static constexpr bool reads = false;
 
-    /// Writes into \a target, which holds the unknown fields; anything but an object is replaced by one.
+    /// Writes into \a target, which holds the unknown fields; a value that is not an object is replaced by an empty one.
     explicit FieldWriter(nlohmann::json &target)
         : target_(&target)
     {
@@ -105,19 +105,19 @@
     }
 
     template<typename Value, std::size_t Count>
-    void word(const std::string &key, Value value, const std::array<std::pair<std::string_view, Value>, Count> &words)
+    void enumValue(const std::string &key, Value value, const std::array<std::pair<std::string_view, Value>, Count> &enumNames)
     {
-        for (const auto &[word, meaning] : words) {
-            if (meaning == value) {
-                (*target_)[key] = word;
+        for (const auto &[enumName, enumerator] : enumNames) {
+            if (enumerator == value) {
+                (*target_)[key] = enumName;
             }
         }
     }
 
     template<typename Value, std::size_t Count>
-    void optionalWord(const std::string &key, Value value, const std::array<std::pair<std::string_view, Value>, Count> &words)
+    void optionalEnumValue(const std::string &key, Value value, const std::array<std::pair<std::string_view, Value>, Count> &enumNames)
     {
-        word(key, value, words);
+        enumValue(key, value, enumNames);
     }
 
     void term(const std::string &key, const Term &value)
@@ -185,7 +185,7 @@
     }
 
 private:
-    /// Adds to \a element the unknown fields of the element with the same identity.
+    /// Adds to \a element the unknown fields of the element with the same \a identity.
     static void merge(nlohmann::json &element, const nlohmann::json &unknowns, const std::string &identity)
     {
         if (!unknowns.is_array()) {
--- a/src/records/kind.cpp
+++ b/src/records/kind.cpp
@@ -1,4 +1,4 @@
-// Names of kinds and schema versions.
+// Converts kinds and schema versions to and from their names.
 #include "records/kind.h"
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 constexpr std::array<std::string_view, allRecordKinds.size()> kindNames{
     "DatabaseGroup", "RoutingIntent", "StopPlan", "GroupStatus", "InstanceStatus", "PlanStatus", "AuditEntry"};
 
-bool isLetterOrDigit(char letter) noexcept
+bool isLetterOrDigit(char character) noexcept
 {
-    return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') || (letter >= '0' && letter <= '9');
+    return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') || (character >= '0' && character <= '9');
 }
 
-bool isNameLetter(char letter) noexcept
+bool isNameCharacter(char character) noexcept
 {
-    return isLetterOrDigit(letter) || letter == '-' || letter == '.' || letter == '_';
+    return isLetterOrDigit(character) || character == '-' || character == '.' || character == '_';
 }
 
 } // namespace
@@ -86,7 +86,7 @@
     if (name.empty() || name.size() > maxNameLength || !isLetterOrDigit(name.front())) {
         return false;
     }
-    return std::all_of(name.begin(), name.end(), isNameLetter);
+    return std::all_of(name.begin(), name.end(), isNameCharacter);
 }
 
 std::ostream &operator<<(std::ostream &out, RecordKind kind)
--- a/src/records/kind.h
+++ b/src/records/kind.h
@@ -1,4 +1,4 @@
-// The kinds of records, their schema versions and the key that names a record.
+// The kinds of records, their schema versions and the keys of records.
 #pragma once
 
 #include "records/fwd.h"
@@ -14,18 +14,18 @@
 
 namespace cardamomstep {
 
-/// Every kind of record in the platform's store.
+/// The kinds of records in the platform's store.
 enum class RecordKind : std::uint8_t {
     DatabaseGroup, ///< Members and limits of a database group; written by operators.
     RoutingIntent, ///< Which groups hold a service's keys; written by operators.
-    StopPlan, ///< What shall stop; written by operators.
+    StopPlan, ///< A member or proxy to be stopped; written by operators.
     GroupStatus, ///< Term and primary of a group; written by the system.
     InstanceStatus, ///< State of a proxy; written by the system.
     PlanStatus, ///< Progress of a stop plan; written by the system.
-    AuditEntry, ///< One accepted change; written by the system.
+    AuditEntry, ///< An accepted change; written by the system.
 };
 
-/// All kinds, in the order in which `apply` writes them.
+/// All kinds, in the order in which the command `apply` writes them.
 inline constexpr std::array<RecordKind, 7> allRecordKinds{RecordKind::DatabaseGroup,
                                                           RecordKind::RoutingIntent,
                                                           RecordKind::StopPlan,
@@ -34,16 +34,16 @@
                                                           RecordKind::PlanStatus,
                                                           RecordKind::AuditEntry};
 
-/// Forms in which a record can be written; both are read and written side by side.
+/// The schema versions of records; this release reads and writes both.
 enum class SchemaVersion : std::uint8_t {
     V1,
     V2,
 };
 
-/// Longest name of a record, group, member, service or instance.
+/// The longest name of a record, group, member, service or instance.
 inline constexpr std::size_t maxNameLength = 63;
 
-/// What names a record in the store.
+/// Identifies a record in the store.
 struct RecordKey {
     RecordKind kind = RecordKind::DatabaseGroup;
     RecordName name;
@@ -59,23 +59,23 @@
     [[nodiscard]] auto operator<=>(const RecordForm &) const = default;
 };
 
-/// The stable name of \a kind, for example "DatabaseGroup"; it is also the object kind in the store.
+/// Returns the stable name of \a kind, for example "DatabaseGroup"; it is also the object kind in the store.
 [[nodiscard]] std::string_view toText(RecordKind kind) noexcept;
-/// "v1" or "v2".
+/// Returns "v1" or "v2".
 [[nodiscard]] std::string_view toText(SchemaVersion schema) noexcept;
-/// "KIND/NAME".
+/// Returns "KIND/NAME".
 [[nodiscard]] std::string toText(const RecordKey &key);
-/// "KIND/vN".
+/// Returns "KIND/vN".
 [[nodiscard]] std::string toText(const RecordForm &form);
 
-/// The kind with the stable \a name; none when there is no such kind.
+/// Returns the kind with the stable \a name; none when there is no such kind.
 [[nodiscard]] std::optional<RecordKind> recordKindFromText(std::string_view name) noexcept;
-/// The schema version with the given \a name; none when this release cannot read it.
+/// Returns the schema version with the given \a name; none when this release cannot read it.
 [[nodiscard]] std::optional<SchemaVersion> schemaVersionFromText(std::string_view name) noexcept;
-/// The form that toText() wrote; none when this release does not know it.
+/// Parses a form that toText() wrote; none when this release does not know it.
 [[nodiscard]] std::optional<RecordForm> recordFormFromText(std::string_view text) noexcept;
 
-/// True for the kinds that operators write; the others are written by the system only.
+/// True for the kinds that operators write; only the system writes the others.
 [[nodiscard]] bool isWrittenByOperators(RecordKind kind) noexcept;
 
 /// True when \a name is 1 to maxNameLength letters, digits, '-', '.' and '_', and begins with a letter or digit.
--- a/src/records/record.cpp
+++ b/src/records/record.cpp
@@ -1,4 +1,4 @@
-// Reads and writes the envelope of records and, through the descriptions, their content.
+// Reads and writes the envelope of records and, with the descriptions in describe.h, their content.
 #include "records/record.h"
 
 #include "records/impl/describe.h"
@@ -16,11 +16,11 @@
 
 constexpr json::TextLimits oneRecordLimits{std::size_t{1} << 20U, 32};
 constexpr json::TextLimits manyRecordsLimits{std::size_t{16} << 20U, 33};
-/// Field of the envelope that belongs to the store client, which writes it anew each time.
+/// The envelope's field for the writer stamp; the store client adds it at each write.
 constexpr const char *writerField = "writer";
 constexpr int indentation = 2;
 
-/// Faults, with those apart that are due to an unknown schema version.
+/// Faults of records; those of an unknown schema version are kept apart, since they have another error kind.
 struct RecordFaults {
     std::vector<json::Fault> invalid;
     std::vector<json::Fault> unsupported;
@@ -51,7 +51,7 @@
         record.spec);
 }
 
-/// The schema version of the record; none when it is missing or not known.
+/// Reads the schema version of the record; none when it is missing or unknown.
 std::optional<SchemaVersion> readSchema(impl::FieldReader &form, const std::string &path, RecordFaults &faults)
 {
     std::string text;
@@ -70,7 +70,7 @@
     impl::FieldReader form(value, path, faults.invalid, unknown);
     auto kind = RecordKind::DatabaseGroup;
     const auto faultsBefore = faults.invalid.size();
-    form.word("kind", kind, impl::kindWords);
+    form.enumValue("kind", kind, impl::kindNames);
     const bool kindKnown = faults.invalid.size() == faultsBefore;
     form.name("name", record.name);
     const auto schema = readSchema(form, path, faults);
--- a/src/records/record.h
+++ b/src/records/record.h
@@ -1,4 +1,4 @@
-// A record: its envelope and its typed content, read from and written to JSON in every schema version.
+// Records: envelope and typed content, read from and written to JSON in every schema version.
 #pragma once
 
 #include "records/configuration.h"
@@ -14,10 +14,10 @@
 
 namespace cardamomstep {
 
-/// Typed content of a record; the alternatives stand in the order of RecordKind.
+/// Typed content of a record; the alternatives are in the order of RecordKind.
 using RecordSpec = std::variant<DatabaseGroup, RoutingIntent, StopPlan, GroupStatus, InstanceStatus, PlanStatus, AuditEntry>;
 
-/// Who wrote a version of a record; stored in the same object as the content, so that neither is there without the other.
+/// Who wrote a version of a record, and when; stored in the same object as the content, so that both are written atomically.
 struct ChangeStamp {
     /// Name that the operator gave; empty when the system wrote it.
     std::string who;
@@ -29,10 +29,10 @@
 /// One record.
 struct Record {
     RecordName name;
-    /// Form in which it was read and is written again.
+    /// The schema version in which the record was read and is written.
     SchemaVersion schema = SchemaVersion::V1;
     RecordSpec spec;
-    /// Fields that this release does not know, as the text of a JSON object; they are kept when the record is written again.
+    /// Fields that this release does not know, as the text of a JSON object; they are written with the record.
     std::string unknownFields = "{}";
     ChangeStamp change;
 
@@ -63,22 +63,22 @@
     [[nodiscard]] bool operator==(const StoredRecord &) const = default;
 };
 
-/// Reads one record; \a fileName is only used in positions.
+/// Reads one record; \a fileName is only used for the positions of faults.
 ///
 /// Faults have the kind ErrorKind::InvalidRecord, ErrorKind::UnsupportedVersion for an unknown schema version, or
-/// ErrorKind::TooLarge; each holds line and key path. Unknown fields are no fault; the store client's own field "writer" is left out.
+/// ErrorKind::TooLarge; each holds line and key path. Unknown fields are not faults; the store client's field "writer" is skipped.
 [[nodiscard]] Checked<Record> readRecord(const std::string &fileName, std::string_view text);
 
-/// Reads a text that holds one record or an array of records.
+/// Reads a text that holds one record or an array of records; faults as of readRecord().
 [[nodiscard]] Checked<std::vector<Record>> readRecords(const std::string &fileName, std::string_view text);
 
-/// \a record as a JSON text in its own schema version.
+/// Returns \a record as JSON text in its own schema version.
 [[nodiscard]] std::string writeRecord(const Record &record);
 
-/// \a record as indented JSON, for people.
+/// Returns \a record as indented JSON text in its own schema version.
 [[nodiscard]] std::string writeRecordIndented(const Record &record);
 
-/// The paths of the fields that this release does not know.
+/// Returns the paths of the fields that this release does not know.
 [[nodiscard]] std::vector<std::string> unknownFieldPaths(const Record &record);
 
 } // namespace cardamomstep
--- a/src/records/status.h
+++ b/src/records/status.h
@@ -14,22 +14,22 @@
 
 namespace cardamomstep {
 
-/// Term and primary of a database group, written after a promotion; never used as a lock.
+/// Term and primary of a database group, written after a promotion; informative only, never used as a lock.
 struct GroupStatus {
     Term term;
     MemberName primary;
-    /// Proxy that wrote this.
+    /// The proxy that wrote this record.
     InstanceName reportedBy;
     WallTime at{};
 
     [[nodiscard]] bool operator==(const GroupStatus &) const = default;
 };
 
-/// Whether a proxy takes new work.
+/// Whether a proxy accepts new callers.
 enum class InstanceState : std::uint8_t {
-    Starting, ///< Does not know the current configuration yet.
+    Starting, ///< Has not loaded the current configuration yet.
     Ready,
-    Draining, ///< Takes no new callers and finishes what it has.
+    Draining, ///< Accepts no new callers and finishes the work that it has.
 };
 
 /// State of one proxy; its record's name is the instance's name.
@@ -40,27 +40,27 @@
     InstanceState state = InstanceState::Starting;
     /// Store revision of the configuration in force.
     std::uint64_t revision = 0;
-    /// Forms that this proxy reads.
+    /// Forms that this proxy can read.
     std::vector<RecordForm> forms;
     WallTime at{};
 
     [[nodiscard]] bool operator==(const InstanceStatus &) const = default;
 };
 
-/// How far a stop plan has come.
+/// Progress of a stop plan.
 enum class PlanProgress : std::uint8_t {
-    Waiting, ///< Its time has not come, or other plans of the group go first.
-    Draining, ///< Gets no new work; exchanges in flight finish.
-    Done, ///< Nothing is in flight: it may be stopped.
-    Refused, ///< Cannot be carried out; the detail says why.
+    Waiting, ///< Its time is not reached, or other plans of the group take effect first.
+    Draining, ///< The target gets no new work; exchanges in flight finish.
+    Done, ///< Nothing is in flight: the target may be stopped.
+    Refused, ///< Cannot be executed; `detail` has the reason.
 };
 
-/// Progress of a stop plan; its record's name is the plan's name.
+/// Status of a stop plan; its record's name is the plan's name.
 struct PlanStatus {
     PlanProgress progress = PlanProgress::Waiting;
-    /// One sentence for people; may be empty.
+    /// One sentence for operators; may be empty.
     std::string detail;
-    /// Proxy that wrote this.
+    /// The proxy that wrote this record.
     InstanceName reportedBy;
     WallTime at{};
 
@@ -78,9 +78,9 @@
     /// Version after, or the revision of the deletion.
     std::uint64_t toVersion = 0;
     bool deleted = false;
-    /// What changed, field by field; bounded, see `truncated`.
+    /// The changed fields; limited in number and size, see `truncated`.
     std::vector<FieldChange> changes;
-    /// True when some changes were left out or cut.
+    /// True when some changes were omitted or shortened.
     bool truncated = false;
 
     [[nodiscard]] bool operator==(const AuditEntry &) const = default;
--- a/src/settings/fwd.h
+++ b/src/settings/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the settings slice.
+// Forward declarations of the settings module.
 #pragma once
 
 #include <cstdint>
--- a/src/settings/impl/document.h
+++ b/src/settings/impl/document.h
@@ -1,4 +1,4 @@
-// How every kind of settings is read from text and from a file.
+// Reads any kind of settings from a text or a file.
 #pragma once
 
 #include "base/error.h"
@@ -14,7 +14,7 @@
 
 namespace cardamomstep::settings::impl {
 
-/// Parses \a text and has \a readAll read its value; \a readAll notes faults in its second argument.
+/// Parses \a text and converts its value by \a readAll, which adds faults to its second argument.
 template<typename Settings, typename ReadAll>
 [[nodiscard]] Checked<Settings> readDocument(const std::string &fileName, std::string_view text, ReadAll readAll)
 {
@@ -31,7 +31,7 @@
     return settings;
 }
 
-/// Reads the file and gives its name and text to \a read.
+/// Reads the file and passes its name and text to \a read; a file that cannot be read is a fault.
 template<typename Settings, typename Read>
 [[nodiscard]] Checked<Settings> readFile(const std::string &fileName, Read read)
 {
--- a/src/settings/impl/fields.h
+++ b/src/settings/impl/fields.h
@@ -1,4 +1,4 @@
-// Readers of the fields that several kinds of settings have.
+// Reads fields that several kinds of settings have in common.
 #pragma once
 
 #include "base/ids.h"
@@ -24,8 +24,8 @@
 
 inline bool isName(const std::string &text)
 {
-    constexpr auto letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._";
-    return text.find_first_not_of(letters) == std::string::npos;
+    constexpr auto allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._";
+    return text.find_first_not_of(allowed) == std::string::npos;
 }
 
 template<typename Id>
--- a/src/settings/read.cpp
+++ b/src/settings/read.cpp
@@ -1,4 +1,4 @@
-// Reads each section of the settings and checks that the values agree with each other.
+// Reads the sections of the settings and checks them for consistency.
 #include "settings/read.h"
 
 #include "http/address.h"
@@ -33,7 +33,7 @@
 constexpr std::int64_t minSilenceMs = 20;
 constexpr std::int64_t maxSilenceMs = 60'000;
 constexpr std::int64_t maxDrainMs = 3'600'000;
-/// A silence must span this many heartbeats, so that one late heartbeat is no failure.
+/// The least ratio of silence to heartbeat interval, so that one overdue heartbeat does not count as a failure.
 constexpr int heartbeatsPerSilence = 2;
 
 constexpr std::array<std::pair<std::string_view, LogFormat>, 2> logFormats{{{"keyvalue", LogFormat::KeyValue}, {"json", LogFormat::Json}}};
@@ -48,7 +48,7 @@
     return Milliseconds{reader.number<std::int64_t>(key, range, fallback.count())};
 }
 
-/// Reports each of \a keys that is missing while another of them is set.
+/// Reports each of \a keys that is missing while another one is set.
 void requireTogether(ObjectReader &reader, const std::vector<std::pair<std::string, bool>> &keys)
 {
     bool any = false;
@@ -57,7 +57,7 @@
     }
     for (const auto &[key, isSet] : keys) {
         if (any && !isSet) {
-            reader.fault(key, "missing: the files for TLS are set together");
+            reader.fault(key, "missing: the TLS files must be set together");
         }
     }
 }
@@ -171,7 +171,7 @@
     return trace;
 }
 
-/// Reports addresses that two parts would listen on.
+/// Reports addresses that are configured for two listeners.
 void checkListeners(const Settings &settings, std::vector<json::Fault> &faults)
 {
     std::map<Address, std::string> users;
@@ -179,9 +179,9 @@
                                                                   {"operators.listen", settings.operators.listen},
                                                                   {"peers.listen", settings.peers.listen}};
     for (const auto &[path, address] : listeners) {
-        const auto [user, isNew] = users.emplace(address, path);
+        const auto [firstUser, isNew] = users.emplace(address, path);
         if (!isNew && !address.empty()) {
-            faults.push_back({path, "expected another address than " + user->second + ", got \"" + address.text() + "\""});
+            faults.push_back({path, "expected another address than " + firstUser->second + ", got \"" + address.text() + "\""});
         }
     }
 }
--- a/src/settings/read.h
+++ b/src/settings/read.h
@@ -1,4 +1,4 @@
-// Reads settings from JSON and reports every fault at once.
+// Reads a proxy's settings from JSON and reports all faults at once.
 #pragma once
 
 #include "settings/settings.h"
@@ -9,10 +9,10 @@
 
 namespace cardamomstep {
 
-/// Reads the settings in \a text, which came from \a fileName.
+/// Reads the settings in \a text; \a fileName is only used for the positions of faults.
 ///
 /// Faults have the kind ErrorKind::InvalidSettings (ErrorKind::TooLarge for an oversize text) and hold file, line and key path:
-/// unknown and duplicate keys, wrong types, values out of range, missing keys and values that contradict each other.
+/// unknown and duplicate keys, wrong types, values out of range, missing keys and inconsistent values.
 [[nodiscard]] Checked<Settings> readSettings(const std::string &fileName, std::string_view text);
 
 /// Reads the settings file \a fileName; a file that cannot be read is a fault too.
--- a/src/settings/sessionsettings.h
+++ b/src/settings/sessionsettings.h
@@ -1,4 +1,4 @@
-// The settings of the session proxy, as plain values, and how they are read.
+// The settings of the session proxy, and functions that read them from JSON.
 #pragma once
 
 #include "base/ids.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep {
 
-/// Where the session proxy listens.
+/// The addresses on which the session proxy listens.
 struct SessionListeners {
     /// Callers' sessions.
     Address callers;
@@ -20,7 +20,7 @@
     Address readiness;
     /// Other proxies, over gRPC.
     Address peers;
-    /// Sessions that other proxies pass on; none are taken or passed on when empty.
+    /// Sessions that other proxies forward; when empty, none are accepted or forwarded.
     Address sessions;
     /// Metrics page; not served when empty.
     Address metrics;
@@ -35,11 +35,11 @@
     SessionListeners listen;
     /// The platform's store.
     Address store;
-    /// The service that makes a member the primary.
+    /// The service that promotes a member to primary.
     Address promotions;
-    /// Time from the request to stop until the process is killed.
+    /// Time from the request to stop until the platform kills the process.
     Milliseconds stopGrace{6000};
-    /// Time between two signs of life of a member in the store.
+    /// Time between two heartbeats of a member in the store.
     Milliseconds memberHeartbeat{1200};
     /// Time within which an accepted configuration is to be in force.
     Milliseconds configurationDeadline{3000};
@@ -48,7 +48,7 @@
     [[nodiscard]] bool operator==(const SessionSettings &) const = default;
 };
 
-/// Reads settings from JSON; keys that are not known are ignored, since newer platforms may bring some.
+/// Reads settings from JSON; unknown keys are ignored, since newer platforms may add some.
 [[nodiscard]] Checked<SessionSettings> readSessionSettings(const std::string &fileName, std::string_view text);
 
 /// Reads the settings file \a fileName.
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,4 @@
-// The settings of one proxy process, as plain values.
+// The settings of one proxy process.
 #pragma once
 
 #include "base/ids.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep {
 
-/// Lowest severity that is logged.
+/// The lowest severity that is logged.
 enum class LogLevel : std::uint8_t {
     Debug,
     Info,
@@ -20,44 +20,44 @@
     Error,
 };
 
-/// Form of a log line.
+/// The format of log lines.
 enum class LogFormat : std::uint8_t {
     KeyValue,
     Json,
 };
 
-/// Where callers connect; TLS when both files are set.
+/// The interface for callers; uses TLS when both files are set.
 struct CallerSettings {
     Address listen;
     std::string certificateFile;
     std::string keyFile;
 };
 
-/// Where operators connect.
+/// The interface for operators.
 struct OperatorSettings {
     Address listen;
-    /// Bearer token that operators present; never logged.
+    /// Bearer token of operators' requests; never logged.
     std::string token;
 };
 
-/// How proxies reach each other; mutual TLS when all three files are set.
+/// The interface between proxies; uses mutual TLS when all three files are set.
 struct PeerSettings {
     Address listen;
-    /// Address that other proxies connect to.
+    /// The address to which other proxies connect.
     Address advertise;
     std::string certificateFile;
     std::string keyFile;
     std::string caFile;
 };
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 struct PlatformSettings {
     Address store;
-    /// The same as `store` unless set.
+    /// Equal to `store` unless set.
     Address instanceList;
 };
 
-/// A proxy that is known at start, before any list arrived.
+/// A proxy that is known at start, before the first list of instances arrives.
 struct Seed {
     InstanceName name;
     FailureDomain failureDomain;
@@ -65,39 +65,39 @@
     Address address;
 };
 
-/// Bounds on what callers may use.
+/// Limits on callers' requests and connections.
 struct LimitSettings {
     std::uint32_t callerConnections = 4096;
-    /// Largest request body.
+    /// The largest request body.
     std::size_t bodyBytes = std::size_t{1} << 20U;
-    /// Longest session token.
+    /// The longest session token.
     std::size_t tokenBytes = 4096;
     unsigned threads = 200;
-    /// Longest window that a request may ask for.
+    /// The longest window that a request may specify.
     Milliseconds maxWindow{60'000};
-    /// Most caller requests in flight at once.
+    /// The most caller requests in flight at once.
     std::uint32_t inFlight = 2048;
 };
 
-/// When a primary counts as failed.
+/// The conditions under which a primary counts as failed.
 struct FailoverSettings {
-    /// Silence after which a primary is replaced; a shorter pause never promotes.
+    /// Time without contact after which a primary is replaced; a shorter pause never causes a promotion.
     Milliseconds silence{200};
     /// Time between two heartbeats.
     Milliseconds heartbeat{50};
 };
 
-/// What is logged, and where to.
+/// The level, format and destination of the log.
 struct LogSettings {
     LogLevel level = LogLevel::Info;
     LogFormat format = LogFormat::KeyValue;
-    /// Standard error when empty.
+    /// Path of the log file; standard error when empty.
     std::string file;
 };
 
 /// Recording of decision inputs.
 struct TraceSettings {
-    /// Nothing is recorded when empty.
+    /// Path of the trace file; nothing is recorded when empty.
     std::string file;
 };
 
@@ -105,7 +105,7 @@
 struct Settings {
     InstanceName instance;
     FailureDomain failureDomain;
-    /// Region of the failure domain; empty when there is only one.
+    /// Region of the failure domain; empty when there is only one region.
     std::string region;
     CallerSettings callers;
     OperatorSettings operators;
@@ -116,7 +116,7 @@
     FailoverSettings failover;
     LogSettings log;
     TraceSettings trace;
-    /// Longest time that a stop waits for requests in flight.
+    /// The longest time for which a stopping proxy waits for requests in flight.
     Milliseconds drain{30'000};
 };
 
--- a/tests/operators/fakes.h
+++ b/tests/operators/fakes.h
@@ -1,4 +1,4 @@
-// A record store in memory and a proxy whose catalog follows it, shared by the tests of the interface and of the commands.
+// An in-memory record store and a proxy whose catalog mirrors it, for the tests of the operators' interface and of the commands.
 #pragma once
 
 #include "operators/api.h"
@@ -16,15 +16,15 @@
 
 namespace cardamomstep::test {
 
-/// A RecordStore in memory; safe for use by many threads.
+/// An in-memory RecordStore; thread-safe.
 class MemoryStore
 {
 public:
-    /// Called before each put, without the lock; for changes that race past each other.
+    /// Called before each put, without the lock, so that tests can provoke races between changes.
     std::function<void()> beforePut;
-    /// When set, every call fails so.
+    /// When set, every call fails with this error.
     std::optional<Error> outage;
-    /// When set, audit entries fail so.
+    /// When set, writing audit entries fails with this error.
     std::optional<Error> auditOutage;
 
     Result<operators::StoredText> get(const RecordKey &key)
@@ -66,7 +66,7 @@
             return conflictAt(current);
         }
         records_[key] = {key, ++revision_, text};
-        changed();
+        publishChange();
         return revision_;
     }
 
@@ -81,11 +81,11 @@
         }
         records_.erase(key);
         deletions_[key] = ++revision_;
-        changed();
+        publishChange();
         return revision_;
     }
 
-    /// The catalog of a proxy that knows everything.
+    /// Returns a catalog that contains every change.
     std::shared_ptr<const Catalog> catalog()
     {
         const std::lock_guard lock(mutex_);
@@ -112,7 +112,7 @@
         return error;
     }
 
-    void changed()
+    void publishChange()
     {
         std::vector<RecordChange> changes;
         for (const auto &[key, stored] : records_) {
@@ -140,7 +140,7 @@
 /// A proxy in front of a MemoryStore.
 struct FakeProxy {
     MemoryStore &store;
-    /// Other proxies; what they have in force is set by the test.
+    /// Other proxies, set by the test.
     std::vector<operators::ProxyInfo> others;
     std::atomic<std::int64_t> clockMs{1000};
 
@@ -168,12 +168,12 @@
     }
 };
 
-/// Token of all tests.
+/// The operators' token in all tests.
 inline const std::string operatorToken = "0123456789abcdef";
 
 using FakeApi = operators::OperatorApi<MemoryStore, FakeProxy>;
 
-/// A group with three members whose limit of slots is \a slots.
+/// Returns a DatabaseGroup record with three members and \a slots slots.
 inline std::string groupText(const std::string &name, int slots, const std::string &schema = "v1")
 {
     const std::string limits = "\"connections\": 40, \"slots\": " + std::to_string(slots);
--- a/tests/operators/test_operators.cpp
+++ b/tests/operators/test_operators.cpp
@@ -1,4 +1,4 @@
-// Tests of the operators' interface: who may ask, what is accepted, races, the audit trail, status and watches.
+// Tests of the operators' interface: authorization, checks of changes, races, the audit trail, status and watches.
 #include "base/random.h"
 #include "operators/fakes.h"
 
@@ -21,11 +21,11 @@
     test::FakeProxy proxy{store, {}};
     test::FakeApi api{store, proxy, {test::operatorToken, Milliseconds{10}}};
 
-    http::Response ask(const char *method,
-                       const char *path,
-                       const std::string &body = {},
-                       const http::Headers &headers = {},
-                       const std::map<std::string, std::string> &query = {})
+    http::Response send(const char *method,
+                        const char *path,
+                        const std::string &body = {},
+                        const http::Headers &headers = {},
+                        const std::map<std::string, std::string> &query = {})
     {
         http::Request request{method, path, query, headers, body};
         request.headers["authorization"] = "Bearer " + test::operatorToken;
@@ -34,7 +34,7 @@
 
     Json json(const char *path, const std::map<std::string, std::string> &query = {})
     {
-        return Json::parse(ask("GET", path, {}, {}, query).body);
+        return Json::parse(send("GET", path, {}, {}, query).body);
     }
 };
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Test(operators, onlyTheRightTokenIsLetIn)
+Test(operators, onlyTheRightTokenIsAccepted)
 {
     Fixture fixture;
     for (const char *header : {"",
@@ -62,19 +62,19 @@
         cr_assert(body(response)["error"] == "unauthorized" && body(response)["ran"] == "no");
     }
     cr_assert(fixture.api.handle({"GET", "/v1/status", {}, {}, {}}).status == 401);
-    cr_assert(fixture.ask("GET", "/v1/status").status == 200);
+    cr_assert(fixture.send("GET", "/v1/status").status == 200);
 }
 
 Test(operators, acceptedRecordsCarryVersionAndChanges)
 {
     Fixture fixture;
-    const auto created = fixture.ask("PUT", groupPath, groupText("g", 3), {{"x-operator", "ana"}});
+    const auto created = fixture.send("PUT", groupPath, groupText("g", 3), {{"x-operator", "ana"}});
     cr_assert(created.status == 200);
     cr_assert(body(created)["version"] == 1 && body(created)["fromVersion"] == 0 && body(created)["ran"] == "yes");
-    const auto changed = body(fixture.ask("PUT", groupPath, groupText("g", 4)));
+    const auto changed = body(fixture.send("PUT", groupPath, groupText("g", 4)));
     cr_assert(changed["fromVersion"] == 1);
     cr_assert(changed["changes"] == Json::parse(R"([{"field":"spec.slots","before":3,"after":4}])"));
-    const auto same = body(fixture.ask("PUT", groupPath, groupText("g", 4)));
+    const auto same = body(fixture.send("PUT", groupPath, groupText("g", 4)));
     cr_assert(same["ran"] == "no" && same["version"] == changed["version"]);
     const auto read = fixture.json(groupPath);
     cr_assert(read["version"] == changed["version"] && read["source"] == "store");
@@ -111,7 +111,7 @@
                           {"PUT", groupPath, R"({"kind":"DatabaseGroup","name":"g","schema":"v9","spec":{}})", {}, "unsupported-version"},
                           {"PUT", groupPath, std::string(2000000, ' '), {}, "too-large"}};
     for (const auto &item : cases) {
-        const auto response = fixture.ask(item.method, item.path, item.body, item.headers);
+        const auto response = fixture.send(item.method, item.path, item.body, item.headers);
         cr_assert(body(response)["error"] == item.error, "%s %s: %s", item.method, item.path, response.body.c_str());
         cr_assert(body(response)["ran"] == "no");
         ErrorKind kind{};
@@ -120,31 +120,31 @@
     cr_assert(fixture.store.catalog()->entries().empty(), "nothing was written");
 }
 
-Test(operators, allFaultsOfARecordComeWithTheirLines)
+Test(operators, allFaultsOfARecordAreReportedWithTheirLines)
 {
     Fixture fixture;
-    const auto response = fixture.ask(
+    const auto response = fixture.send(
         "PUT", groupPath, "{\"kind\":\"DatabaseGroup\",\"name\":\"g\",\"schema\":\"v1\",\n\"spec\":{\"members\":[],\n\"slots\":0}}");
     const auto faults = body(response)["faults"];
     cr_assert(response.status == 422 && faults.size() == 3);
     cr_assert(faults[2]["key"] == "spec.slots" && faults[2]["line"] == 3);
 }
 
-Test(operators, twoChangesOfOneVersionHaveOneWinner)
+Test(operators, onlyOneOfTwoChangesOfTheSameVersionIsAccepted)
 {
     Fixture fixture;
-    cr_assert(fixture.ask("PUT", groupPath, groupText("g", 1)).status == 200);
+    cr_assert(fixture.send("PUT", groupPath, groupText("g", 1)).status == 200);
     std::atomic<int> waiting{0};
     fixture.store.beforePut = [&waiting] {
-        // Both have read version 1 before either writes.
+        // Waits until both requests have read version 1, before either writes.
         ++waiting;
         while (waiting < 2) {
             std::this_thread::yield();
         }
     };
     std::vector<http::Response> responses(2);
-    std::thread first([&] { responses[0] = fixture.ask("PUT", groupPath, groupText("g", 2), {{"if-match", "1"}}); });
-    std::thread second([&] { responses[1] = fixture.ask("PUT", groupPath, groupText("g", 3), {{"if-match", "1"}}); });
+    std::thread first([&] { responses[0] = fixture.send("PUT", groupPath, groupText("g", 2), {{"if-match", "1"}}); });
+    std::thread second([&] { responses[1] = fixture.send("PUT", groupPath, groupText("g", 3), {{"if-match", "1"}}); });
     first.join();
     second.join();
     const auto &winner = responses[0].status == 200 ? responses[0] : responses[1];
@@ -156,20 +156,20 @@
     cr_assert(entry->version == body(winner)["version"]);
 }
 
-Test(operators, changesWithoutAnExpectedVersionAreMadeOnTheNewestOne)
+Test(operators, changesWithoutAnExpectedVersionAreBasedOnTheNewestOne)
 {
     Fixture fixture;
-    cr_assert(fixture.ask("PUT", groupPath, groupText("g", 1)).status == 200);
+    cr_assert(fixture.send("PUT", groupPath, groupText("g", 1)).status == 200);
     std::vector<std::thread> threads;
     std::atomic<int> accepted{0};
     for (int index = 0; index < 4; ++index) {
-        threads.emplace_back([&, index] { accepted += fixture.ask("PUT", groupPath, groupText("g", 10 + index)).status == 200 ? 1 : 0; });
+        threads.emplace_back([&, index] { accepted += fixture.send("PUT", groupPath, groupText("g", 10 + index)).status == 200 ? 1 : 0; });
     }
     for (auto &thread : threads) {
         thread.join();
     }
     cr_assert(accepted >= 1);
-    // Whatever the order was, the audit trail is one chain of versions.
+    // In any order of the changes, the audit trail is one chain of versions.
     const auto entries = fixture.json("/v1/history")["entries"];
     cr_assert(entries.size() == static_cast<std::size_t>(accepted) + 1);
     for (std::size_t index = 0; index + 1 < entries.size(); ++index) {
@@ -180,10 +180,10 @@
 Test(operators, everyChangeLeavesAnAuditEntry)
 {
     Fixture fixture;
-    fixture.ask("PUT", groupPath, groupText("g", 1), {{"x-operator", "ana"}});
-    fixture.ask("PUT", groupPath, groupText("g", 2), {{"x-operator", "jon"}});
-    fixture.ask("PUT", "/v1/records/DatabaseGroup/h", groupText("h", 2), {{"x-operator", "ana"}});
-    cr_assert(fixture.ask("DELETE", groupPath, {}, {{"x-operator", "ana"}}).status == 200);
+    fixture.send("PUT", groupPath, groupText("g", 1), {{"x-operator", "ana"}});
+    fixture.send("PUT", groupPath, groupText("g", 2), {{"x-operator", "jon"}});
+    fixture.send("PUT", "/v1/records/DatabaseGroup/h", groupText("h", 2), {{"x-operator", "ana"}});
+    cr_assert(fixture.send("DELETE", groupPath, {}, {{"x-operator", "ana"}}).status == 200);
     const auto entries = fixture.json("/v1/history", {{"name", "g"}})["entries"];
     cr_assert(entries.size() == 3);
     cr_assert(entries[0]["deleted"] == true && entries[0]["who"] == "ana");
@@ -228,25 +228,25 @@
     cr_assert(names.size() == 5);
 }
 
-Test(operators, aLostAuditEntryIsSaid)
+Test(operators, aMissingAuditEntryIsReported)
 {
     Fixture fixture;
     fixture.store.auditOutage = Error{ErrorKind::StoreUnavailable, "down"};
-    const auto answer = body(fixture.ask("PUT", groupPath, groupText("g", 1)));
+    const auto answer = body(fixture.send("PUT", groupPath, groupText("g", 1)));
     cr_assert(answer["ran"] == "yes" && answer["audit"] == "missing");
 }
 
-Test(operators, storeOutagesAreToldTruthfully)
+Test(operators, storeOutagesAreReportedWithTheirOutcome)
 {
     Fixture fixture;
-    fixture.ask("PUT", groupPath, groupText("g", 1));
+    fixture.send("PUT", groupPath, groupText("g", 1));
     fixture.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.withRetryAfter(Milliseconds{1500});
-    const auto refused = fixture.ask("PUT", groupPath, groupText("g", 2));
+    const auto refused = fixture.send("PUT", groupPath, groupText("g", 2));
     cr_assert(refused.status == 503 && body(refused)["ran"] == "no" && refused.headers.at("retry-after") == "2");
     const auto cached = fixture.json(groupPath);
     cr_assert(cached["source"] == "cache" && cached["record"]["spec"]["slots"] == 1);
     fixture.store.outage = Error{ErrorKind::StoreOutcomeUnknown, "lost"};
-    const auto unknown = fixture.ask("PUT", groupPath, groupText("g", 2));
+    const auto unknown = fixture.send("PUT", groupPath, groupText("g", 2));
     cr_assert(unknown.status == 504 && body(unknown)["ran"] == "unknown");
 }
 
@@ -259,12 +259,12 @@
                                     0,
                                     {{RecordKind::DatabaseGroup, SchemaVersion::V1}},
                                     Milliseconds{0}});
-    cr_assert(fixture.ask("PUT", groupPath, groupText("g", 1)).status == 200);
-    const auto refused = fixture.ask("PUT", groupPath, groupText("g", 1, "v2"));
+    cr_assert(fixture.send("PUT", groupPath, groupText("g", 1)).status == 200);
+    const auto refused = fixture.send("PUT", groupPath, groupText("g", 1, "v2"));
     cr_assert(body(refused)["error"] == "unreadable-form");
     cr_assert(body(refused)["description"].get<std::string>().find("old") != std::string::npos);
     fixture.proxy.others.clear();
-    cr_assert(fixture.ask("PUT", groupPath, groupText("g", 1, "v2")).status == 200);
+    cr_assert(fixture.send("PUT", groupPath, groupText("g", 1, "v2")).status == 200);
 }
 
 Test(operators, recordsAreCheckedAgainstEachOther)
@@ -277,40 +277,40 @@
         text.replace(text.find("NAME"), 4, name);
         return text.replace(text.find("MEMBER"), 6, member);
     };
-    cr_assert(body(fixture.ask("PUT", "/v1/records/RoutingIntent/r", intent))["error"] == "invalid-record");
-    fixture.ask("PUT", groupPath, groupText("g", 1));
-    cr_assert(fixture.ask("PUT", "/v1/records/RoutingIntent/r", intent).status == 200);
-    cr_assert(body(fixture.ask("DELETE", groupPath))["error"] == "invalid-record");
-    cr_assert(fixture.ask("PUT", "/v1/records/StopPlan/p", planFor("p", "m0")).status == 200);
-    cr_assert(body(fixture.ask("PUT", "/v1/records/StopPlan/q", planFor("q", "m1")))["error"] == "plan-refused");
+    cr_assert(body(fixture.send("PUT", "/v1/records/RoutingIntent/r", intent))["error"] == "invalid-record");
+    fixture.send("PUT", groupPath, groupText("g", 1));
+    cr_assert(fixture.send("PUT", "/v1/records/RoutingIntent/r", intent).status == 200);
+    cr_assert(body(fixture.send("DELETE", groupPath))["error"] == "invalid-record");
+    cr_assert(fixture.send("PUT", "/v1/records/StopPlan/p", planFor("p", "m0")).status == 200);
+    cr_assert(body(fixture.send("PUT", "/v1/records/StopPlan/q", planFor("q", "m1")))["error"] == "plan-refused");
 }
 
 Test(operators, dryRunsChangeNothing)
 {
     Fixture fixture;
-    const auto answer = body(fixture.ask("PUT", groupPath, groupText("g", 1), {}, {{"dryRun", "1"}}));
+    const auto answer = body(fixture.send("PUT", groupPath, groupText("g", 1), {}, {{"dryRun", "1"}}));
     cr_assert(answer["ran"] == "no" && answer["changes"].size() > 5);
     cr_assert(fixture.store.catalog()->entries().empty());
-    fixture.ask("PUT", groupPath, groupText("g", 1));
-    cr_assert(body(fixture.ask("DELETE", groupPath, {}, {}, {{"dryRun", "1"}}))["ran"] == "no");
-    cr_assert(fixture.ask("GET", groupPath).status == 200);
+    fixture.send("PUT", groupPath, groupText("g", 1));
+    cr_assert(body(fixture.send("DELETE", groupPath, {}, {}, {{"dryRun", "1"}}))["ran"] == "no");
+    cr_assert(fixture.send("GET", groupPath).status == 200);
 }
 
-Test(operators, unknownFieldsAreKeptAndNamed)
+Test(operators, unknownFieldsAreKeptAndReported)
 {
     Fixture fixture;
     auto text = groupText("g", 1);
     text.insert(text.find("\"spec\""), "\"labels\": {\"team\": \"a\"}, ");
-    cr_assert(body(fixture.ask("PUT", groupPath, text))["unknownFields"] == Json::parse(R"(["labels.team"])"));
+    cr_assert(body(fixture.send("PUT", groupPath, text))["unknownFields"] == Json::parse(R"(["labels.team"])"));
     cr_assert(fixture.json(groupPath)["record"]["labels"]["team"] == "a");
 }
 
-Test(operators, listsComeInPages)
+Test(operators, listsArePaged)
 {
     Fixture fixture;
     for (int index = 0; index < 5; ++index) {
         const auto name = "g" + std::to_string(index);
-        fixture.ask("PUT", ("/v1/records/DatabaseGroup/" + name).c_str(), groupText(name, 1));
+        fixture.send("PUT", ("/v1/records/DatabaseGroup/" + name).c_str(), groupText(name, 1));
     }
     std::vector<std::string> names;
     std::string after;
@@ -329,7 +329,7 @@
 Test(operators, statusNamesEveryProxyAndItsRevision)
 {
     Fixture fixture;
-    fixture.ask("PUT", groupPath, groupText("g", 1));
+    fixture.send("PUT", groupPath, groupText("g", 1));
     fixture.proxy.others.push_back({InstanceName{"p2"}, FailureDomain{"d2"}, InstanceState::Draining, 1, {}, Milliseconds{7}});
     const auto status = fixture.json("/v1/status");
     cr_assert(status["instance"] == "p1" && status["revision"] == 2 && status["records"]["DatabaseGroup"] == 1);
@@ -339,15 +339,15 @@
     cr_assert(behind["proxies"].size() == 1 && behind["proxies"][0]["instance"] == "p2" && behind["proxyCount"] == 2);
 }
 
-Test(operators, watchesTellEveryChangeOnceAndInOrder)
+Test(operators, watchesReportEveryChangeOnceAndInOrder)
 {
     Fixture fixture;
-    fixture.ask("PUT", groupPath, groupText("g", 1));
+    fixture.send("PUT", groupPath, groupText("g", 1));
     cr_assert(fixture.json("/v1/watch", {{"after", "0"}})["reset"] == true);
     auto after = fixture.json("/v1/status")["revision"].get<std::uint64_t>();
-    fixture.ask("PUT", groupPath, groupText("g", 2));
-    fixture.ask("PUT", "/v1/records/DatabaseGroup/h", groupText("h", 2));
-    fixture.ask("DELETE", groupPath);
+    fixture.send("PUT", groupPath, groupText("g", 2));
+    fixture.send("PUT", "/v1/records/DatabaseGroup/h", groupText("h", 2));
+    fixture.send("DELETE", groupPath);
     const auto answer = fixture.json("/v1/watch", {{"after", std::to_string(after)}, {"waitMs", "1000"}});
     cr_assert(answer["changes"].size() == 2 && answer["reset"] == false);
     cr_assert(answer["changes"][0]["name"] == "h" && answer["changes"][1]["deleted"] == true);
@@ -359,7 +359,7 @@
 
 Test(operators, arbitraryRequestsAreAnswered)
 {
-    const bool holds = rc::check("no request goes without an answer", [](std::uint64_t seed) {
+    const bool holds = rc::check("every request is answered", [](std::uint64_t seed) {
         Random random{seed};
         Fixture fixture;
         const char *methods[] = {"GET", "PUT", "DELETE", "", "PATCH"};
@@ -372,7 +372,7 @@
         const std::map<std::string, std::string> query{{"after", values[random.below(std::size(values))]},
                                                        {"limit", values[random.below(std::size(values))]},
                                                        {"since", values[random.below(std::size(values))]}};
-        const auto response = fixture.ask(methods[random.below(std::size(methods))], path.c_str(), "[]", {}, query);
+        const auto response = fixture.send(methods[random.below(std::size(methods))], path.c_str(), "[]", {}, query);
         RC_ASSERT(Json::accept(response.body));
         RC_ASSERT(response.status >= 200);
         RC_ASSERT(response.status < 500);
--- a/tests/records/anyrecord.h
+++ b/tests/records/anyrecord.h
@@ -1,4 +1,4 @@
-// Random records of every kind, the same for the same seed.
+// Generates random records of every kind, reproducible by seed.
 #pragma once
 
 #include "base/random.h"
--- a/tests/records/test_catalog.cpp
+++ b/tests/records/test_catalog.cpp
@@ -1,4 +1,4 @@
-// Tests of the catalog: it never goes back, finds the group of a key, and checks records against each other.
+// Tests of the catalog (versions never decrease, routing of keys) and of the checks of records against each other.
 #include "anyrecord.h"
 #include "records/catalog.h"
 #include "records/checks.h"
@@ -59,9 +59,9 @@
 
 } // namespace
 
-Test(catalog, neverGoesBackInWhateverOrderChangesArrive)
+Test(catalog, versionsNeverDecreaseInWhateverOrderChangesArrive)
 {
-    const bool holds = rc::check("any order, same end", [](std::uint64_t seed) {
+    const bool holds = rc::check("the same final state in any order", [](std::uint64_t seed) {
         Random random{seed};
         std::vector<RecordChange> changes;
         for (std::uint64_t version = 11; version < 40; ++version) {
@@ -76,8 +76,8 @@
             std::swap(changes[random.below(changes.size())], changes.back());
             const auto next = catalog->with({changes.back(), changes[random.below(changes.size())]});
             for (const auto &[key, entry] : catalog->entries()) {
-                const auto *later = next->find(key);
-                const auto version = later == nullptr ? next->deletions().at(key) : later->version;
+                const auto *newEntry = next->find(key);
+                const auto version = newEntry == nullptr ? next->deletions().at(key) : newEntry->version;
                 RC_ASSERT(version >= entry.version);
             }
             changes.pop_back();
@@ -94,7 +94,7 @@
     cr_assert(holds);
 }
 
-Test(catalog, aLateChangeDoesNotBringADeletedRecordBack)
+Test(catalog, anOutdatedChangeDoesNotRestoreADeletedRecord)
 {
     const auto catalog = Catalog::fromList({change("g", groupOf(3), 5)}, 10)->with({deletion(RecordKind::DatabaseGroup, "g", 12)}, 12);
     cr_assert(catalog->group(GroupName{"g"}) == nullptr);
@@ -105,7 +105,7 @@
     cr_assert(listed->with({change("g", groupOf(3), 21)})->group(GroupName{"g"}) != nullptr);
 }
 
-Test(catalog, anOldListTakesNothingNewAway)
+Test(catalog, anOldListRemovesNoNewerRecord)
 {
     const auto catalog = Catalog::empty()->with({change("g", groupOf(3), 30)});
     const auto after = catalog->withList({change("h", groupOf(3), 4)}, 20);
@@ -114,7 +114,7 @@
     cr_assert(after->revision() == 20);
 }
 
-Test(catalog, anOldListBringsNothingBack)
+Test(catalog, anOldListRestoresNoDeletedRecord)
 {
     const auto catalog = Catalog::empty()->with({change("g", groupOf(3), 30)}, 30);
     const auto after = catalog->withList({change("h", groupOf(3), 4)}, 20);
@@ -123,24 +123,24 @@
     cr_assert(after->revision() == 30);
 }
 
-Test(catalog, oldDeletionsAreDroppedButStillRefuseLateChanges)
+Test(catalog, oldDeletionsAreDroppedButStillRefuseOutdatedChanges)
 {
     auto catalog = Catalog::empty();
     for (std::uint64_t round = 0; round < 3; ++round) {
         std::vector<RecordChange> changes;
-        for (std::uint64_t index = 1; index <= maxDeletions; ++index) {
-            const auto version = round * maxDeletions + index;
+        for (std::uint64_t index = 1; index <= retainedDeletions; ++index) {
+            const auto version = round * retainedDeletions + index;
             changes.push_back(deletion(RecordKind::DatabaseGroup, ("g" + std::to_string(version)).c_str(), version + 1));
         }
-        catalog = catalog->with(changes, (round + 1) * maxDeletions);
+        catalog = catalog->with(changes, (round + 1) * retainedDeletions);
     }
-    cr_assert(catalog->deletions().size() == maxDeletions);
-    cr_assert(catalog->deletionFloor() == 2 * maxDeletions + 1);
+    cr_assert(catalog->deletions().size() == retainedDeletions);
+    cr_assert(catalog->deletionFloor() == 2 * retainedDeletions + 1);
     cr_assert(catalog->with({change("g1", groupOf(3), 1)})->group(GroupName{"g1"}) == nullptr);
     cr_assert(catalog->deletions().begin()->second > catalog->deletionFloor());
 }
 
-Test(catalog, snapshotsStayAsTheyWere)
+Test(catalog, snapshotsAreImmutable)
 {
     const auto before = Catalog::fromList({change("g", groupOf(3), 5)}, 5);
     const auto *group = before->group(GroupName{"g"});
@@ -167,9 +167,9 @@
 {
     const bool holds = rc::check("longest match", [](std::uint64_t seed) {
         Random random{seed};
-        const auto anyText = [&random](std::uint64_t longest) {
+        const auto anyText = [&random](std::uint64_t maxLength) {
             std::string text;
-            for (auto left = random.below(longest); left > 0; --left) {
+            for (auto left = random.below(maxLength); left > 0; --left) {
                 text += static_cast<char>('a' + random.below(2));
             }
             return text;
@@ -197,7 +197,7 @@
     cr_assert(holds);
 }
 
-Test(catalog, appendingAGroupMovesOnlyItsShare)
+Test(catalog, appendingAGroupMovesOnlyItsFractionOfKeys)
 {
     const auto ten = Catalog::fromList({change("r", intentOf(10), 1)}, 1);
     const auto eleven = ten->with({change("r", intentOf(11), 2)});
@@ -212,7 +212,7 @@
     cr_assert(moved > 800 && moved < 1200, "%d of 11000 moved", moved);
 }
 
-Test(catalog, twoIntentsOfOneServiceAreSettledAlikeEverywhere)
+Test(catalog, ofTwoIntentsOfOneServiceTheLowestRecordNameApplies)
 {
     auto second = intentOf(1);
     second.groups = {GroupName{"other"}};
@@ -221,7 +221,7 @@
     cr_assert(groupText(*catalog->with({deletion(RecordKind::RoutingIntent, "a", 3)}), "k") == "other");
 }
 
-Test(catalog, intentsNeedTheirGroupsAndTheirService)
+Test(catalog, intentsNeedExistingGroupsAndAServiceOfTheirOwn)
 {
     const auto catalog = Catalog::fromList({change("g0", groupOf(3), 1), change("r", intentOf(1), 2)}, 2);
     cr_assert(checkCandidate(*catalog, *change("r", intentOf(1), 3).record).empty());
@@ -247,7 +247,7 @@
     cr_assert(checkRemoval(*catalog, {RecordKind::DatabaseGroup, RecordName{"g"}}).size() == 1);
 }
 
-Test(catalog, plansThatRacedAreCarriedOutInOrderOfVersion)
+Test(catalog, racingPlansTakeEffectInOrderOfVersion)
 {
     const auto catalog = Catalog::fromList({change("g", groupOf(3), 1), change("q", stop("m1"), 2), change("p", stop("m0"), 3)}, 3);
     cr_assert(leavingMembers(*catalog, GroupName{"g"}) == std::vector<MemberName>{MemberName{"m1"}});
--- a/tests/records/test_records.cpp
+++ b/tests/records/test_records.cpp
@@ -1,4 +1,4 @@
-// Tests of reading and writing records: both schema versions, unknown fields, all faults, differences and readable forms.
+// Tests of reading and writing records: both schema versions, unknown fields, faults, differences and readable forms.
 #include "anyrecord.h"
 #include "records/diff.h"
 #include "records/forms.h"
@@ -27,16 +27,16 @@
   }
 })";
 
-std::string faultPlaces(const std::string &text)
+std::string faultPositions(const std::string &text)
 {
     const auto records = readRecords("f.json", text);
-    std::ostringstream places;
+    std::ostringstream positions;
     if (!records) {
         for (const auto &fault : records.faults()) {
-            places << fault.position->line << " " << fault.position->key << " " << answerRule(fault.kind).name << "\n";
+            positions << fault.position->line << " " << fault.position->key << " " << answerRule(fault.kind).name << "\n";
         }
     }
-    return places.str();
+    return positions.str();
 }
 
 std::string fileText(const char *path)
@@ -66,7 +66,7 @@
     cr_assert(holds);
 }
 
-Test(records, changingTheSchemaKeepsTheMeaning)
+Test(records, changingTheSchemaKeepsTheContent)
 {
     const bool holds = rc::check("v1, v2, v1", [](std::uint64_t seed) {
         Random random{seed};
@@ -105,7 +105,7 @@
     }
 }
 
-Test(records, secondSchemaGroupsItsFields)
+Test(records, schemaV2GroupsItsFields)
 {
     const auto read = readRecord("f", groupV1);
     auto record = *read;
@@ -130,10 +130,10 @@
         cr_assert(std::get<DatabaseGroup>(record.spec).slots == 4);
     }
     std::get<DatabaseGroup>(record.spec).members.pop_back();
-    cr_assert(!contains(writeRecord(record), "rack"), "the field goes with its member");
+    cr_assert(!contains(writeRecord(record), "rack"), "the field is removed with its member");
 }
 
-Test(records, theStoreClientsMarkIsNoPartOfARecord)
+Test(records, theWriterStampIsNotPartOfARecord)
 {
     auto text = groupV1;
     text.insert(1, "\"writer\": {\"nonce\": \"n1\"},");
@@ -142,7 +142,7 @@
 
 Test(records, allFaultsAreReportedAtOnceWithTheirLines)
 {
-    const auto places = faultPlaces(R"([
+    const auto positions = faultPositions(R"([
 {"kind": "DatabaseGroup", "name": "bad name", "schema": "v2",
  "spec": {"members": [
    {"name": "a", "failureDomain": "d", "address": "10.0.0.1:1"},
@@ -159,7 +159,7 @@
 {"kind": "StopPlan", "name": "p", "name": "q", "schema": "v1"},
 7
 ])");
-    cr_assert(places
+    cr_assert(positions
                   == "2 [0].name invalid-record\n3 [0].spec.members invalid-record\n5 [0].spec.members[1].address invalid-record\n"
                      "5 [0].spec.members[1].name invalid-record\n8 [0].spec.capacity.slots invalid-record\n"
                      "10 [1].spec.groups invalid-record\n11 [1].spec.guaranteedPercent invalid-record\n"
@@ -167,19 +167,19 @@
                      "15 [4].name invalid-record\n15 [4].spec invalid-record\n16 [5] invalid-record\n16 [5].kind invalid-record\n"
                      "16 [5].name invalid-record\n16 [5].schema invalid-record\n16 [5].spec invalid-record\n",
               "%s",
-              places.c_str());
+              positions.c_str());
 }
 
-Test(records, laterSchemaVersionsAreNotGuessed)
+Test(records, unknownSchemaVersionsAreRejected)
 {
-    cr_assert(faultPlaces("{\"kind\": \"StopPlan\", \"name\": \"p\",\n\"schema\": \"v3\", \"spec\": {}}")
+    cr_assert(faultPositions("{\"kind\": \"StopPlan\", \"name\": \"p\",\n\"schema\": \"v3\", \"spec\": {}}")
               == "2 schema unsupported-version\n");
 }
 
-Test(records, textsThatAreNoRecordsAreFaults)
+Test(records, textsThatAreNotRecordsAreRejected)
 {
     for (const char *text : {"", "[", "null", "\"x\"", "{}", "[[]]", "{\"kind\":1}", "{\"spec\":[]}"}) {
-        cr_assert(!faultPlaces(text).empty(), "accepted %s", text);
+        cr_assert(!faultPositions(text).empty(), "accepted %s", text);
         cr_assert(!readRecord("f", text), "accepted %s", text);
     }
     cr_assert(readRecord("f", std::string(std::size_t{2} << 20U, ' ')).faults().at(0).kind == ErrorKind::TooLarge);
@@ -231,7 +231,7 @@
         == (std::vector<FieldChange>{{"spec.members[b].address", "\"10.0.0.2:5000\"", "\"10.0.0.9:5000\""}, {"spec.slots", "3", "2"}}));
 }
 
-Test(records, aChangeOfFormIsOneDifference)
+Test(records, aChangeOfTheSchemaIsOneDifference)
 {
     const bool holds = rc::check("only the schema", [](std::uint64_t seed) {
         Random random{seed};
@@ -277,7 +277,7 @@
     cr_assert(contains(refusal->description, "p2, p3") && !contains(refusal->description, "p1"));
 }
 
-Test(records, unknownFormsOfAProxyAreWaitedFor)
+Test(records, unknownFormsOfAProxyAreReportedAsNotReady)
 {
     const RecordForm form{RecordKind::StopPlan, SchemaVersion::V2};
     std::vector<ReadableForms> live{{InstanceName{"p1"}, ownForms()}, {InstanceName{"p2"}, {}}};
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -1,4 +1,4 @@
-// Tests of reading settings: defaults, every sort of bad input, and all faults at once with their lines.
+// Tests of reading settings: defaults, every kind of invalid input, and all faults at once with their lines.
 #include "settings/read.h"
 
 #include <criterion/criterion.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-const std::string least = R"({
+const std::string minimalText = R"({
   "instance": "norte-1",
   "failureDomain": "norte-bio",
   "callers": {"listen": "127.0.0.1:7000"},
@@ -18,33 +18,33 @@
   "platform": {"store": "127.0.0.1:7100"}
 })";
 
-std::string replaced(const std::string &from, const std::string &to)
+std::string withReplacement(const std::string &from, const std::string &to)
 {
-    auto text = least;
+    auto text = minimalText;
     text.replace(text.find(from), from.size(), to);
     return text;
 }
 
-// The faults as "line key", one a line.
-std::string faultPlaces(const std::string &text)
+/// Returns the faults of \a text as "line key", one per line.
+std::string faultPositions(const std::string &text)
 {
     const auto settings = readSettings("proxy.json", text);
-    std::ostringstream places;
+    std::ostringstream positions;
     if (!settings) {
         for (const auto &fault : settings.faults()) {
             cr_assert(fault.kind == ErrorKind::InvalidSettings);
             cr_assert(fault.position->file == "proxy.json");
-            places << fault.position->line << " " << fault.position->key << "\n";
+            positions << fault.position->line << " " << fault.position->key << "\n";
         }
     }
-    return places.str();
+    return positions.str();
 }
 
 } // namespace
 
 Test(settings, missingOptionalKeysHaveDefaults)
 {
-    const auto settings = readSettings("proxy.json", least);
+    const auto settings = readSettings("proxy.json", minimalText);
     cr_assert(bool(settings));
     cr_assert(settings->instance == InstanceName{"norte-1"});
     cr_assert(settings->platform.instanceList == Address{"127.0.0.1:7100"});
@@ -56,7 +56,7 @@
 
 Test(settings, everyKeyIsRead)
 {
-    auto text = least;
+    auto text = minimalText;
     text.insert(text.rfind('}'),
                 R"(, "region": "norte", "seeds": [{"name": "n2", "failureDomain": "norte-sdr", "address": "10.0.0.2:7002"}],
   "limits": {"callerConnections": 10, "bodyBytes": 2048, "tokenBytes": 128, "threads": 3, "maxWindowMs": 5000, "inFlight": 7},
@@ -93,31 +93,33 @@
   "failover": {"silenceMs": 40, "heartbeatMs": 30},
   "log": {"level": "loud"}
 })";
-    cr_assert(faultPlaces(text)
+    cr_assert(faultPositions(text)
                   == "1 platform\n1 platform.store\n2 instance\n3 failureDomain\n4 callers.listen\n6 operators.token\n7 peers.advertize\n7 "
                      "peers.listen\n"
                      "10 seeds[1].address\n10 seeds[1].name\n13 limits\n13 limits.threads\n14 failover.silenceMs\n15 log.level\n",
               "%s",
-              faultPlaces(text).c_str());
+              faultPositions(text).c_str());
 }
 
 Test(settings, tokensAreNeverRepeatedInFaults)
 {
-    const auto settings = readSettings("proxy.json", replaced("0123456789abcdef", "sekret"));
+    const auto settings = readSettings("proxy.json", withReplacement("0123456789abcdef", "sekret"));
     cr_assert(!settings);
     cr_assert(settings.faults().at(0).description.find("sekret") == std::string::npos);
 }
 
-Test(settings, filesForTlsAreSetTogether)
+Test(settings, tlsFilesMustBeSetTogether)
 {
-    cr_assert(faultPlaces(replaced("\"127.0.0.1:7000\"", "\"127.0.0.1:7000\", \"keyFile\": \"k\"")) == "4 callers.certificateFile\n");
-    cr_assert(faultPlaces(replaced("\"advertise\"", "\"caFile\": \"c\", \"advertise\"")) == "6 peers.certificateFile\n6 peers.keyFile\n");
+    cr_assert(faultPositions(withReplacement("\"127.0.0.1:7000\"", "\"127.0.0.1:7000\", \"keyFile\": \"k\""))
+              == "4 callers.certificateFile\n");
+    cr_assert(faultPositions(withReplacement("\"advertise\"", "\"caFile\": \"c\", \"advertise\""))
+              == "6 peers.certificateFile\n6 peers.keyFile\n");
 }
 
-Test(settings, textsThatAreNoSettingsAreOneFault)
+Test(settings, textsThatAreNotSettingsAreRejected)
 {
     for (const char *text : {"", "{", "[]", "7", "{\"instance\": \"a\",}", "\xff"}) {
-        cr_assert(!faultPlaces(text).empty(), "accepted %s", text);
+        cr_assert(!faultPositions(text).empty(), "accepted %s", text);
     }
     cr_assert(readSettings("f", std::string(std::size_t{2} << 20U, ' ')).faults().at(0).kind == ErrorKind::TooLarge);
     const auto missing = readSettingsFile("/nonexistent/proxy.json");
