--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -1,4 +1,4 @@
-// Finds the proxy to ask, asks it, and turns its answers into values or errors.
+// Reads the client options, sends requests to a proxy and turns its answers into JSON or errors.
 #include "cli/client.h"
 
 #include "cli/commandline.h"
@@ -22,13 +22,13 @@
 constexpr json::Length operatorLength{1, 128};
 constexpr int firstFailureStatus = 400;
 
-std::string environment(const char *name)
+std::string environmentVariable(const char *name)
 {
     const auto *value = std::getenv(name); // NOLINT(concurrency-mt-unsafe): no other thread runs yet
     return value == nullptr ? std::string() : std::string(value);
 }
 
-std::string firstOf(const std::vector<std::string> &values)
+std::string firstNonEmpty(const std::vector<std::string> &values)
 {
     for (const auto &value : values) {
         if (!value.empty()) {
@@ -68,7 +68,7 @@
     return options;
 }
 
-/// An error as an answer of the proxy tells it.
+/// The error that \a fault, a part of the proxy's \a answer, describes.
 Error readFault(const Json &fault, const Json &answer)
 {
     auto kind = ErrorKind::Internal;
@@ -126,7 +126,7 @@
 void addClientOptions(CommandLine &line)
 {
     line.add("address", "operators' address of a proxy (or CARDAMOMSTEP_ADDRESS)", "IP:PORT");
-    line.add("token", "operators' token (rather set CARDAMOMSTEP_TOKEN or use a client file)", "TOKEN");
+    line.add("token", "operators' token (prefer CARDAMOMSTEP_TOKEN or a client file)", "TOKEN");
     line.add("operator", "your name for the audit trail (or CARDAMOMSTEP_OPERATOR, or USER)", "NAME");
     line.add("client", "JSON file with address, token and operator (or CARDAMOMSTEP_CLIENT)", "FILE");
 }
@@ -134,7 +134,7 @@
 Checked<ClientOptions> readClientOptions(const CommandLine &line)
 {
     ClientOptions fromFile;
-    const auto fileName = firstOf({line.text("client"), environment("CARDAMOMSTEP_CLIENT")});
+    const auto fileName = firstNonEmpty({line.text("client"), environmentVariable("CARDAMOMSTEP_CLIENT")});
     if (!fileName.empty()) {
         auto read = readClientFile(fileName);
         if (!read) {
@@ -143,9 +143,10 @@
         fromFile = std::move(*read);
     }
     ClientOptions options;
-    options.address = Address{firstOf({line.text("address"), environment("CARDAMOMSTEP_ADDRESS"), fromFile.address.text()})};
-    options.token = firstOf({line.text("token"), environment("CARDAMOMSTEP_TOKEN"), fromFile.token});
-    options.who = firstOf({line.text("operator"), environment("CARDAMOMSTEP_OPERATOR"), fromFile.who, environment("USER")});
+    options.address = Address{firstNonEmpty({line.text("address"), environmentVariable("CARDAMOMSTEP_ADDRESS"), fromFile.address.text()})};
+    options.token = firstNonEmpty({line.text("token"), environmentVariable("CARDAMOMSTEP_TOKEN"), fromFile.token});
+    options.who =
+        firstNonEmpty({line.text("operator"), environmentVariable("CARDAMOMSTEP_OPERATOR"), fromFile.who, environmentVariable("USER")});
     std::vector<Error> faults;
     if (options.address.empty()) {
         faults.push_back(invalid("no address: give --address, CARDAMOMSTEP_ADDRESS or a client file"));
--- a/src/cli/client.h
+++ b/src/cli/client.h
@@ -1,4 +1,4 @@
-// A command's connection to the operators' interface of a proxy.
+// The client of a proxy's operators' interface.
 #pragma once
 
 #include "base/ids.h"
@@ -17,48 +17,49 @@
 
 namespace cardamomstep::cli {
 
-/// Where and as whom a command asks.
+/// The proxy to query and the operator's identity.
 struct ClientOptions {
     Address address;
     std::string token;
-    /// Name for the audit trail.
+    /// The operator's name for the audit trail.
     std::string who;
-    /// Longest wait for one answer.
+    /// The longest wait for one answer.
     Milliseconds timeout{10'000};
 };
 
-/// Adds the options of all commands that ask a proxy.
+/// Adds the options shared by all commands that query a proxy.
 void addClientOptions(CommandLine &line);
 
-/// Reads the client's options: first from \a line, then from the environment, then from the client file.
+/// Reads each of the client's options from \a line, else from the environment, else from the client file.
 ///
 /// Faults have the kind ErrorKind::InvalidSettings.
 [[nodiscard]] Checked<ClientOptions> readClientOptions(const CommandLine &line);
 
-/// A request of a command.
+/// A request to the operators' interface.
 struct ApiRequest {
     std::string method = "GET";
     std::string path;
     std::map<std::string, std::string> query;
     std::string body;
-    /// Version that must be current.
+    /// The record's required current version; sent as `if-match`.
     std::optional<std::uint64_t> expected;
-    /// Revision that must be in force at the proxy first.
+    /// The revision that the proxy must have in force before it handles the request; sent as `x-min-revision`, 0 for any.
     std::uint64_t minRevision = 0;
-    /// Time that the proxy may take on purpose, on top of the timeout.
+    /// How long the proxy may delay its answer on purpose; added to the timeout.
     Milliseconds extraWait{0};
 };
 
-/// Asks one proxy.
+/// Sends requests to one proxy.
 class OperatorClient
 {
 public:
     explicit OperatorClient(ClientOptions options);
 
-    /// Asks and returns the answer's JSON.
+    /// Sends a request and returns the answer's JSON.
     ///
-    /// The faults are those of the proxy's answer. Without an answer: ErrorKind::EndpointUnreachable for a read or where nothing was
-    /// sent, ErrorKind::OutcomeUnknown for a change that may have arrived. Reads are asked again once.
+    /// The faults are those of the proxy's answer. Without an answer: ErrorKind::EndpointUnreachable for a read or when nothing was
+    /// sent, ErrorKind::OutcomeUnknown for a change that may have arrived. A read that fails on a reused connection is sent once more,
+    /// since the proxy may have closed that connection while it was idle.
     [[nodiscard]] Checked<nlohmann::json> send(const ApiRequest &apiRequest);
 
 private:
--- a/src/cli/commandline.cpp
+++ b/src/cli/commandline.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char *argumentsOption = "arguments";
 
-/// The long name in "o,output".
+/// The long name of an option; \a name is "o,output" or "output".
 std::string longName(const std::string &name)
 {
     const auto comma = name.find(',');
--- a/src/cli/commandline.h
+++ b/src/cli/commandline.h
@@ -1,4 +1,4 @@
-// The command line of one subcommand: options, help with an example, and messages that name the nearest option.
+// The command line of one subcommand: options, help with an example, and suggestions for misspelled options.
 #pragma once
 
 #include "base/result.h"
@@ -15,21 +15,21 @@
 
 namespace cardamomstep::cli {
 
-/// What describes a subcommand to its user.
+/// The help texts of a subcommand.
 struct CommandText {
     std::string name;
     std::string description;
-    /// Names of the arguments that are no options, for example "KIND [NAME]".
+    /// Names of the positional arguments, for example "KIND [NAME]".
     std::string arguments;
     std::string example;
 };
 
-/// Options and arguments of one subcommand.
+/// The options and positional arguments of one subcommand.
 ///
 /// Example:
 /// \code
 /// CommandLine line({"get", "Reads records.", "KIND [NAME]", "cardamomstep get DatabaseGroup"});
-/// line.add("o,output", "form of the output", "json|table", "table");
+/// line.add("o,output", "output format", "json|table", "table");
 /// if (const auto done = line.parse(argc, argv, {1, 2}, out, err)) {
 ///     return *done;
 /// }
@@ -37,7 +37,7 @@
 class CommandLine
 {
 public:
-    /// Fewest and most arguments that are no options.
+    /// The smallest and largest number of positional arguments.
     struct ArgumentCount {
         std::size_t low = 0;
         std::size_t high = 0;
@@ -45,25 +45,25 @@
 
     explicit CommandLine(CommandText text);
 
-    /// Adds an option with a value, which is \a fallback when it is missing.
+    /// Adds an option with a value; \a fallback is its default, empty for none.
     void add(const std::string &name, const std::string &help, const std::string &valueName, const std::string &fallback = {});
 
     /// Adds an option without a value.
     void addFlag(const std::string &name, const std::string &help);
 
-    /// Parses; returns the exit code when nothing is left to do (help, or a fault that was written to \a err).
+    /// Parses the command line; returns an exit code when the command must not run (help was written to \a out, or an error to \a err).
     [[nodiscard]] std::optional<int> parse(int argc, const char *const *argv, ArgumentCount count, std::ostream &out, std::ostream &err);
 
-    /// The value of an option; empty when it is missing and has no fallback.
+    /// The value of an option; empty when the option is missing and has no default.
     [[nodiscard]] std::string text(const std::string &name) const;
 
-    /// True when the option was given.
+    /// True when the option is on the command line.
     [[nodiscard]] bool has(const std::string &name) const;
 
-    /// The value of an option as a whole number, none when it is missing; the error is ErrorKind::MalformedRequest.
+    /// The value of an option as a whole number, nullopt when it is missing; the error is ErrorKind::MalformedRequest.
     [[nodiscard]] Result<std::optional<std::uint64_t>> number(const std::string &name) const;
 
-    /// Arguments that are no options.
+    /// The positional arguments.
     [[nodiscard]] const std::vector<std::string> &arguments() const noexcept
     {
         return arguments_;
--- a/src/cli/exitcode.h
+++ b/src/cli/exitcode.h
@@ -1,4 +1,4 @@
-// The stable exit codes of the program and the code that belongs to an error.
+// The program's exit codes and the exit code for an error.
 #pragma once
 
 #include "base/error.h"
@@ -6,13 +6,13 @@
 
 namespace cardamomstep::cli {
 
-/// What the exit code of a command says; scripts rely on these numbers.
+/// The exit codes of all commands; scripts rely on these numbers.
 enum class ExitCode : int {
-    Ok = 0, ///< Done, or nothing to do.
-    Failed = 1, ///< Refused or failed; nothing of what was asked took effect unless the output says so.
-    Usage = 2, ///< Wrong command line, client file or settings.
-    Conflict = 3, ///< The record has another version than expected; the message tells which.
-    Unreachable = 4, ///< No proxy, or no store behind it, could be reached; nothing took effect.
+    Ok = 0, ///< Succeeded, or there was nothing to do.
+    Failed = 1, ///< Refused or failed; no change took effect unless the output says so.
+    Usage = 2, ///< The command line, the client file or the settings are invalid.
+    Conflict = 3, ///< The record's version isn't the expected one; the message has the current version.
+    Unreachable = 4, ///< The proxy or its store is unreachable; no change took effect.
     OutcomeUnknown = 5, ///< The change may have taken effect; read the record back.
 };
 
--- a/src/cli/fwd.h
+++ b/src/cli/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the cli slice: the operators' commands.
+// Forward declarations of the cli module: the operators' commands.
 #pragma once
 
 namespace cardamomstep::cli {
--- a/src/cli/impl/apply.cpp
+++ b/src/cli/impl/apply.cpp
@@ -1,4 +1,4 @@
-// The subcommands `apply` and `diff`: write record files to the system, or show what that would change.
+// The subcommands `apply` and `diff`: apply record files, or show what applying them would change.
 #include "cli/client.h"
 #include "cli/commandline.h"
 #include "cli/exitcode.h"
@@ -17,36 +17,36 @@
 namespace {
 
 constexpr std::uint64_t millisecondsInSecond = 1000;
-constexpr std::uint64_t longestWaitSeconds = 3600;
+constexpr std::uint64_t maxWaitSeconds = 3600;
 
-/// What to do with the records.
+/// How to apply the records.
 struct ApplyOptions {
     bool dryRun = false;
-    /// Shows only the differences, as `diff` does.
+    /// True to write only the differences, for `diff`.
     bool onlyDifferences = false;
     std::optional<std::uint64_t> expected;
 };
 
-/// What came of all records.
+/// The result for all records.
 struct ApplyOutcome {
     ExitCode code = ExitCode::Ok;
-    /// Highest version that was written; 0 when nothing was.
+    /// The highest version that was written; 0 when nothing was written.
     std::uint64_t version = 0;
     bool anyDifference = false;
 };
 
-ApiRequest questionFor(const Record &record, const ApplyOptions &options, std::uint64_t minRevision)
+ApiRequest requestFor(const Record &record, const ApplyOptions &options, std::uint64_t minRevision)
 {
-    ApiRequest question;
-    question.method = "PUT";
-    question.path = "/v1/records/" + toText(record.key());
-    question.body = writeRecord(record);
-    question.expected = options.expected;
-    question.minRevision = minRevision;
+    ApiRequest request;
+    request.method = "PUT";
+    request.path = "/v1/records/" + toText(record.key());
+    request.body = writeRecord(record);
+    request.expected = options.expected;
+    request.minRevision = minRevision;
     if (options.dryRun) {
-        question.query["dryRun"] = "1";
+        request.query["dryRun"] = "1";
     }
-    return question;
+    return request;
 }
 
 std::string fieldCount(std::size_t count)
@@ -88,9 +88,9 @@
     }
 }
 
-Checked<ChangeResult> applyOne(OperatorClient &client, const ApiRequest &question)
+Checked<ChangeResult> applyOne(OperatorClient &client, const ApiRequest &request)
 {
-    const auto answer = client.send(question);
+    const auto answer = client.send(request);
     if (!answer) {
         return answer.faults();
     }
@@ -101,7 +101,7 @@
     return std::move(*result);
 }
 
-void takeResult(const ChangeResult &result, ApplyOutcome &outcome)
+void addResult(const ChangeResult &result, ApplyOutcome &outcome)
 {
     outcome.anyDifference = outcome.anyDifference || !result.changes.empty();
     if (result.written) {
@@ -116,7 +116,7 @@
     std::size_t done = 0;
     for (const auto &source : sources) {
         const auto subject = toText(source.record.key());
-        const auto result = applyOne(client, questionFor(source.record, options, outcome.version));
+        const auto result = applyOne(client, requestFor(source.record, options, outcome.version));
         if (!result) {
             outcome.code = static_cast<ExitCode>(reportFaults(err, source.file + ": " + subject, result.faults()));
             if (done + 1 < sources.size()) {
@@ -125,14 +125,14 @@
             return outcome;
         }
         ++done;
-        takeResult(*result, outcome);
+        addResult(*result, outcome);
         writeOutcome(out, subject, *result, options);
         writeNotes(err, subject, *result);
     }
     return outcome;
 }
 
-/// The client and the records of a command line; the exit code when they cannot be read.
+/// The client options and the records that a command line names.
 struct Inputs {
     ClientOptions client;
     std::vector<SourceRecord> sources;
@@ -177,13 +177,13 @@
     line.addFlag("dry-run", "check only, change nothing");
     line.add("expect", "change only this version; 0: create only (one record)", "VERSION");
     line.addFlag("wait", "wait until the change is in force on every live proxy");
-    line.add("wait-seconds", "longest such wait", "N", "30");
+    line.add("wait-seconds", "longest wait with --wait, in seconds", "N", "30");
     if (const auto done = line.parse(argc, argv, {}, out, err)) {
         return *done;
     }
     const auto expected = line.number("expect");
     const auto wait = line.number("wait-seconds");
-    if (!expected || !wait || **wait > longestWaitSeconds) {
+    if (!expected || !wait || **wait > maxWaitSeconds) {
         return line.usageError(err, !expected ? expected.error().description : "--wait-seconds: expected 0 to 3600");
     }
     Inputs inputs;
@@ -191,7 +191,7 @@
         return *done;
     }
     if (*expected && inputs.sources.size() > 1) {
-        return line.usageError(err, "--expect takes one record, got " + std::to_string(inputs.sources.size()));
+        return line.usageError(err, "--expect needs exactly one record, got " + std::to_string(inputs.sources.size()));
     }
     OperatorClient client(std::move(inputs.client));
     const auto outcome = applyAll(client, inputs.sources, {line.has("dry-run"), false, *expected}, out, err);
--- a/src/cli/impl/changeresult.h
+++ b/src/cli/impl/changeresult.h
@@ -11,19 +11,19 @@
 
 namespace cardamomstep::cli::impl {
 
-/// What came of a change.
+/// The result of a change.
 struct ChangeResult {
-    /// False for a dry run and for a record that was as wanted already.
+    /// False for a dry run and for a record that already had the requested content.
     bool written = false;
     std::uint64_t fromVersion = 0;
     std::uint64_t version = 0;
-    /// An array of objects with "field" and, where there are such, "before" and "after".
+    /// An array of objects with "field" and, where the field has such a value, "before" and "after".
     nlohmann::json changes = nlohmann::json::array();
     std::vector<std::string> unknownFields;
     bool auditMissing = false;
 };
 
-/// Reads \a answer; the error is ErrorKind::CorruptAnswer, which leaves open whether the change was made.
+/// Reads \a answer; the error is ErrorKind::CorruptAnswer, after which it is unknown whether the change was made.
 [[nodiscard]] Result<ChangeResult> readChangeResult(const nlohmann::json &answer);
 
 } // namespace cardamomstep::cli::impl
--- a/src/cli/impl/commands.h
+++ b/src/cli/impl/commands.h
@@ -1,4 +1,4 @@
-// The operators' subcommands; each takes its command line and streams and returns an exit code.
+// The operators' subcommands; each parses its command line, writes to its streams and returns an exit code.
 #pragma once
 
 #include <ostream>
--- a/src/cli/impl/explain.cpp
+++ b/src/cli/impl/explain.cpp
@@ -1,4 +1,4 @@
-// The subcommand `explain`.
+// The subcommand `explain`: shows the events of a request from log files.
 #include "cli/commandline.h"
 #include "cli/exitcode.h"
 #include "cli/impl/commands.h"
@@ -27,33 +27,33 @@
 
 int runExplain(int argc, const char *const *argv, std::ostream &out, std::ostream &err)
 {
-    constexpr std::size_t mostLogs = 10'000;
+    constexpr std::size_t maxLogs = 10'000;
     CommandLine line(
-        {"explain", "Tells a request's story from the logs of all proxies.", "LOG...", "cardamomstep explain --id 5c0e7a21 *.log"});
-    line.add("id", "the id of the statement, of the one that began its transaction, or of the first that set the session up for it", "ID");
-    if (const auto done = line.parse(argc, argv, {1, mostLogs}, out, err)) {
+        {"explain", "Shows the events of a request from the logs of all proxies.", "LOG...", "cardamomstep explain --id 5c0e7a21 *.log"});
+    line.add("id", "id of a statement, of the statement that began its transaction, or of the first statement of its session setup", "ID");
+    if (const auto done = line.parse(argc, argv, {1, maxLogs}, out, err)) {
         return *done;
     }
     if (line.text("id").empty()) {
         return line.usageError(err, "--id ID is required");
     }
-    RequestTimeline story(line.text("id"));
+    RequestTimeline timeline(line.text("id"));
     for (const auto &file : line.arguments()) {
         std::ifstream log(file);
         if (!log) {
             return line.usageError(err, "cannot read " + file);
         }
-        story.read(log);
+        timeline.read(log);
     }
-    const auto lines = story.lines();
+    const auto lines = timeline.lines();
     if (lines.empty()) {
-        err << "cardamomstep explain: no log tells of " << line.text("id")
-            << "; it reached none of these processes, or its line was dropped\n";
+        err << "cardamomstep explain: no log mentions the request " << line.text("id")
+            << "; it reached none of these processes, or its log line was dropped\n";
         return toInt(ExitCode::Failed);
     }
-    out << "What was believed:\n";
-    print(out, story.stateChanges());
-    out << "What happened:\n";
+    out << "Last state changes before the request's events:\n";
+    print(out, timeline.stateChanges());
+    out << "Events of the request:\n";
     print(out, lines);
     return toInt(ExitCode::Ok);
 }
--- a/src/cli/impl/follow.cpp
+++ b/src/cli/impl/follow.cpp
@@ -18,14 +18,14 @@
 
 constexpr Milliseconds watchWait{20'000};
 
-bool isOutputForm(const std::string &text)
+bool isOutputFormat(const std::string &text)
 {
     return text == "table" || text == "json";
 }
 
 void writeStatus(std::ostream &out, const Json &status)
 {
-    out << "asked " << cell(status, "instance") << ", revision " << cell(status, "revision") << ", " << cell(status, "proxyCount")
+    out << "reported by " << cell(status, "instance") << ", revision " << cell(status, "revision") << ", " << cell(status, "proxyCount")
         << " proxies\n";
     std::vector<std::vector<std::string>> rows;
     for (const auto &proxy : status.value("proxies", Json::array())) {
@@ -35,14 +35,14 @@
                         cell(proxy, "revision"),
                         cell(proxy, "silenceMs") + " ms"});
     }
-    writeTable(out, {"INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "LAST HEARD"}, rows);
+    writeTable(out, {"INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "LAST CONTACT"}, rows);
 }
 
-/// Writes what one session proxy believes.
+/// Writes the status of one session proxy and of its groups.
 void writeSessionStatus(std::ostream &out, const Json &status)
 {
     out << cell(status, "instance") << ": configuration " << cell(status, "configurationVersion") << ", lease of "
-        << (cell(status, "leaseHolder").empty() ? "(nobody)" : cell(status, "leaseHolder")) << ", view good for "
+        << (cell(status, "leaseHolder").empty() ? "(nobody)" : cell(status, "leaseHolder")) << ", primary table valid for "
         << cell(status, "viewLeftMs") << " ms, " << cell(status, "sessions") << " sessions\n";
     std::vector<std::vector<std::string>> rows;
     for (const auto &group : status.value("groups", Json::array())) {
@@ -53,15 +53,15 @@
                         cell(group, "waiting"),
                         cell(group, "connectionsLent") + "/" + cell(group, "connections")});
     }
-    writeTable(out, {"GROUP", "PRIMARY", "GENERATION", "STATE", "WAITING", "CONNECTIONS LENT"}, rows);
+    writeTable(out, {"GROUP", "PRIMARY", "GENERATION", "STATE", "WAITING", "CONNECTIONS IN USE"}, rows);
 }
 
-/// Asks the session proxy at \a address, which tells what it believes on its metrics address without a token.
-Checked<Json> askSessionProxy(const Address &address)
+/// Reads the status of a session proxy from its metrics \a address, which needs no token.
+Checked<Json> querySessionProxy(const Address &address)
 {
-    constexpr Milliseconds patience{5'000};
+    constexpr Milliseconds timeout{5'000};
     http::Connection connection(address);
-    const auto result = connection.exchange(http::Request{"GET", "/status", {}, {}, {}}, patience);
+    const auto result = connection.exchange(http::Request{"GET", "/status", {}, {}, {}}, timeout);
     if (!result.response) {
         return std::vector<Error>{Error{ErrorKind::EndpointUnreachable, address.text() + ": " + result.failure.description}};
     }
@@ -80,19 +80,19 @@
             << " version " << cell(entry, "fromVersion") << " -> " << cell(entry, "toVersion") << "\n";
         writeChanges(out, entry.value("changes", Json::array()));
         if (entry.value("truncated", false)) {
-            out << "  (more changes were left out)\n";
+            out << "  (some changes were left out or shortened)\n";
         }
     }
 }
 
-/// Milliseconds since 1970 for "90s", "15m", "2h" or "3d" before now, or a plain number of milliseconds since 1970.
+/// Parses "90s", "15m", "2h" or "3d" before now, or milliseconds since 1970; returns milliseconds since 1970, nullopt when invalid.
 std::optional<std::int64_t> readSince(const std::string &text)
 {
-    constexpr std::size_t mostDigits = 15;
+    constexpr std::size_t maxDigits = 15;
     const auto digits = text.find_first_not_of("0123456789");
     const auto unit = digits == std::string::npos ? std::string() : text.substr(digits);
     const auto number = text.substr(0, digits);
-    if (number.empty() || number.size() > mostDigits) {
+    if (number.empty() || number.size() > maxDigits) {
         return std::nullopt;
     }
     const auto count = std::stoll(number);
@@ -111,39 +111,39 @@
     return count > now / factor ? 0 : now - count * factor;
 }
 
-/// The revision to watch from; the current one unless the command line names one.
+/// The revision after which to watch: \a given, else the proxy's current one.
 Result<std::uint64_t> firstRevision(OperatorClient &client, std::optional<std::uint64_t> given)
 {
     if (given) {
         return *given;
     }
-    ApiRequest question;
-    question.path = "/v1/status";
-    question.query = {{"behind", "0"}};
-    const auto status = client.send(question);
+    ApiRequest request;
+    request.path = "/v1/status";
+    request.query = {{"behind", "0"}};
+    const auto status = client.send(request);
     if (!status) {
         return status.faults().front();
     }
     return status->value("revision", std::uint64_t{0});
 }
 
-ApiRequest watchQuestion(std::uint64_t after)
+ApiRequest watchRequest(std::uint64_t after)
 {
-    ApiRequest question;
-    question.path = "/v1/watch";
-    question.query = {{"after", std::to_string(after)}, {"waitMs", std::to_string(watchWait.count())}};
-    question.extraWait = watchWait;
-    return question;
+    ApiRequest request;
+    request.path = "/v1/watch";
+    request.query = {{"after", std::to_string(after)}, {"waitMs", std::to_string(watchWait.count())}};
+    request.extraWait = watchWait;
+    return request;
 }
 
-/// Writes each change on a line until \a count are written or the reader is gone.
-int follow(OperatorClient &client, std::uint64_t after, std::uint64_t count, std::ostream &out, std::ostream &err)
+/// Writes one change per line until \a count are written or \a out fails, for example because its reader closed the pipe.
+int writeWatchedChanges(OperatorClient &client, std::uint64_t after, std::uint64_t count, std::ostream &out, std::ostream &err)
 {
     std::uint64_t written = 0;
     while (out && written < count) {
-        const auto answer = client.send(watchQuestion(after));
+        const auto answer = client.send(watchRequest(after));
         if (!answer) {
-            return reportFaults(err, "watch ended; go on with --after " + std::to_string(after), answer.faults());
+            return reportFaults(err, "watch ended; resume with --after " + std::to_string(after), answer.faults());
         }
         if (answer->value("reset", false)) {
             out << Json{{"reset", true}, {"revision", answer->value("revision", std::uint64_t{0})}} << "\n";
@@ -166,19 +166,19 @@
 {
     CommandLine line({"status", "Shows the live proxies and the configuration that each has in force.", "", "cardamomstep status -o json"});
     addClientOptions(line);
-    line.add("o,output", "form of the output: table or json", "FORM", "table");
-    line.add("session", "ask the session proxy with this metrics address, instead", "ADDRESS");
-    line.add("behind", "show only proxies that have not come up to this revision", "REVISION");
+    line.add("o,output", "output format: table or json", "FORM", "table");
+    line.add("session", "query the session proxy at this metrics address instead", "ADDRESS");
+    line.add("behind", "show only proxies that are behind this revision", "REVISION");
     if (const auto done = line.parse(argc, argv, {}, out, err)) {
         return *done;
     }
     const auto behind = line.number("behind");
-    if (!behind || !isOutputForm(line.text("output"))) {
+    if (!behind || !isOutputFormat(line.text("output"))) {
         return line.usageError(err, !behind ? behind.error().description : "--output: expected table or json");
     }
     const bool asJson = line.text("output") == "json";
     if (!line.text("session").empty()) {
-        const auto status = askSessionProxy(Address{line.text("session")});
+        const auto status = querySessionProxy(Address{line.text("session")});
         if (!status) {
             return reportFaults(err, "", status.faults());
         }
@@ -190,12 +190,12 @@
         return reportFaults(err, "", options.faults());
     }
     OperatorClient client(std::move(*options));
-    ApiRequest question;
-    question.path = "/v1/status";
+    ApiRequest request;
+    request.path = "/v1/status";
     if (*behind) {
-        question.query["behind"] = std::to_string(**behind);
+        request.query["behind"] = std::to_string(**behind);
     }
-    const auto status = client.send(question);
+    const auto status = client.send(request);
     if (!status) {
         return reportFaults(err, "", status.faults());
     }
@@ -207,13 +207,13 @@
 {
     CommandLine line(
         {"watch",
-         "Follows changes of records, one JSON object a line. A line {\"reset\":true} says that some changes can no longer be\n"
-         "told: read the records anew.",
+         "Watches changes of records, one JSON object per line. A line {\"reset\":true} means that some changes are no longer\n"
+         "available: read the records again.",
          "",
          "cardamomstep watch --count 1"});
     addClientOptions(line);
-    line.add("after", "begin after this revision instead of now", "REVISION");
-    line.add("count", "end after this many changes", "N");
+    line.add("after", "start after this revision instead of the current one", "REVISION");
+    line.add("count", "stop after this many changes", "N");
     if (const auto done = line.parse(argc, argv, {}, out, err)) {
         return *done;
     }
@@ -231,7 +231,7 @@
     if (!first) {
         return reportFaults(err, "", {first.error()});
     }
-    return follow(client, *first, count->value_or(UINT64_MAX), out, err);
+    return writeWatchedChanges(client, *first, count->value_or(UINT64_MAX), out, err);
 }
 
 int runHistory(int argc, const char *const *argv, std::ostream &out, std::ostream &err)
@@ -245,29 +245,29 @@
     line.add("name", "only the record of this name", "NAME");
     line.add("who", "only changes by this operator", "NAME");
     line.add("since", "only changes of the last 90s, 15m, 2h or 3d, or since a time in milliseconds since 1970", "TIME");
-    line.add("limit", "most entries, up to 1000", "N", "50");
-    line.add("o,output", "form of the output: table or json", "FORM", "table");
+    line.add("limit", "largest number of entries, up to 1000", "N", "50");
+    line.add("o,output", "output format: table or json", "FORM", "table");
     if (const auto done = line.parse(argc, argv, {}, out, err)) {
         return *done;
     }
-    ApiRequest question;
-    question.path = "/v1/history";
+    ApiRequest request;
+    request.path = "/v1/history";
     for (const char *name : {"kind", "name", "who", "limit"}) {
-        question.query[name] = line.text(name);
+        request.query[name] = line.text(name);
     }
     const auto since = readSince(line.text("since"));
     if (line.has("since") && !since) {
         return line.usageError(err, "--since: expected 90s, 15m, 2h, 3d or milliseconds since 1970");
     }
-    question.query["since"] = std::to_string(since.value_or(0));
-    if (!isOutputForm(line.text("output"))) {
+    request.query["since"] = std::to_string(since.value_or(0));
+    if (!isOutputFormat(line.text("output"))) {
         return line.usageError(err, "--output: expected table or json");
     }
     auto options = readClientOptions(line);
     if (!options) {
         return reportFaults(err, "", options.faults());
     }
-    const auto history = OperatorClient(std::move(*options)).send(question);
+    const auto history = OperatorClient(std::move(*options)).send(request);
     if (!history) {
         return reportFaults(err, "", history.faults());
     }
--- a/src/cli/impl/output.cpp
+++ b/src/cli/impl/output.cpp
@@ -79,7 +79,7 @@
             err << " (current version " << *fault.currentVersion << ")";
         }
         if (fault.retryAfter) {
-            err << " (come back after " << fault.retryAfter->count() << " ms)";
+            err << " (retry after " << fault.retryAfter->count() << " ms)";
         }
         err << "\n";
     }
@@ -112,11 +112,11 @@
 
 std::string timeText(std::int64_t wallMs)
 {
-    constexpr std::size_t longest = 32;
+    constexpr std::size_t bufferBytes = 32;
     const std::time_t seconds = wallMs / millisecondsInSecond;
     std::tm parts{};
     gmtime_r(&seconds, &parts);
-    std::array<char, longest> text{};
+    std::array<char, bufferBytes> text{};
     const auto length = std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%SZ", &parts);
     return {text.data(), length};
 }
--- a/src/cli/impl/output.h
+++ b/src/cli/impl/output.h
@@ -1,4 +1,4 @@
-// Tables, JSON and errors on the streams of a command.
+// Writes tables, JSON and errors to the streams of a command.
 #pragma once
 
 #include "base/error.h"
@@ -19,19 +19,19 @@
 /// Writes \a value as indented JSON and a newline.
 void writeJson(std::ostream &out, const nlohmann::json &value);
 
-/// Writes "field: before -> after" for each of the \a changes of an answer.
+/// Writes a line "field: before -> after" for each of the \a changes of an answer.
 void writeChanges(std::ostream &out, const nlohmann::json &changes);
 
-/// Writes each of \a faults on a line after "cardamomstep: " and \a subject; returns the exit code of the first.
+/// Writes each of \a faults on a line that begins with "cardamomstep: " and \a subject; returns the exit code of the first.
 int reportFaults(std::ostream &err, const std::string &subject, const std::vector<Error> &faults);
 
-/// The kind with the name \a text; the error names the nearest one.
+/// The record kind with the name \a text; the error names the nearest one.
 [[nodiscard]] Result<RecordKind> readKind(const std::string &text);
 
-/// The cell for \a value: texts without quotes, nothing for what is missing.
+/// The table cell for the field \a key of \a value: strings without quotes, empty when the field is missing or null.
 [[nodiscard]] std::string cell(const nlohmann::json &value, const char *key);
 
-/// \a wallMs milliseconds since 1970 as "2026-01-31T08:05:09Z".
+/// Formats \a wallMs, milliseconds since 1970, as "2026-01-31T08:05:09Z".
 [[nodiscard]] std::string timeText(std::int64_t wallMs);
 
 } // namespace cardamomstep::cli::impl
--- a/src/cli/impl/read.cpp
+++ b/src/cli/impl/read.cpp
@@ -23,7 +23,7 @@
     Record,
 };
 
-std::optional<Output> readOutput(const std::string &text)
+std::optional<Output> readOutputFormat(const std::string &text)
 {
     if (text == "table") {
         return Output::Table;
@@ -34,14 +34,14 @@
     return text == "record" ? std::optional<Output>(Output::Record) : std::nullopt;
 }
 
-/// The most telling fields of a record's content, in one line.
+/// A record's content in one line: its number of members, else its spec as JSON, shortened.
 std::string summaryOf(const Json &record)
 {
-    constexpr std::size_t longest = 80;
+    constexpr std::size_t maxLength = 80;
     const auto spec = record.value("spec", Json::object());
     auto text = spec.contains("members") && spec["members"].is_array() ? std::to_string(spec["members"].size()) + " members"
                                                                        : spec.dump(-1, ' ', false, Json::error_handler_t::replace);
-    return text.size() > longest ? text.substr(0, longest) + "..." : text;
+    return text.size() > maxLength ? text.substr(0, maxLength) + "..." : text;
 }
 
 std::vector<std::string> rowOf(const Json &item)
@@ -71,14 +71,14 @@
     writeTable(out, {"KIND", "NAME", "VERSION", "SCHEMA", "SUMMARY"}, rows);
 }
 
-/// All pages of the list of \a kind.
+/// Reads all pages of the list of \a kind.
 Checked<Json> readList(OperatorClient &client, RecordKind kind)
 {
-    ApiRequest question;
-    question.path = "/v1/records/" + std::string(toText(kind));
+    ApiRequest request;
+    request.path = "/v1/records/" + std::string(toText(kind));
     auto items = Json::array();
     for (;;) {
-        const auto page = client.send(question);
+        const auto page = client.send(request);
         if (!page) {
             return page.faults();
         }
@@ -89,20 +89,20 @@
         if (next.empty()) {
             return items;
         }
-        question.query["after"] = next;
+        request.query["after"] = next;
     }
 }
 
 Checked<Json> readOne(OperatorClient &client, const RecordKey &key, std::ostream &err)
 {
-    ApiRequest question;
-    question.path = "/v1/records/" + toText(key);
-    auto answer = client.send(question);
+    ApiRequest request;
+    request.path = "/v1/records/" + toText(key);
+    auto answer = client.send(request);
     if (!answer) {
         return answer.faults();
     }
     if (cell(*answer, "source") == "cache") {
-        err << "cardamomstep: " << toText(key) << ": note: the store is away; this is what the proxy has in force\n";
+        err << "cardamomstep: " << toText(key) << ": note: the store is unavailable; this is the record in force at the proxy\n";
     }
     return Json::array({std::move(*answer)});
 }
@@ -113,16 +113,16 @@
 {
     CommandLine line({"get",
                       "Reads one record or all records of a kind: DatabaseGroup, RoutingIntent, StopPlan, GroupStatus, InstanceStatus,\n"
-                      "PlanStatus. The form \"record\" can be edited and applied again.",
+                      "PlanStatus. The format \"record\" can be edited and applied again.",
                       "KIND [NAME]",
                       "cardamomstep get DatabaseGroup ledger-1 -o record > ledger-1.json"});
     addClientOptions(line);
-    line.add("o,output", "form of the output: table, json (with versions) or record", "FORM", "table");
+    line.add("o,output", "output format: table, json (with versions) or record", "FORM", "table");
     if (const auto done = line.parse(argc, argv, {1, 2}, out, err)) {
         return *done;
     }
     const auto kind = readKind(line.arguments()[0]);
-    const auto output = readOutput(line.text("output"));
+    const auto output = readOutputFormat(line.text("output"));
     if (!kind || !output) {
         return line.usageError(err, !kind ? kind.error().description : "--output: expected table, json or record");
     }
@@ -161,14 +161,14 @@
     }
     OperatorClient client(std::move(*options));
     const RecordKey key{*kind, RecordName{line.arguments()[1]}};
-    ApiRequest question;
-    question.method = "DELETE";
-    question.path = "/v1/records/" + toText(key);
-    question.expected = *expected;
+    ApiRequest request;
+    request.method = "DELETE";
+    request.path = "/v1/records/" + toText(key);
+    request.expected = *expected;
     if (line.has("dry-run")) {
-        question.query["dryRun"] = "1";
+        request.query["dryRun"] = "1";
     }
-    const auto answer = client.send(question);
+    const auto answer = client.send(request);
     if (!answer) {
         return reportFaults(err, toText(key), answer.faults());
     }
@@ -187,7 +187,7 @@
 {
     CommandLine line(
         {"check-settings", "Checks a settings file and reports every fault.", "FILE", "cardamomstep check-settings proxy-1.json"});
-    line.addFlag("session", "the settings of a session proxy (docs/PLATFORM.md)");
+    line.addFlag("session", "the file holds settings of a session proxy (docs/PLATFORM.md)");
     if (const auto done = line.parse(argc, argv, {1, 1}, out, err)) {
         return *done;
     }
--- a/src/cli/impl/sources.cpp
+++ b/src/cli/impl/sources.cpp
@@ -1,4 +1,4 @@
-// Reads record files.
+// Reads records from files, folders or standard input.
 #include "cli/impl/sources.h"
 
 #include <algorithm>
@@ -69,13 +69,13 @@
     }
 }
 
-/// Reports records that come twice.
-void checkTwice(const std::vector<SourceRecord> &records, std::vector<Error> &faults)
+/// Reports duplicate records.
+void checkDuplicates(const std::vector<SourceRecord> &records, std::vector<Error> &faults)
 {
     std::set<RecordKey> seen;
     for (const auto &source : records) {
         if (!seen.insert(source.record.key()).second) {
-            Error error{ErrorKind::InvalidRecord, toText(source.record.key()) + " comes twice"};
+            Error error{ErrorKind::InvalidRecord, toText(source.record.key()) + " is defined twice"};
             error.position = SourcePosition{source.file, 0, {}};
             faults.push_back(std::move(error));
         }
@@ -95,7 +95,7 @@
     for (const auto &file : *files) {
         readFile(file, records, faults);
     }
-    checkTwice(records, faults);
+    checkDuplicates(records, faults);
     if (!faults.empty()) {
         return faults;
     }
--- a/src/cli/impl/sources.h
+++ b/src/cli/impl/sources.h
@@ -1,4 +1,4 @@
-// The records that a command reads from files, folders or standard input.
+// The records that a command reads from files, folders or standard input, in the order to apply them.
 #pragma once
 
 #include "records/record.h"
@@ -9,7 +9,7 @@
 
 namespace cardamomstep::cli::impl {
 
-/// A record and the file that it came from.
+/// A record and the file that it was read from.
 struct SourceRecord {
     std::string file;
     Record record;
@@ -17,7 +17,7 @@
 
 /// Reads the records in \a path: a file, a folder (its *.json files by name), or "-" for standard input.
 ///
-/// The records come in the order in which they can be applied: groups, intents, plans. All faults of all files come at once.
+/// Returns the records in the order in which they can be applied: groups, intents, plans; or all faults of all files.
 [[nodiscard]] Checked<std::vector<SourceRecord>> readSources(const std::string &path);
 
 } // namespace cardamomstep::cli::impl
--- a/src/cli/impl/wait.cpp
+++ b/src/cli/impl/wait.cpp
@@ -1,4 +1,4 @@
-// Asks for the proxies that are behind a revision until there are none.
+// Polls for the proxies that are behind a revision until there are none.
 #include "cli/impl/wait.h"
 
 #include "cli/impl/output.h"
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr Milliseconds pause{200};
-constexpr std::size_t mostNamed = 10;
+constexpr Milliseconds pollInterval{200};
+constexpr std::size_t maxNamed = 10;
 
 std::string namesOf(const nlohmann::json &proxies)
 {
     std::string names;
-    for (std::size_t index = 0; index < proxies.size() && index < mostNamed; ++index) {
+    for (std::size_t index = 0; index < proxies.size() && index < maxNamed; ++index) {
         names += (names.empty() ? "" : ", ") + cell(proxies[index], "instance");
     }
-    return proxies.size() > mostNamed ? names + " and " + std::to_string(proxies.size() - mostNamed) + " more" : names;
+    return proxies.size() > maxNamed ? names + " and " + std::to_string(proxies.size() - maxNamed) + " more" : names;
 }
 
 } // namespace
@@ -27,20 +27,21 @@
 ExitCode waitInForce(OperatorClient &client, std::uint64_t revision, Milliseconds timeout, std::ostream &err)
 {
     const auto deadline = steadyNow() + timeout;
-    ApiRequest question;
-    question.path = "/v1/status";
-    question.query = {{"behind", std::to_string(revision)}};
+    ApiRequest request;
+    request.path = "/v1/status";
+    request.query = {{"behind", std::to_string(revision)}};
     for (;;) {
-        const auto status = client.send(question);
+        const auto status = client.send(request);
         if (status && status->contains("proxies") && (*status)["proxies"].empty()) {
             return ExitCode::Ok;
         }
-        if (steadyNow() + pause > deadline) {
-            const auto lagging = status ? "on " + namesOf(status->value("proxies", nlohmann::json::array())) : "as far as can be seen";
+        if (steadyNow() + pollInterval > deadline) {
+            const auto lagging =
+                status ? "on " + namesOf(status->value("proxies", nlohmann::json::array())) : "(the proxies' status is unknown)";
             err << "cardamomstep: accepted, but revision " << revision << " is not in force yet " << lagging << "\n";
             return ExitCode::Failed;
         }
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
--- a/src/cli/impl/wait.h
+++ b/src/cli/impl/wait.h
@@ -10,9 +10,9 @@
 
 namespace cardamomstep::cli::impl {
 
-/// Asks until every live proxy has the configuration up to \a revision in force, at most \a timeout.
+/// Polls the status until every live proxy has the configuration up to \a revision in force, for at most \a timeout.
 ///
-/// ExitCode::Failed names on \a err the proxies that are still behind; the change itself stays accepted.
+/// Returns ExitCode::Failed after the timeout and writes the proxies that are still behind to \a err; the change stays accepted.
 [[nodiscard]] ExitCode waitInForce(OperatorClient &client, std::uint64_t revision, Milliseconds timeout, std::ostream &err);
 
 } // namespace cardamomstep::cli::impl
--- a/src/cli/requesttimeline.cpp
+++ b/src/cli/requesttimeline.cpp
@@ -1,4 +1,4 @@
-// Finds a request's lines in logs.
+// Parses log lines and selects those of a request.
 #include "cli/requesttimeline.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 const std::set<std::string, std::less<>> stateEvents{"primary", "configuration", "member_entry", "dependency_lost", "dependency_regained"};
 
-/// Reads a value that begins at \a from; quoted values end at their quote. Sets \a from behind it.
+/// Reads the value that begins at \a from, up to the closing quote or the next space; moves \a from past its end.
 std::string parseValue(std::string_view text, std::size_t &from)
 {
     std::string value;
@@ -92,13 +92,14 @@
 std::vector<LogLine> RequestTimeline::stateChanges() const
 {
     std::vector<LogLine> found;
-    for (const auto &own : lines_) {
+    for (const auto &requestLine : lines_) {
         std::map<std::string, LogLine> last;
         for (const auto &change : stateChanges_) {
             const auto group = change.fields.find("group");
-            const auto ownGroup = own.fields.find("group");
-            const bool otherGroup = group != change.fields.end() && ownGroup != own.fields.end() && group->second != ownGroup->second;
-            if (change.instance != own.instance || change.time > own.time || otherGroup) {
+            const auto requestGroup = requestLine.fields.find("group");
+            const bool otherGroup =
+                group != change.fields.end() && requestGroup != requestLine.fields.end() && group->second != requestGroup->second;
+            if (change.instance != requestLine.instance || change.time > requestLine.time || otherGroup) {
                 continue;
             }
             auto &newest = last[change.event];
@@ -108,10 +109,10 @@
         }
         for (const auto &entry : last) {
             const auto &line = entry.second;
-            const bool known = std::any_of(found.begin(), found.end(), [&line](const auto &other) {
+            const bool alreadyFound = std::any_of(found.begin(), found.end(), [&line](const auto &other) {
                 return other.time == line.time && other.event == line.event && other.instance == line.instance;
             });
-            if (!known) {
+            if (!alreadyFound) {
                 found.push_back(line);
             }
         }
--- a/src/cli/requesttimeline.h
+++ b/src/cli/requesttimeline.h
@@ -1,4 +1,4 @@
-// The story of one request, collected from log lines of several processes.
+// The events of one request, collected from the logs of several processes.
 #pragma once
 
 #include <istream>
@@ -9,20 +9,20 @@
 
 namespace cardamomstep::cli {
 
-/// One log line, taken apart.
+/// One parsed log line.
 struct LogLine {
     std::string time;
     std::string instance;
     std::string event;
-    /// All fields but those above.
+    /// All other fields by key.
     std::map<std::string, std::string> fields;
 };
 
-/// Takes a key=value line apart; an empty event when it is no such line. Text in front of the first key is ignored.
+/// Parses a key=value line; the event is empty when \a text isn't one. Text before `time=` is ignored.
 [[nodiscard]] LogLine parseLogLine(std::string_view text);
 
-/// The lines that tell of the request \a id, and those on the beliefs that decided it: changes of the group's primary and of the
-/// configuration on the same process up to the last of them.
+/// The log lines of the request \a id and the state changes that its result depends on: the last changes of its group's primary, of the
+/// configuration, of members and of dependencies that the same process logged before each of these lines.
 class RequestTimeline
 {
 public:
@@ -31,19 +31,19 @@
     {
     }
 
-    /// Takes in the lines of one log.
+    /// Reads the lines of one log.
     void read(std::istream &log);
 
-    /// The request's lines, by time.
+    /// The request's lines, ordered by time.
     [[nodiscard]] std::vector<LogLine> lines() const;
 
-    /// The last beliefs before the request's end on the processes that handled it, by time.
+    /// The last state change of each kind before each of the request's lines, on the same process, ordered by time.
     [[nodiscard]] std::vector<LogLine> stateChanges() const;
 
 private:
     [[nodiscard]] bool mentionsRequest(const LogLine &line, const std::string &field) const;
 
-    /// Of a statement, of the one that began its transaction, or of the first that set the session up for it.
+    /// The id of a statement, of the statement that began its transaction, or of the first statement of its session setup.
     std::string id_;
     std::vector<LogLine> lines_;
     std::vector<LogLine> stateChanges_;
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -46,7 +46,7 @@
     return toInt(ExitCode::Usage);
 }
 
-/// Runs \a subcommand; an answer with fields of unexpected types ends it, too.
+/// Runs \a subcommand; an answer with fields of unexpected types ends it with ExitCode::OutcomeUnknown.
 int runOne(const Subcommand &subcommand, int argc, const char *const *argv, std::ostream &out, std::ostream &err)
 {
     try {
@@ -57,8 +57,8 @@
     }
 }
 
-/// True when \a out failed because nobody reads it any more; only standard output can fail otherwise.
-bool isReaderGone(const std::ostream &out)
+/// True when \a out failed because its reader closed the pipe; only standard output can fail for another reason.
+bool isPipeClosed(const std::ostream &out)
 {
     if (&out != &std::cout) {
         return true;
@@ -67,11 +67,11 @@
     return poll(&descriptor, 1, 0) > 0 && (descriptor.revents & POLLERR) != 0;
 }
 
-/// The exit code after all output was handed over; an early closed pipe is no failure.
+/// Flushes \a out and returns the exit code; a pipe that its reader closed early is not a failure.
 int finishOutput(int code, std::ostream &out, std::ostream &err)
 {
     out.flush();
-    if (out || isReaderGone(out)) {
+    if (out || isPipeClosed(out)) {
         return code;
     }
     err << "cardamomstep: the output cannot be written\n";
@@ -87,9 +87,9 @@
             {"diff", "show what apply would change", impl::runDiff},
             {"delete", "delete a record", impl::runDelete},
             {"status", "show the proxies and their configuration", impl::runStatus},
-            {"watch", "follow changes of records", impl::runWatch},
+            {"watch", "watch changes of records", impl::runWatch},
             {"history", "show the audit trail of changes", impl::runHistory},
-            {"explain", "tell a request's story from log files", impl::runExplain},
+            {"explain", "show a request's events from log files", impl::runExplain},
             {"check-settings", "check a settings file", impl::runCheckSettings}};
 }
 
--- a/src/cli/run.h
+++ b/src/cli/run.h
@@ -1,4 +1,4 @@
-// The program's entry: finds the subcommand and runs it.
+// The program's entry point: finds the subcommand and runs it.
 #pragma once
 
 #include "cli/exitcode.h"
@@ -14,18 +14,18 @@
 /// One subcommand of the program.
 struct Subcommand {
     std::string name;
-    /// One line for the program's help.
+    /// One line in the program's help.
     std::string summary;
-    /// Gets the command line from the subcommand's name on, the streams for data and for errors; returns the exit code.
+    /// Runs the subcommand; argv[0] is its name. Writes data to \a out and errors to \a err and returns the exit code.
     std::function<int(int argc, const char *const *argv, std::ostream &out, std::ostream &err)> run;
 };
 
 /// The operators' subcommands: apply, get, diff, delete, status, watch, history, explain, check-settings.
 [[nodiscard]] std::vector<Subcommand> operatorSubcommands();
 
-/// Runs the subcommand that the command line names, out of operatorSubcommands() and \a others.
+/// Runs the subcommand named on the command line, one of operatorSubcommands() or \a others, and returns its exit code.
 ///
-/// Data goes to \a out and errors to \a err. A reader that closes its pipe early ends the command quietly. Returns an ExitCode.
+/// Data goes to \a out and errors to \a err. A pipe that its reader closes early ends the command without an error.
 ///
 /// Example:
 /// \code
--- a/src/cli/servercommand.cpp
+++ b/src/cli/servercommand.cpp
@@ -1,4 +1,4 @@
-// Reads the command line of a subcommand that serves.
+// Parses the command line of a subcommand that runs a server.
 #include "cli/servercommand.h"
 
 #include "cli/exitcode.h"
--- a/src/cli/servercommand.h
+++ b/src/cli/servercommand.h
@@ -1,4 +1,4 @@
-// The command line of the subcommands that serve until they are told to stop.
+// The command line of the subcommands that run a server until they are stopped.
 #pragma once
 
 #include "cli/fwd.h"
@@ -9,18 +9,18 @@
 
 namespace cardamomstep::cli {
 
-/// One such subcommand; its only option is the settings file.
+/// A subcommand that runs a server; its only option is the settings file.
 struct ServerCommand {
     std::string name;
-    /// What it does, for its help.
+    /// The description in its help.
     std::string help;
-    /// The page that describes the settings file.
+    /// The documentation page of the settings file, named in the help.
     std::string settingsPage;
-    /// Serves with the settings in the file; returns the exit code.
+    /// Runs the server with the settings in the file; returns the exit code.
     std::function<int(const std::string &settingsFile, std::ostream &err)> serve;
 };
 
-/// Reads the command line and serves; the result is the process's exit code, see ExitCode.
+/// Parses the command line, runs the server and returns the process's exit code, see ExitCode.
 [[nodiscard]] int runServerCommand(const ServerCommand &command, int argc, const char *const *argv, std::ostream &out, std::ostream &err);
 
 } // namespace cardamomstep::cli
--- a/src/logging/boundedlog.cpp
+++ b/src/logging/boundedlog.cpp
@@ -1,4 +1,4 @@
-// Formats lines into a buffer and writes it without blocking.
+// Formats log lines into a buffer and writes it without blocking.
 #include "logging/boundedlog.h"
 
 #include "logging/impl/linetext.h"
@@ -31,15 +31,15 @@
     if (level < level_) {
         return;
     }
-    if (now - second_ >= rateWindow) {
-        second_ = now;
-        linesInSecond_ = 0;
+    if (now - windowStart_ >= rateWindow) {
+        windowStart_ = now;
+        linesInWindow_ = 0;
         if (dropped_ != lastReportedDropped_) {
             append(LogLevel::Warning, "log_dropped", {{"lines", static_cast<std::int64_t>(dropped_ - lastReportedDropped_)}});
             lastReportedDropped_ = dropped_;
         }
     }
-    const bool overRate = level < LogLevel::Warning && ++linesInSecond_ > limits_.linesPerSecond;
+    const bool overRate = level < LogLevel::Warning && ++linesInWindow_ > limits_.linesPerSecond;
     if (overRate || buffer_.size() >= limits_.bufferBytes) {
         ++dropped_;
         return;
--- a/src/logging/boundedlog.h
+++ b/src/logging/boundedlog.h
@@ -1,4 +1,4 @@
-// Log lines of a process with one thread: written in batches, bounded, and never waited for.
+// The log of a single-threaded process: bounded in memory and rate, written in batches without blocking.
 #pragma once
 
 #include "base/time.h"
@@ -13,13 +13,13 @@
 
 /// Bounds of a BoundedLog.
 struct BoundedLogLimits {
-    /// Bytes that wait to be written; lines beyond are dropped and counted.
+    /// The buffer size from which on lines of every level are dropped and counted.
     std::size_t bufferBytes = std::size_t{192} << 10U;
-    /// Lines below LogLevel::Warning in one second; lines beyond are dropped and counted.
+    /// The most lines below LogLevel::Warning in one second; further ones are dropped and counted.
     std::uint32_t linesPerSecond = 400;
 };
 
-/// Collects lines and writes them when told to.
+/// Buffers log lines until flush(). Reports dropped lines with the event `log_dropped`.
 class BoundedLog
 {
 public:
@@ -30,13 +30,13 @@
         level_ = level;
     }
 
-    /// Takes one line; \a now is the time of leases and ages, for the rate.
+    /// Buffers one line, or drops it; \a now is used for the rate only, the line has the wall clock time.
     void write(LogLevel level, std::string_view event, const std::vector<LogField> &fields, TimePoint now);
 
-    /// Writes what the descriptor takes without waiting.
+    /// Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
 
-    /// Lines that were dropped so far.
+    /// The number of lines dropped so far.
     [[nodiscard]] std::uint64_t dropped() const noexcept
     {
         return dropped_;
@@ -50,8 +50,8 @@
     std::string instance_;
     BoundedLogLimits limits_;
     std::string buffer_;
-    TimePoint second_;
-    std::uint32_t linesInSecond_ = 0;
+    TimePoint windowStart_;
+    std::uint32_t linesInWindow_ = 0;
     std::uint64_t dropped_ = 0;
     std::uint64_t lastReportedDropped_ = 0;
 };
--- a/src/logging/impl/linetext.h
+++ b/src/logging/impl/linetext.h
@@ -1,4 +1,4 @@
-// The parts of a log line.
+// Formats the parts of a log line.
 #pragma once
 
 #include "settings/settings.h"
@@ -10,10 +10,11 @@
 
 [[nodiscard]] std::string_view levelName(LogLevel level) noexcept;
 
-/// The time of day with milliseconds, in UTC.
+/// The current date and time in UTC with milliseconds, as "2026-01-31T08:05:09.123Z".
 [[nodiscard]] std::string timeNow();
 
-/// Appends \a value as it stands in a key=value line: quoted when it holds anything but plain letters.
+/// Appends \a value in the form of a key=value line: quoted as in JSON when it is empty or contains a space, an equals sign, a quote, a
+/// backslash or a line break.
 void appendValue(std::string &line, std::string_view value);
 
 } // namespace cardamomstep::impl
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-// Structured log lines through Boost.Log.
+// Formats structured log lines and writes them through Boost.Log.
 #include "logging/log.h"
 
 #include "logging/impl/linetext.h"
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -1,4 +1,4 @@
-// Structured log lines: an event name and fields, as key=value or JSON, through Boost.Log.
+// Structured log lines: an event name and fields, as key=value or JSON, written through Boost.Log.
 #pragma once
 
 #include "base/result.h"
@@ -11,7 +11,7 @@
 
 namespace cardamomstep {
 
-/// One field of a log line. Never put statement arguments or tokens into one.
+/// One field of a log line. Must not contain statement arguments or tokens.
 struct LogField {
     std::string_view key;
     std::string value;
@@ -38,13 +38,13 @@
     }
 };
 
-/// Sets level, form and target of the log; the error is ErrorKind::InvalidSettings when the file cannot be opened.
+/// Sets the level, the format and the target of the log; the error is ErrorKind::InvalidSettings when the file cannot be opened.
 [[nodiscard]] Result<Success> setUpLog(const LogSettings &settings, const std::string &instance);
 
-/// Writes one line with a time, the level, the instance, \a event and \a fields.
+/// Writes one line with the time, the level, the instance, \a event and \a fields, unless \a level is below the log's.
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 
-/// The line that logEvent() writes, without its time; \a instance and \a level included.
+/// Formats the line that logEvent() writes, without its time.
 [[nodiscard]] std::string
 formatLine(LogFormat format, LogLevel level, std::string_view instance, std::string_view event, std::initializer_list<LogField> fields);
 
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,4 @@
-// Counters and time distributions of one process, kept by Boost.Accumulators.
+// Counters, gauges and time distributions of one process; distributions are kept by Boost.Accumulators.
 #pragma once
 
 #include "base/time.h"
@@ -11,9 +11,9 @@
 
 namespace cardamomstep {
 
-/// Named counters, gauges and distributions; safe for use by many threads.
+/// Named counters, gauges and distributions; thread-safe.
 ///
-/// Names are those of the metrics page: lower-case words joined by underscores, labels in braces, for example
+/// Names appear on the metrics page as given: lower-case words joined by underscores, labels in braces, for example
 /// `statements_total{access="read"}`.
 class Metrics
 {
@@ -29,10 +29,10 @@
     /// Sets a gauge.
     void set(const std::string &name, double value);
 
-    /// Takes one measured duration into a distribution.
+    /// Adds one measured duration to a distribution.
     void observe(const std::string &name, Microseconds value);
 
-    /// The value of a counter; 0 when it was never counted.
+    /// The value of a counter; 0 when it doesn't exist.
     [[nodiscard]] std::uint64_t counter(const std::string &name) const;
 
     /// All values as text, one line each: counters, gauges, and for distributions count, mean, p50, p99 and max in milliseconds.
@@ -42,7 +42,7 @@
     struct Distribution;
 
     mutable std::mutex mutex_;
-    /// All guarded by mutex_.
+    /// These maps are guarded by mutex_.
     std::map<std::string, std::uint64_t> counters_;
     std::map<std::string, double> gauges_;
     std::map<std::string, std::unique_ptr<Distribution>> distributions_;
--- a/src/trace/fwd.h
+++ b/src/trace/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the trace slice: recorded inputs and actions of decision machines, and their replay.
+// Forward declarations of the trace module: recorded inputs and actions of state machines, and their replay.
 #pragma once
 
 namespace cardamomstep::trace {
--- a/src/trace/groupinput.cpp
+++ b/src/trace/groupinput.cpp
@@ -1,4 +1,4 @@
-// Calls the GroupMonitor's function that belongs to an input.
+// Calls the GroupMonitor's function that handles an input.
 #include "trace/groupinput.h"
 
 namespace cardamomstep::trace {
--- a/src/trace/groupinput.h
+++ b/src/trace/groupinput.h
@@ -1,4 +1,4 @@
-// The inputs of a GroupMonitor as values, so that they can be recorded and given again.
+// The inputs of a GroupMonitor as values, so that they can be recorded and replayed.
 #pragma once
 
 #include "groups/monitor.h"
@@ -18,7 +18,7 @@
     MemberReport report;
     TimePoint sentAt;
 };
-/// GroupMonitor::onLinkFailure().
+/// GroupMonitor::onConnectionFailure().
 struct ReportFailure {
     MemberName member;
     ConnectionFailure failure;
@@ -38,7 +38,7 @@
     Term term;
     ConnectionFailure failure;
 };
-/// GroupMonitor::onPeerSighting().
+/// GroupMonitor::onPeerObservation().
 struct Observation {
     InstanceName peer;
     PeerObservation observation;
@@ -63,7 +63,7 @@
 struct RequestSwitchover {
     MemberName leaving;
 };
-/// GroupMonitor::onPeerHold().
+/// GroupMonitor::onPeerWritePause().
 struct PeerWritePause {
     TimePoint until;
 };
@@ -82,7 +82,7 @@
                                 RequestSwitchover,
                                 PeerWritePause>;
 
-/// Gives \a input to \a monitor at \a now.
+/// Calls the function of \a monitor that handles \a input, at the time \a now, and returns its actions.
 [[nodiscard]] GroupActions apply(GroupMonitor &monitor, const GroupInput &input, TimePoint now);
 
 } // namespace cardamomstep::trace
--- a/src/trace/grouplines.cpp
+++ b/src/trace/grouplines.cpp
@@ -192,7 +192,7 @@
 
 Error malformed(const std::exception &fault)
 {
-    return {ErrorKind::MalformedRequest, std::string("not a line of a trace: ") + fault.what()};
+    return {ErrorKind::MalformedRequest, std::string("not a trace line: ") + fault.what()};
 }
 
 GroupStart startOf(const Json &json)
@@ -269,7 +269,8 @@
         const auto version = json.at("trace").get<std::string>();
         const auto machine = json.at("machine").get<std::string>();
         if (version != formatVersion || machine != machineName) {
-            return Error{ErrorKind::UnsupportedVersion, "cannot replay \"" + version + "\" of the machine \"" + machine + "\""};
+            return Error{ErrorKind::UnsupportedVersion,
+                         "cannot replay the format \"" + version + "\" of the state machine \"" + machine + "\""};
         }
         return startOf(json);
     } catch (const std::exception &fault) {
--- a/src/trace/grouplines.h
+++ b/src/trace/grouplines.h
@@ -1,6 +1,6 @@
-// The lines of a GroupMonitor's trace: one JSON object each, no statement arguments.
+// The lines of a GroupMonitor's trace: one JSON object each, without statement arguments.
 //
-// The first line describes the machine, each further one an input with the actions that followed, or a stated outcome:
+// The first line describes the state machine; each further one has an input and the resulting actions, or an expected outcome:
 //     {"trace": "cardamomstep/1", "machine": "group-monitor", "group": "ledger-1", "members": [...], "policy": {...}, ...}
 //     {"at": 1000000, "input": {"kind": "tick"}, "actions": [{"kind": "send-report", "member": "m1", ...}]}
 //     {"at": 2000000, "outcome": {"primary": "m2", "term": "3.1f", "confirmed": true}}
@@ -17,10 +17,10 @@
 
 namespace cardamomstep::trace {
 
-/// Version of the format, as the first line names it.
+/// The version of the format, as it stands in the first line.
 inline constexpr std::string_view formatVersion = "cardamomstep/1";
 
-/// What a GroupMonitor was made of.
+/// The arguments that a GroupMonitor was constructed with.
 struct GroupStart {
     GroupName group;
     std::vector<GroupMember> members;
@@ -30,13 +30,13 @@
     TimePoint now;
 };
 
-/// A further line: an input with its actions, or a stated outcome.
+/// A further line: an input with its actions, or an expected outcome.
 struct GroupStep {
     TimePoint now;
     std::optional<GroupInput> input;
     /// Each action as JSON text.
     std::vector<std::string> actions;
-    /// The primary that must be known now, as JSON text; "null" for none.
+    /// The primary that the monitor must have at \a now, as JSON text; "null" for none.
     std::optional<std::string> outcome;
 };
 
@@ -46,13 +46,13 @@
 /// \a primary as JSON text.
 [[nodiscard]] std::string outcomeText(const std::optional<PrimaryInfo> &primary);
 
-/// The first line.
+/// Formats the first line.
 [[nodiscard]] std::string startLine(const GroupStart &start);
 
-/// The line of an input and the actions that followed.
+/// Formats the line of an input and its actions.
 [[nodiscard]] std::string stepLine(const GroupInput &input, const GroupActions &actions, TimePoint now);
 
-/// The line that states an outcome.
+/// Formats the line of an expected outcome.
 [[nodiscard]] std::string outcomeLine(const std::optional<PrimaryInfo> &primary, TimePoint now);
 
 /// Reads the first line; errors are MalformedRequest and UnsupportedVersion.
--- a/src/trace/impl/values.cpp
+++ b/src/trace/impl/values.cpp
@@ -1,4 +1,4 @@
-// Writes and reads values of the groups slice as JSON.
+// Writes and reads values of the groups module as JSON.
 #include "trace/impl/values.h"
 
 #include <array>
@@ -37,7 +37,7 @@
     {"switchoverRetry", &GroupPolicy::switchoverRetry},
 }};
 
-// A field that is missing here would make replays differ.
+// A field of GroupPolicy that is missing from the table would not be recorded, so replays would differ.
 static_assert(sizeof(GroupPolicy) == (policyFields.size() + 1) * sizeof(Milliseconds), "every field of GroupPolicy is listed");
 
 constexpr const char *replicaFactor = "replicaHeartbeatFactor";
@@ -75,16 +75,16 @@
             return known;
         }
     }
-    throw BadValue("unknown word " + json.dump());
+    throw BadValue("unknown value " + json.dump());
 }
 
 LogPosition readLogPosition(const Json &json)
 {
-    const auto mark = parseLogPosition(json.get<std::string>());
-    if (!mark) {
-        throw BadValue(mark.error().description);
+    const auto position = parseLogPosition(json.get<std::string>());
+    if (!position) {
+        throw BadValue(position.error().description);
     }
-    return *mark;
+    return *position;
 }
 
 } // namespace
--- a/src/trace/impl/values.h
+++ b/src/trace/impl/values.h
@@ -1,4 +1,4 @@
-// JSON forms of the values in traces. Readers throw nlohmann::json::exception or BadValue; only for use inside the slice.
+// JSON forms of the values in traces, for use inside this module only. Readers throw nlohmann::json::exception or BadValue.
 #pragma once
 
 #include "groups/policy.h"
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-/// A value that has the right JSON type but no meaning.
+/// Thrown for a value that has the right JSON type but is invalid.
 class BadValue : public std::runtime_error
 {
 public:
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -1,4 +1,4 @@
-// Gives recorded inputs to a fresh machine and finds the first difference.
+// Replays recorded inputs on a new GroupMonitor and finds the first difference.
 #include "trace/replay.h"
 
 #include "trace/grouplines.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Longest line that is read; longer ones are no lines of a trace.
+/// The longest accepted line; trace lines are shorter.
 constexpr std::size_t maxLineBytes = std::size_t{1} << 20U;
 
 constexpr const char *nothing = "nothing";
@@ -89,7 +89,7 @@
     }
     const auto &difference = *report->difference;
     out << "different at line " << difference.line << "\n"
-        << "  stated:   " << difference.recorded << "\n"
+        << "  recorded: " << difference.recorded << "\n"
         << "  replayed: " << difference.replayed << "\n";
     return ReplayExit::Different;
 }
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -1,4 +1,4 @@
-// Replays a recorded trace and compares the decisions with the stated ones.
+// Replays a recorded trace and compares the decisions with the recorded ones.
 #pragma once
 
 #include "base/result.h"
@@ -12,20 +12,20 @@
 
 namespace cardamomstep::trace {
 
-/// The first place where a replay decided otherwise.
+/// The first difference between a trace and its replay.
 struct ReplayDifference {
-    /// Line of the trace, counted from 1.
+    /// The line of the trace, counted from 1.
     std::size_t line = 0;
-    /// What the trace states, and what the machine did now; "nothing" where one side has no action.
+    /// The recorded and the replayed action or outcome as JSON text; "nothing" where one side has no action.
     std::string recorded;
     std::string replayed;
 
     [[nodiscard]] bool operator==(const ReplayDifference &) const = default;
 };
 
-/// What a replay showed.
+/// The result of a replay.
 struct ReplayReport {
-    /// Inputs given and outcomes compared, up to the difference.
+    /// The number of inputs replayed and outcomes compared, up to and including the difference.
     std::size_t steps = 0;
     std::optional<ReplayDifference> difference;
 
@@ -34,7 +34,7 @@
 
 /// Replays the trace in \a lines up to the first difference.
 ///
-/// Errors: UnsupportedVersion, and MalformedRequest with the line in its position.
+/// The error is ErrorKind::UnsupportedVersion, ErrorKind::MalformedRequest or ErrorKind::TooLarge; its position has the line.
 [[nodiscard]] Result<ReplayReport> replay(std::istream &lines);
 
 /// Exit codes of runReplay().
@@ -44,7 +44,7 @@
     Unreadable = 2,
 };
 
-/// Replays the trace in \a lines and tells people the result: the subcommand `replay`.
+/// Replays the trace in \a lines and writes the result as text: the subcommand `replay`.
 [[nodiscard]] ReplayExit runReplay(std::istream &lines, std::ostream &out, std::ostream &errors);
 
 } // namespace cardamomstep::trace
--- a/src/trace/tracedmonitor.h
+++ b/src/trace/tracedmonitor.h
@@ -1,4 +1,4 @@
-// A GroupMonitor that records its inputs and actions as it goes.
+// A GroupMonitor that records its inputs and actions.
 #pragma once
 
 #include "trace/grouplines.h"
@@ -9,7 +9,7 @@
 
 namespace cardamomstep::trace {
 
-/// Takes the lines of a trace, without line ends; must not block, since it is called between an input and its actions.
+/// Receives the lines of a trace, without line ends; must not block, since it is called between an input and its actions.
 template<typename T>
 concept LineSink = std::invocable<T &, const std::string &>;
 
@@ -31,7 +31,7 @@
         sink_(startLine(start));
     }
 
-    /// Gives \a input to the monitor.
+    /// Applies \a input to the monitor, records it with the resulting actions and returns them.
     [[nodiscard]] GroupActions handle(const GroupInput &input, TimePoint now)
     {
         auto actions = apply(monitor_, input, now);
@@ -39,13 +39,13 @@
         return actions;
     }
 
-    /// States the present primary as the outcome that a replay must reach.
+    /// Records the current primary as the outcome that a replay must reach.
     void recordOutcome(TimePoint now)
     {
         sink_(outcomeLine(monitor_.primary(), now));
     }
 
-    /// The monitor, for questions.
+    /// The monitor, for queries.
     [[nodiscard]] const GroupMonitor &monitor() const noexcept
     {
         return monitor_;
--- a/tests/cli/test_cli.cpp
+++ b/tests/cli/test_cli.cpp
@@ -1,4 +1,4 @@
-// Tests of the operators' commands against an in-process proxy: help, usage, exit codes, races and lost answers.
+// Tests of the operators' commands against an in-process proxy: help, usage, exit codes, concurrent changes and lost answers.
 #include "cli/run.h"
 #include "http/server.h"
 #include "operators/fakes.h"
@@ -46,7 +46,7 @@
     return text.find(part) != std::string::npos;
 }
 
-/// A proxy that answers operators on the address \a address, which the environment names.
+/// A proxy that serves the operators' interface at \a address; sets the environment variables that make the commands use it.
 struct Proxy {
     explicit Proxy(const std::string &address)
         : server(std::move(*http::Server::start({.listen = Address{address}}, [this](const http::Request &request) {
@@ -65,7 +65,7 @@
     std::unique_ptr<http::Server> server;
 };
 
-/// A folder that is gone after the test.
+/// A temporary folder, removed by the destructor.
 struct Folder {
     Folder()
     {
@@ -103,7 +103,7 @@
     cr_assert(run({}).code == 2);
 }
 
-Test(cli, wrongUsageNamesTheNearestWord)
+Test(cli, wrongUsageSuggestsTheNearestName)
 {
     const auto command = run({"aply"});
     cr_assert(command.code == 2 && command.out.empty() && contains(command.err, "did you mean \"apply\"?"));
@@ -154,8 +154,8 @@
     Proxy proxy("127.0.0.1:18301");
     const Folder folder;
     const auto file = folder.write("g.json", groupText("g", 3));
-    const auto tried = run({"apply", "-f", file, "--dry-run"});
-    cr_assert(tried.code == 0 && contains(tried.out, "DatabaseGroup/g: would change"));
+    const auto dryRun = run({"apply", "-f", file, "--dry-run"});
+    cr_assert(dryRun.code == 0 && contains(dryRun.out, "DatabaseGroup/g: would change"));
     cr_assert(run({"get", "DatabaseGroup", "g"}).code == 1);
     const auto created = run({"apply", "-f", file, "--wait"});
     cr_assert(created.code == 0 && contains(created.out, "DatabaseGroup/g: version 1 ("), "%s%s", created.out.c_str(), created.err.c_str());
@@ -177,15 +177,15 @@
     cr_assert(run({"get", "DatabaseGroup", "g"}).code == 1);
 }
 
-Test(cli, conflictsTellTheCurrentVersion)
+Test(cli, conflictsReportTheCurrentVersion)
 {
     Proxy proxy("127.0.0.1:18302");
     const Folder folder;
     const auto file = folder.write("g.json", groupText("g", 3));
     cr_assert(run({"apply", "-f", file, "--expect", "0"}).code == 0);
     folder.write("g.json", groupText("g", 4));
-    const auto late = run({"apply", "-f", file, "--expect", "0"});
-    cr_assert(late.code == 3 && late.out.empty() && contains(late.err, "(current version 1)"), "%s", late.err.c_str());
+    const auto stale = run({"apply", "-f", file, "--expect", "0"});
+    cr_assert(stale.code == 3 && stale.out.empty() && contains(stale.err, "(current version 1)"), "%s", stale.err.c_str());
     cr_assert(run({"delete", "DatabaseGroup", "g", "--expect", "9"}).code == 3);
 }
 
@@ -225,7 +225,7 @@
     cr_assert(run({"get", "StopPlan", "p"}).code == 1);
 }
 
-Test(cli, allFaultsOfAllFilesComeBeforeAnythingIsSent)
+Test(cli, allFaultsOfAllFilesAreReportedBeforeAnythingIsSent)
 {
     Proxy proxy("127.0.0.1:18305");
     const Folder folder;
@@ -236,7 +236,7 @@
     const auto result = run({"apply", "-f", folder.path});
     cr_assert(result.code == 1 && result.out.empty());
     cr_assert(contains(result.err, "b.json:5: spec.slots: invalid-record") && contains(result.err, "c.json:2: kind: ")
-                  && contains(result.err, "DatabaseGroup/g comes twice"),
+                  && contains(result.err, "DatabaseGroup/g is defined twice"),
               "%s",
               result.err.c_str());
     cr_assert(proxy.store.catalog()->entries().empty());
@@ -282,7 +282,7 @@
     Proxy proxy("127.0.0.1:18308");
     proxy.store.outage = Error{ErrorKind::StoreUnavailable, "down"}.withRetryAfter(Milliseconds{1500});
     const auto down = run({"apply", "-f", file});
-    cr_assert(down.code == 4 && contains(down.err, "(come back after 1500 ms)"), "%s", down.err.c_str());
+    cr_assert(down.code == 4 && contains(down.err, "(retry after 1500 ms)"), "%s", down.err.c_str());
 }
 
 Test(cli, lostAnswersExitWithFive)
@@ -311,7 +311,7 @@
     cr_assert(result.code == 1 && contains(result.err, "unauthorized") && !contains(result.err, "fedcba"));
 }
 
-Test(cli, theClientFileComesAfterFlagsAndEnvironment)
+Test(cli, flagsAndEnvironmentOverrideTheClientFile)
 {
     Proxy proxy("127.0.0.1:18311");
     const Folder folder;
@@ -329,18 +329,18 @@
     cr_assert(wrong.code == 2 && contains(wrong.err, "client.json:1: adress: invalid-settings: unknown key"), "%s", wrong.err.c_str());
 }
 
-Test(cli, watchTellsChangesAndEndsAfterItsCount)
+Test(cli, watchWritesChangesAndStopsAfterItsCount)
 {
     Proxy proxy("127.0.0.1:18313");
     const Folder folder;
     cr_assert(run({"apply", "-f", folder.write("g.json", groupText("g", 1))}).code == 0);
-    std::thread later([&folder] {
+    std::thread writer([&folder] {
         std::this_thread::sleep_for(Milliseconds{50});
         run({"apply", "-f", folder.write("h.json", groupText("h", 1))});
         run({"delete", "DatabaseGroup", "g"});
     });
     const auto watched = run({"watch", "--count", "2", "--after", "1"});
-    later.join();
+    writer.join();
     cr_assert(watched.code == 0, "%s", watched.err.c_str());
     cr_assert(contains(watched.out, "\"name\":\"h\"") && contains(watched.out, "\"deleted\":true"));
     cr_assert(std::count(watched.out.begin(), watched.out.end(), '\n') == 2);
@@ -355,7 +355,7 @@
     cr_assert(contains(result.err, "p.json:2: instance: ") && contains(result.err, "p.json:3: drainMs: "));
 }
 
-Test(cli, aGoneReaderIsNoFailureButAFullDiskIs)
+Test(cli, aClosedPipeIsNoFailureButAFullDiskIs)
 {
     Proxy proxy("127.0.0.1:18315");
     for (int index = 0; index < 60; ++index) {
@@ -371,16 +371,16 @@
         cr_assert(pipe(ends) == 0);
         close(ends[0]);
         dup2(ends[1], STDOUT_FILENO);
-        const int gone = cli::runCommand(static_cast<int>(line.size()), line.data(), std::cout, err);
+        const int closedPipeCode = cli::runCommand(static_cast<int>(line.size()), line.data(), std::cout, err);
         std::cout.clear();
         const int full = open("/dev/full", O_WRONLY);
         dup2(full, STDOUT_FILENO);
         std::ostringstream fullErr;
-        const int lost = cli::runCommand(static_cast<int>(line.size()), line.data(), std::cout, fullErr);
+        const int fullDiskCode = cli::runCommand(static_cast<int>(line.size()), line.data(), std::cout, fullErr);
         std::cout.clear();
         dup2(before, STDOUT_FILENO);
-        cr_assert(gone == 0 && err.str().empty(), "%s: %d %s", line[1], gone, err.str().c_str());
-        cr_assert(lost == 1 && contains(fullErr.str(), "cannot be written"), "%s: %d", line[1], lost);
+        cr_assert(closedPipeCode == 0 && err.str().empty(), "%s: %d %s", line[1], closedPipeCode, err.str().c_str());
+        cr_assert(fullDiskCode == 1 && contains(fullErr.str(), "cannot be written"), "%s: %d", line[1], fullDiskCode);
     }
 }
 
@@ -407,7 +407,7 @@
     cr_assert(bad.code == 2 && contains(bad.err, "failureDomain"));
 }
 
-Test(cli, explainTellsWhatHappenedAndWhatWasBelieved)
+Test(cli, explainShowsTheRequestsEventsAndTheStateChangesBeforeThem)
 {
     const Folder folder;
     const auto log = folder.write(
@@ -421,7 +421,8 @@
     const auto result = run({"explain", "--id", "77", log});
     cr_assert(result.code == 0, "%s", result.err.c_str());
     cr_assert(contains(result.out, "outcome=no-primary") && contains(result.out, "held=1"));
-    cr_assert(!contains(result.out, "held=0"), "older beliefs and those of other processes explain nothing");
+    cr_assert(!contains(result.out, "held=0"), "older state changes and those of other processes are left out");
     cr_assert(run({"explain", "--id", "78", log}).code == 1);
-    cr_assert(contains(run({"explain", "--id", "79", log}).out, "outcome=overloaded"), "a transaction is found by the id that began it");
+    cr_assert(contains(run({"explain", "--id", "79", log}).out, "outcome=overloaded"),
+              "a transaction is found by the id of the statement that began it");
 }
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -1,8 +1,8 @@
 // Tests of recording and replaying a group's decisions.
 //
-// tests/trace/golden/failover.jsonl is a whole session: bootstrap, the primary's death, its return and a switchover.
-// tests/trace/recorded holds traces of real processes under failure, made by bench/record_traces.py.
-// After an intended change of the decisions, write it anew with CARDAMOMSTEP_WRITE_GOLDEN=1 and review the difference.
+// tests/trace/golden/failover.jsonl is a whole session: bootstrap, a crash of the primary, its return and a switchover. After an intended
+// change of the decisions, regenerate it with CARDAMOMSTEP_WRITE_GOLDEN=1 and review the difference.
+// tests/trace/recorded holds traces of real processes under failures, made by bench/record_traces.py.
 #include "trace/replay.h"
 #include "trace/tracedmonitor.h"
 
@@ -24,7 +24,7 @@
 constexpr const char *goldenPath = "tests/trace/golden/failover.jsonl";
 constexpr Milliseconds oneWay{3};
 
-/// Three members that keep the rules of docs/design/member.md, and one owner that is recorded.
+/// A simulation of three members that follow the rules of docs/design/member.md, and of one owner, whose trace is recorded.
 class Session
 {
 public:
@@ -60,12 +60,12 @@
         monitor_.recordOutcome(now_);
     }
 
-    void setUp(const char *member, bool up)
+    void setMemberUp(const char *member, bool up)
     {
         members_[MemberName{member}].up = up;
     }
 
-    void leave(const MemberName &member)
+    void requestSwitchover(const MemberName &member)
     {
         handle(RequestSwitchover{member});
     }
@@ -99,7 +99,7 @@
         return start;
     }
 
-    void at(Microseconds delay, std::function<void()> action)
+    void schedule(Microseconds delay, std::function<void()> action)
     {
         events_.emplace(now_ + delay, std::move(action));
     }
@@ -114,20 +114,20 @@
     void perform(const GroupAction &action)
     {
         if (const auto *report = std::get_if<SendReport>(&action)) {
-            ask(*report);
+            sendReport(*report);
         } else if (const auto *adopt = std::get_if<SendAdopt>(&action)) {
-            order(OrderKind::Adopt, adopt->member, adopt->term);
+            sendOrder(OrderKind::Adopt, adopt->member, adopt->term);
         } else if (const auto *lead = std::get_if<SendLead>(&action)) {
-            order(OrderKind::Lead, lead->member, lead->term);
+            sendOrder(OrderKind::Lead, lead->member, lead->term);
         } else if (const auto *follow = std::get_if<SendFollow>(&action)) {
-            order(OrderKind::Follow, follow->member, follow->term);
+            sendOrder(OrderKind::Follow, follow->member, follow->term);
         }
     }
 
-    void ask(const SendReport &action)
+    void sendReport(const SendReport &action)
     {
-        at(oneWay + action.wait, [this, name = action.member, sentAt = now_] {
-            at(oneWay, [this, name, sentAt, up = members_[name].up, report = members_[name].report] {
+        schedule(oneWay + action.wait, [this, name = action.member, sentAt = now_] {
+            schedule(oneWay, [this, name, sentAt, up = members_[name].up, report = members_[name].report] {
                 if (up) {
                     handle(Report{name, report, sentAt});
                 } else {
@@ -137,12 +137,12 @@
         });
     }
 
-    void order(OrderKind kind, const MemberName &name, const Term &term)
+    void sendOrder(OrderKind kind, const MemberName &name, const Term &term)
     {
-        at(oneWay, [this, kind, name, term, sentAt = now_] {
+        schedule(oneWay, [this, kind, name, term, sentAt = now_] {
             auto &member = members_[name];
-            const bool accepted = member.up && serve(member.report, kind, term);
-            at(oneWay, [this, kind, name, term, sentAt, accepted, up = member.up, report = member.report] {
+            const bool accepted = member.up && handleOrder(member.report, kind, term);
+            schedule(oneWay, [this, kind, name, term, sentAt, accepted, up = member.up, report = member.report] {
                 if (up) {
                     handle(OrderReply{name, kind, term, {accepted, report}, sentAt});
                 } else {
@@ -152,7 +152,7 @@
         });
     }
 
-    bool serve(MemberReport &report, OrderKind kind, const Term &term)
+    bool handleOrder(MemberReport &report, OrderKind kind, const Term &term)
     {
         const bool lower = term < report.adopted || (kind == OrderKind::Lead && term != report.adopted);
         if (lower) {
@@ -189,14 +189,14 @@
     session.run(Milliseconds{300});
     const auto first = session.primary();
     cr_assert(!first.empty());
-    session.setUp(first.text().c_str(), false);
+    session.setMemberUp(first.text().c_str(), false);
     session.run(Milliseconds{600});
     const auto second = session.primary();
     cr_assert(!second.empty());
     cr_assert(second != first);
-    session.setUp(first.text().c_str(), true);
+    session.setMemberUp(first.text().c_str(), true);
     session.run(Milliseconds{400});
-    session.leave(second);
+    session.requestSwitchover(second);
     session.run(Milliseconds{600});
     cr_assert(!session.primary().empty());
     cr_assert(session.primary() != second);
@@ -230,7 +230,7 @@
     cr_assert(exit == ReplayExit::Same, "%s%s", out.str().c_str(), faults.str().c_str());
 }
 
-Test(trace, recordingIsTheSameEachTime)
+Test(trace, recordingIsDeterministic)
 {
     const auto text = recordedSession();
     cr_assert(text == recordedSession());
@@ -270,7 +270,7 @@
     cr_assert((bool(more) && more->difference.has_value()));
 }
 
-Test(trace, statedOutcomeIsCompared)
+Test(trace, recordedOutcomeIsCompared)
 {
     const auto report = replayText(replaced(recordedSession(), "\"confirmed\":true", "\"confirmed\":false"));
     cr_assert((bool(report) && report->difference.has_value()));
@@ -297,38 +297,40 @@
     cr_assert(recordedSession().find("10.0.0.9") == std::string::npos);
 }
 
-Test(trace, everyInputSurvivesItsLine)
+Test(trace, everyInputIsReadBackFromItsLine)
 {
-    const bool holds = rc::check("inputs survive", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position, bool flag) {
-        const Term term{number, proposer};
-        const MemberReport report{
-            MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, LogPosition{term, position}, flag};
-        const TimePoint time{Microseconds{*rc::gen::inRange<std::int64_t>(0, 1'000'000'000'000)}};
-        GroupPolicy policy;
-        policy.silenceBound = Milliseconds{*rc::gen::inRange(1, 10'000)};
-        policy.replicaHeartbeatFactor = *rc::gen::inRange(1U, 9U);
-        const std::vector<GroupInput> inputs{Tick{},
-                                             Report{report.member, report, time},
-                                             ReportFailure{report.member, {ConnectionFault::Corrupt, flag, {}}},
-                                             OrderReply{report.member, OrderKind::Lead, term, {flag, report}, time},
-                                             OrderFailure{report.member, OrderKind::Follow, term, {ConnectionFault::TimedOut, flag, {}}},
-                                             Observation{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
-                                             StatementEvidence{report.member},
-                                             SetRank{3},
-                                             SetMembers{{{report.member, Address{"10.0.0.1:1"}}}},
-                                             SetPolicy{policy},
-                                             RequestSwitchover{report.member},
-                                             PeerWritePause{time}};
-        RC_ASSERT(inputs.size() == std::variant_size_v<GroupInput>);
-        for (std::size_t index = 0; index < inputs.size(); ++index) {
-            RC_ASSERT(inputs[index].index() == index);
-            const auto line = stepLine(inputs[index], {}, time);
-            const auto step = readStep(line);
-            RC_ASSERT(bool(step));
-            RC_ASSERT(step->input.has_value());
-            RC_ASSERT(stepLine(*step->input, {}, step->now) == line);
-        }
-    });
+    const bool holds =
+        rc::check("inputs are read back", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position, bool flag) {
+            const Term term{number, proposer};
+            const MemberReport report{
+                MemberName{"m\"1"}, flag ? MemberRole::Primary : MemberRole::Replica, term, LogPosition{term, position}, flag};
+            const TimePoint time{Microseconds{*rc::gen::inRange<std::int64_t>(0, 1'000'000'000'000)}};
+            GroupPolicy policy;
+            policy.silenceBound = Milliseconds{*rc::gen::inRange(1, 10'000)};
+            policy.replicaHeartbeatFactor = *rc::gen::inRange(1U, 9U);
+            const std::vector<GroupInput> inputs{
+                Tick{},
+                Report{report.member, report, time},
+                ReportFailure{report.member, {ConnectionFault::Corrupt, flag, {}}},
+                OrderReply{report.member, OrderKind::Lead, term, {flag, report}, time},
+                OrderFailure{report.member, OrderKind::Follow, term, {ConnectionFault::TimedOut, flag, {}}},
+                Observation{InstanceName{"p"}, {report.member, term, term, report.log, Milliseconds{5}}},
+                StatementEvidence{report.member},
+                SetRank{3},
+                SetMembers{{{report.member, Address{"10.0.0.1:1"}}}},
+                SetPolicy{policy},
+                RequestSwitchover{report.member},
+                PeerWritePause{time}};
+            RC_ASSERT(inputs.size() == std::variant_size_v<GroupInput>);
+            for (std::size_t index = 0; index < inputs.size(); ++index) {
+                RC_ASSERT(inputs[index].index() == index);
+                const auto line = stepLine(inputs[index], {}, time);
+                const auto step = readStep(line);
+                RC_ASSERT(bool(step));
+                RC_ASSERT(step->input.has_value());
+                RC_ASSERT(stepLine(*step->input, {}, step->now) == line);
+            }
+        });
     cr_assert(holds);
 }
 
