--- a/src/base/error.h
+++ b/src/base/error.h
@@ -1,4 +1,4 @@
-// An error as a value: its kind, a description, where it was found and when to come back.
+// An error as a value: its kind, a description, its source position and its retry-after time.
 #pragma once
 
 #include "base/errorkind.h"
@@ -13,10 +13,10 @@
 
 namespace cardamomstep {
 
-/// A place in a file that a person wrote.
+/// A position in a hand-written file.
 struct SourcePosition {
     std::string file;
-    /// Line, counted from 1; 0 when it is not known.
+    /// Line number, starting at 1; 0 if unknown.
     std::uint32_t line = 0;
     /// Path of the key, for example "limits.callerConnections"; empty for the whole file.
     std::string key;
@@ -24,18 +24,18 @@
     [[nodiscard]] auto operator<=>(const SourcePosition &) const = default;
 };
 
-/// A failure, with all that its answer needs.
+/// A failure, with everything needed to answer the request.
 struct Error {
     ErrorKind kind = ErrorKind::Internal;
-    /// One sentence on this very failure; never holds statement arguments.
+    /// One sentence that describes this failure; never contains statement arguments.
     std::string description;
-    /// Whether the request took effect; starts as the kind's own rule says.
+    /// Whether the request took effect; defaults to the value in the kind's answer rule.
     Ran ran = answerRule(kind).ran;
-    /// When to come back, for kinds that may pass.
+    /// Time after which the caller may retry, for temporary failures.
     std::optional<Milliseconds> retryAfter;
-    /// Where in a file the fault stands, for settings and records.
+    /// Position of the fault in its file, for settings and records.
     std::optional<SourcePosition> position;
-    /// The current version, for ErrorKind::Conflict.
+    /// Current version of the object, for ErrorKind::Conflict.
     std::optional<std::uint64_t> currentVersion;
 
     Error() = default;
@@ -46,14 +46,14 @@
     {
     }
 
-    /// This error with a time to come back.
+    /// Returns this error with \a wait as its retry-after time.
     [[nodiscard]] Error withRetryAfter(Milliseconds wait) &&
     {
         retryAfter = wait;
         return std::move(*this);
     }
 
-    /// This error with another statement on whether the request ran.
+    /// Returns this error with \a value as its `ran`.
     [[nodiscard]] Error withRan(Ran value) &&
     {
         ran = value;
@@ -63,7 +63,7 @@
     [[nodiscard]] bool operator==(const Error &) const = default;
 };
 
-/// Writes "name: description", with the source position in front when there is one.
+/// Writes "name: description", preceded by the source position if there is one.
 std::ostream &operator<<(std::ostream &out, const Error &error);
 
 } // namespace cardamomstep
--- a/src/base/errorkind.h
+++ b/src/base/errorkind.h
@@ -1,4 +1,4 @@
-// The closed list of error kinds and the table from each kind to the answer a caller gets.
+// The error kinds and the table that maps each kind to the answer that a caller gets.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace cardamomstep {
 
-/// Whether a request took effect, as far as the answer can say truthfully.
+/// Whether a request took effect, as far as this process knows for certain.
 enum class Ran : std::uint8_t {
     No, ///< It did not take effect and never will.
     Yes, ///< It took effect.
-    Unknown, ///< It may have taken effect, or may still; its request id tells later.
+    Unknown, ///< It may have taken effect, or may still do so; the outcome can be queried by its request id.
 };
 
-/// Every way in which a request, record, setting or command can fail.
+/// The reason why a request, record, setting or command failed.
 enum class ErrorKind : std::uint8_t {
     // Input
     MalformedRequest,
@@ -57,37 +57,37 @@
     Internal,
 };
 
-/// Number of error kinds.
+/// The number of error kinds.
 inline constexpr std::size_t errorKindCount = static_cast<std::size_t>(ErrorKind::Internal) + 1;
 
-/// The answer that belongs to an error kind.
+/// How a failure of one kind is answered.
 struct AnswerRule {
     ErrorKind kind;
-    /// Stable name in answers and logs.
+    /// Stable name, used in answers and logs.
     std::string_view name;
     /// HTTP status of the answer.
     int status;
-    /// What the answer promises, unless the place that failed knows better.
+    /// Default of Error::ran; code that knows more about a failure overrides it.
     Ran ran;
-    /// True when the same request may succeed later; the answer then says when to come back.
+    /// True if the same request may succeed later; the answer then has a retry-after time.
     bool retryable;
-    /// One sentence for people.
+    /// One sentence for humans.
     std::string_view summary;
 };
 
-/// The rule for \a kind.
+/// Returns the rule for \a kind.
 [[nodiscard]] const AnswerRule &answerRule(ErrorKind kind) noexcept;
 
-/// Finds the kind with the given stable \a name; returns false when there is none.
+/// Sets \a kind to the kind with the stable \a name; returns false if there is none.
 [[nodiscard]] bool errorKindFromName(std::string_view name, ErrorKind &kind) noexcept;
 
-/// "no", "yes" or "unknown".
+/// Returns "no", "yes" or "unknown".
 [[nodiscard]] std::string_view toText(Ran ran) noexcept;
 
-/// The `std::error_category` of ErrorKind.
+/// Returns the `std::error_category` of ErrorKind.
 [[nodiscard]] const std::error_category &errorCategory() noexcept;
 
-/// Makes a `std::error_code` of \a kind; values are 1 and up, since 0 means success.
+/// Returns the `std::error_code` of \a kind; its value is at least 1, since 0 means success.
 [[nodiscard]] std::error_code
 make_error_code(ErrorKind kind) noexcept; // NOLINT(readability-identifier-naming): name set by the standard library
 
--- a/src/base/fwd.h
+++ b/src/base/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the base slice: identifiers, units, log marks and errors.
+// Forward declarations of the base module: identifiers, log positions, errors and random numbers.
 #pragma once
 
 #include <cstdint>
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -1,4 +1,4 @@
-// Stable 64-bit hashing of text: the same on every proxy and in every release.
+// Stable 64-bit hashing of text: equal on every proxy and in every release.
 #pragma once
 
 #include <cstdint>
@@ -6,12 +6,14 @@
 
 namespace cardamomstep {
 
-/// Hashes \a text by FNV-1a with a final mix, chained from \a seed.
+/// Returns the FNV-1a hash of \a text with a final mixing step.
+///
+/// A previous hash as \a seed chains the hashes of several texts.
 [[nodiscard]] constexpr std::uint64_t stableHash(std::string_view text, std::uint64_t seed = 0xcbf29ce484222325ULL) noexcept
 {
     auto hash = seed;
-    for (const char letter : text) {
-        hash ^= static_cast<unsigned char>(letter);
+    for (const char character : text) {
+        hash ^= static_cast<unsigned char>(character);
         hash *= 0x100000001b3ULL;
     }
     hash ^= hash >> 33U;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -1,4 +1,4 @@
-// Strongly typed identifiers, so that the name of one kind of thing is never taken for another's.
+// Strongly typed identifiers, so that an identifier of one kind cannot be used as one of another kind.
 #pragma once
 
 #include "base/fwd.h"
@@ -13,7 +13,7 @@
 
 /// A string identifier that is distinct for each \a Tag.
 ///
-/// Identifiers compare and hash as their text does and convert from text only explicitly.
+/// Identifiers compare and hash by their text; the conversion from text is explicit.
 ///
 /// Example: `const GroupName group{"ledger-1"};`
 template<typename Tag>
@@ -22,19 +22,19 @@
 public:
     StrongId() = default;
 
-    /// Wraps \a text without checking it; checks belong to the place where text enters the process.
+    /// Wraps \a text without validation; text is validated where it enters the process.
     explicit StrongId(std::string text) noexcept
         : text_(std::move(text))
     {
     }
 
-    /// The identifier's text.
+    /// Returns the identifier's text.
     [[nodiscard]] const std::string &text() const noexcept
     {
         return text_;
     }
 
-    /// True when no text was set.
+    /// Returns true if the text is empty.
     [[nodiscard]] bool empty() const noexcept
     {
         return text_.empty();
@@ -54,19 +54,19 @@
 
 /// One running process of this system.
 using InstanceName = StrongId<struct InstanceNameTag>;
-/// A failure domain, as the platform names it.
+/// A failure domain, under the platform's name for it.
 using FailureDomain = StrongId<struct FailureDomainTag>;
-/// A service that callers address, spread over database groups.
+/// A service that callers address; its keys are distributed over database groups.
 using ServiceName = StrongId<struct ServiceNameTag>;
 /// A database group: one primary and its replicas.
 using GroupName = StrongId<struct GroupNameTag>;
 /// A member of a database group.
 using MemberName = StrongId<struct MemberNameTag>;
-/// A caller's name for one request; the same id names the same request everywhere.
+/// A caller's identifier for one request; the same id denotes the same request everywhere.
 using RequestId = StrongId<struct RequestIdTag>;
 /// A transaction that is open on one connection.
 using TransactionId = StrongId<struct TransactionIdTag>;
-/// An address as "IP:port".
+/// A network address of the form "IP:port".
 using Address = StrongId<struct AddressTag>;
 
 } // namespace cardamomstep
--- a/src/base/logposition.cpp
+++ b/src/base/logposition.cpp
@@ -1,4 +1,4 @@
-// Text forms of terms and marks.
+// Text forms of terms and log positions.
 #include "base/logposition.h"
 
 #include <charconv>
@@ -59,12 +59,12 @@
 {
     const auto slash = text.find('/');
     if (slash == std::string_view::npos) {
-        return malformed("log mark", text);
+        return malformed("log position", text);
     }
     const auto term = parseTerm(text.substr(0, slash));
     const auto index = parseNumber(text.substr(slash + 1), decimal);
     if (!term || !index) {
-        return malformed("log mark", text);
+        return malformed("log position", text);
     }
     return LogPosition{*term, *index};
 }
--- a/src/base/logposition.h
+++ b/src/base/logposition.h
@@ -1,4 +1,4 @@
-// Terms and log positions: the order in which a database group's history is compared.
+// Terms and log positions, which order the history of a database group.
 #pragma once
 
 #include "base/fwd.h"
@@ -12,23 +12,23 @@
 
 namespace cardamomstep {
 
-/// A term of leadership in one database group.
+/// A leadership term of one database group.
 ///
-/// The proposer is drawn at random for each promotion attempt, so two attempts never share a term.
-/// Terms are ordered by number first and by proposer second.
+/// The proposer is chosen at random for each promotion attempt, so two attempts never share a term.
+/// Terms are ordered by number, then by proposer.
 struct Term {
-    /// Grows with each promotion; 0 means that no term is known.
+    /// Increases with each promotion; 0 if no term is known.
     std::uint64_t number = 0;
-    /// Tells attempts with the same number apart.
+    /// Distinguishes attempts with the same number.
     std::uint64_t proposer = 0;
 
     [[nodiscard]] constexpr auto operator<=>(const Term &) const noexcept = default;
 };
 
-/// A place in a database group's log: the term of the last entry and its position.
+/// A position in a database group's log: the term of the last entry and its index.
 ///
-/// Marks are ordered by term first. A log whose last entry has a higher term holds every acknowledged
-/// entry of all lower terms, so `member >= wanted` is the whole test for freshness.
+/// Positions are ordered by term, then by index. A log whose last entry has a higher term contains every acknowledged
+/// entry of all lower terms, so `member >= required` is a complete freshness check.
 struct LogPosition {
     Term term;
     /// Number of entries in the log up to and including this one.
@@ -37,16 +37,16 @@
     [[nodiscard]] constexpr auto operator<=>(const LogPosition &) const noexcept = default;
 };
 
-/// \a term as text: the number, a dot, the proposer in hexadecimal, for example "7.1f".
+/// Returns \a term as text: the number, a dot, the proposer in hexadecimal, for example "7.1f".
 [[nodiscard]] std::string toText(const Term &term);
 
-/// \a mark as text: the term, a slash, the position, for example "7.1f/120".
+/// Returns \a position as text: the term, a slash, the index, for example "7.1f/120".
 [[nodiscard]] std::string toText(const LogPosition &position);
 
-/// Reads a term that toText() wrote; the error is ErrorKind::MalformedRequest.
+/// Parses a term as written by toText(); the error is ErrorKind::MalformedRequest.
 [[nodiscard]] Result<Term> parseTerm(std::string_view text);
 
-/// Reads a mark that toText() wrote; the error is ErrorKind::MalformedRequest.
+/// Parses a log position as written by toText(); the error is ErrorKind::MalformedRequest.
 [[nodiscard]] Result<LogPosition> parseLogPosition(std::string_view text);
 
 std::ostream &operator<<(std::ostream &out, const Term &term);
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-// A small seeded generator, so that every random choice can be replayed.
+// A small seeded random number generator, so that every random choice can be replayed.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace cardamomstep {
 
-/// A SplitMix64 generator; it meets the standard's uniform random bit generator requirements.
+/// A SplitMix64 generator that satisfies the standard's uniform random bit generator requirements.
 class Random
 {
 public:
@@ -26,7 +26,7 @@
         return std::numeric_limits<result_type>::max();
     }
 
-    /// The next 64 random bits.
+    /// Returns the next 64 random bits.
     result_type operator()() noexcept
     {
         state_ += 0x9e3779b97f4a7c15ULL;
@@ -36,7 +36,7 @@
         return mixed ^ (mixed >> 31U);
     }
 
-    /// A number from 0 to \a bound - 1; 0 when \a bound is 0.
+    /// Returns a number from 0 to \a bound - 1; 0 if \a bound is 0.
     [[nodiscard]] std::uint64_t below(std::uint64_t bound) noexcept
     {
         return bound == 0 ? 0 : (*this)() % bound;
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,4 +1,4 @@
-// A value or an error: how functions report failure without exceptions.
+// A value or an error, for functions that report failure without exceptions.
 #pragma once
 
 #include "base/error.h"
@@ -22,23 +22,23 @@
 class [[nodiscard]] Result
 {
 public:
-    Result(T value) // NOLINT(google-explicit-constructor): a value is a result
+    Result(T value) // NOLINT(google-explicit-constructor): a function returns its value as it is
         : state_(std::in_place_index<0>, std::move(value))
     {
     }
 
-    Result(Error error) // NOLINT(google-explicit-constructor): an error is a result
+    Result(Error error) // NOLINT(google-explicit-constructor): a function returns its error as it is
         : state_(std::in_place_index<1>, std::move(error))
     {
     }
 
-    /// True when a value is held.
+    /// Returns true if a value is held.
     [[nodiscard]] explicit operator bool() const noexcept
     {
         return state_.index() == 0;
     }
 
-    /// The value; only when one is held.
+    /// Returns the value; requires that one is held.
     [[nodiscard]] const T &operator*() const &noexcept
     {
         return *std::get_if<0>(&state_);
@@ -60,7 +60,7 @@
         return std::get_if<0>(&state_);
     }
 
-    /// The error; only when no value is held.
+    /// Returns the error; requires that no value is held.
     [[nodiscard]] const Error &error() const noexcept
     {
         return *std::get_if<1>(&state_);
@@ -70,7 +70,7 @@
     std::variant<T, Error> state_;
 };
 
-/// The value of an operation that returns nothing but its success.
+/// The value type of an operation that has no result besides its success.
 using Success = std::monostate;
 
 } // namespace cardamomstep
--- a/src/evloop/clock.h
+++ b/src/evloop/clock.h
@@ -1,4 +1,4 @@
-// The clock of leases and ages: it goes on while the machine is suspended.
+// The clock for leases and ages, which continues while the machine is suspended.
 #pragma once
 
 #include "base/time.h"
@@ -7,7 +7,7 @@
 
 namespace cardamomstep::evloop {
 
-/// The time since the machine started, suspension included; never set back.
+/// Returns the time since the machine was booted, including suspension; it never goes backwards.
 [[nodiscard]] inline TimePoint bootTimeNow() noexcept
 {
     std::timespec time{};
--- a/src/evloop/fwd.h
+++ b/src/evloop/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the event loop slice: sockets, HTTP and time of a process with one thread.
+// Forward declarations of the event loop module: sockets, HTTP and time for single-threaded processes.
 #pragma once
 
 namespace cardamomstep::evloop {
--- a/src/evloop/httpclient.cpp
+++ b/src/evloop/httpclient.cpp
@@ -1,4 +1,4 @@
-// One exchange after the other on a kept connection.
+// Runs exchanges one at a time on a keep-alive connection.
 #include "evloop/httpclient.h"
 
 #include "evloop/lineconnection.h"
@@ -14,9 +14,9 @@
 
 namespace {
 
-/// Largest answer that is read.
-constexpr std::uint64_t maxAnswerBytes = std::uint64_t{8} << 20U;
-/// A watch waits long without a byte; a connection that went silent must still show within seconds.
+/// Maximum size of a response body.
+constexpr std::uint64_t maxResponseBytes = std::uint64_t{8} << 20U;
+/// A watch may wait long without receiving a byte; a lost connection must still be detected within seconds.
 constexpr Milliseconds peerTimeout{3000};
 constexpr Seconds keepAliveIdle{1};
 
@@ -26,7 +26,7 @@
     explicit Exchange(asio::io_context &loop)
         : timer(loop)
     {
-        parser.body_limit(maxAnswerBytes);
+        parser.body_limit(maxResponseBytes);
     }
 
     Pending pending;
@@ -50,11 +50,11 @@
 {
     queue_.push_back(Pending{std::move(call), timeout, std::move(done)});
     if (!busy_) {
-        next();
+        startNext();
     }
 }
 
-void HttpClient::next()
+void HttpClient::startNext()
 {
     if (queue_.empty()) {
         return;
@@ -80,7 +80,7 @@
     exchange->timer.async_wait([self, exchange](const error_code &error) {
         if (!error) {
             const auto kind = exchange->sent ? ErrorKind::StoreOutcomeUnknown : ErrorKind::StoreUnavailable;
-            self->finish(exchange, Error{kind, "no answer within " + std::to_string(exchange->pending.timeout.count()) + " ms"}, false);
+            self->finish(exchange, Error{kind, "no reply within " + std::to_string(exchange->pending.timeout.count()) + " ms"}, false);
         }
     });
     if (socket_) {
@@ -104,7 +104,7 @@
 void HttpClient::abandon()
 {
     if (const auto exchange = current_.lock(); exchange && busy_) {
-        finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "given up for a newer call"}, false);
+        finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "abandoned for a newer call"}, false);
     }
 }
 
@@ -117,7 +117,7 @@
             return;
         }
         if (error) {
-            self->finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "the connection broke: " + error.message()}, false);
+            self->finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "the connection was lost: " + error.message()}, false);
             return;
         }
         beast::http::async_read(
@@ -126,26 +126,26 @@
                     return;
                 }
                 if (readError) {
-                    self->finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "no whole answer: " + readError.message()}, false);
+                    self->finish(exchange, Error{ErrorKind::StoreOutcomeUnknown, "incomplete reply: " + readError.message()}, false);
                     return;
                 }
                 auto &message = exchange->parser.get();
-                const bool keep = message.keep_alive();
-                self->finish(exchange, HttpResponse{static_cast<int>(message.result_int()), std::move(message.body())}, keep);
+                const bool keepAlive = message.keep_alive();
+                self->finish(exchange, HttpResponse{static_cast<int>(message.result_int()), std::move(message.body())}, keepAlive);
             });
     });
 }
 
-void HttpClient::finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keep)
+void HttpClient::finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keepAlive)
 {
     if (std::exchange(exchange->finished, true)) {
         return;
     }
     exchange->timer.cancel();
-    if (!keep && socket_) {
-        error_code ignored; // The connection is given up.
+    if (!keepAlive && socket_) {
+        error_code ignored; // The connection is discarded in either case.
         socket_->close(ignored);
-        // Handlers of the exchange may still be queued with the socket's address.
+        // Queued handlers of the exchange may still use the socket, so it is destroyed in a later loop iteration.
         asio::post(loop_, [old = std::shared_ptr<asio::ip::tcp::socket>(std::move(socket_)), exchange] {});
         socket_.reset();
     }
@@ -153,7 +153,7 @@
     const auto self = shared_from_this();
     exchange->pending.done(std::move(result));
     if (!busy_) {
-        next();
+        startNext();
     }
 }
 
--- a/src/evloop/httpclient.h
+++ b/src/evloop/httpclient.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 calls over one kept connection, without blocking.
+// Non-blocking HTTP/1.1 calls over one keep-alive connection.
 #pragma once
 
 #include "base/ids.h"
@@ -28,15 +28,15 @@
     std::vector<std::pair<std::string, std::string>> headers;
 };
 
-/// The whole answer to a call.
+/// The response to a call.
 struct HttpResponse {
     int status = 0;
     std::string body;
 };
 
-/// Calls one server; calls are made one after the other.
+/// A client of one server; calls are made one at a time, in order.
 ///
-/// A failed call is ErrorKind::StoreUnavailable when nothing was sent, else ErrorKind::StoreOutcomeUnknown. No call is repeated.
+/// A call fails with ErrorKind::StoreUnavailable if nothing was sent, otherwise with ErrorKind::StoreOutcomeUnknown. No call is retried.
 class HttpClient : public std::enable_shared_from_this<HttpClient>
 {
 public:
@@ -47,13 +47,13 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Makes \a call; \a done is called once, within about \a timeout of the start of the call.
+    /// Queues \a call; \a done is called once, at most about \a timeout after the call was started.
     void call(HttpCall call, Milliseconds timeout, Handler done);
 
-    /// Ends the call under way, if any, as one whose answer was lost.
+    /// Ends the current call, if any, with ErrorKind::StoreOutcomeUnknown.
     void abandon();
 
-    /// Calls that wait or are under way.
+    /// Returns the number of calls that wait to be started.
     [[nodiscard]] std::size_t pending() const noexcept
     {
         return queue_.size();
@@ -67,9 +67,9 @@
         Handler done;
     };
 
-    void next();
+    void startNext();
     void write(const std::shared_ptr<Exchange> &exchange);
-    void finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keep);
+    void finish(const std::shared_ptr<Exchange> &exchange, Result<HttpResponse> result, bool keepAlive);
 
     boost::asio::io_context &loop_;
     Address server_;
--- a/src/evloop/httpserver.cpp
+++ b/src/evloop/httpserver.cpp
@@ -1,4 +1,4 @@
-// One request after the other on each accepted connection.
+// Serves one request at a time on each accepted connection.
 #include "evloop/httpserver.h"
 
 #include "http/address.h"
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr int backlog = 512;
-/// A connection without a request for this time is closed.
+/// Time without a request after which a connection is closed.
 constexpr std::chrono::seconds idleTimeout{30};
 
-/// One accepted connection; it lives as long as an operation on it is under way.
-class PageSession : public std::enable_shared_from_this<PageSession>
+/// One accepted connection; kept alive by its pending operations.
+class HttpSession : public std::enable_shared_from_this<HttpSession>
 {
 public:
-    PageSession(asio::ip::tcp::socket socket, HttpServer::Handler handler)
+    HttpSession(asio::ip::tcp::socket socket, HttpServer::Handler handler)
         : stream_(std::move(socket))
         , handler_(std::move(handler))
     {
@@ -34,13 +34,13 @@
         stream_.expires_after(idleTimeout);
         beast::http::async_read(stream_, buffer_, request_, [self = shared_from_this()](const error_code &error, std::size_t) {
             if (!error) {
-                self->answer();
+                self->respond();
             }
         });
     }
 
 private:
-    void answer()
+    void respond()
     {
         const auto page = handler_(std::string(request_.target()));
         response_ = {};
@@ -88,7 +88,7 @@
             return;
         }
         if (!error) {
-            std::make_shared<PageSession>(std::move(socket), self->handler_)->read();
+            std::make_shared<HttpSession>(std::move(socket), self->handler_)->read();
         }
         self->accept();
     });
@@ -96,20 +96,20 @@
 
 void HttpServer::stop()
 {
-    error_code ignored; // It listens no more in either case.
+    error_code ignored; // Listening ends in either case.
     acceptor_.close(ignored);
 }
 
 Result<Success> openAcceptor(asio::ip::tcp::acceptor &acceptor, const Address &address)
 {
-    const auto place = http::parseAddress(address);
-    if (!place) {
-        return Error{ErrorKind::InvalidSettings, "not an address: " + address.text()};
+    const auto ipPort = http::parseAddress(address);
+    if (!ipPort) {
+        return Error{ErrorKind::InvalidSettings, "expected IP:port, got " + address.text()};
     }
     error_code error;
-    const auto ip = asio::ip::make_address_v4(place->ip, error);
+    const auto ip = asio::ip::make_address_v4(ipPort->ip, error);
     if (!error) {
-        const asio::ip::tcp::endpoint endpoint(ip, place->port);
+        const asio::ip::tcp::endpoint endpoint(ip, ipPort->port);
         acceptor.open(endpoint.protocol(), error);
         acceptor.set_option(asio::socket_base::reuse_address(true), error);
         acceptor.bind(endpoint, error);
--- a/src/evloop/httpserver.h
+++ b/src/evloop/httpserver.h
@@ -15,17 +15,19 @@
 
 namespace cardamomstep::evloop {
 
-/// What a page answers.
+/// The response to a request for a page.
 struct HttpPage {
     int status = 200;
     std::string body;
 };
 
-/// Serves GET requests; it keeps itself alive while it listens.
+/// Serves pages; it keeps itself alive while it listens.
+///
+/// The handler answers every request, whatever its method.
 class HttpServer : public std::enable_shared_from_this<HttpServer>
 {
 public:
-    /// Answers the request for a path.
+    /// Returns the page for a request's path (with its query).
     using Handler = std::function<HttpPage(const std::string &path)>;
 
     HttpServer(boost::asio::io_context &loop, Handler handler);
@@ -33,6 +35,7 @@
     /// Listens on \a address; the error is ErrorKind::InvalidSettings.
     [[nodiscard]] Result<Success> listen(const Address &address);
 
+    /// Stops listening; open connections are still served.
     void stop();
 
 private:
--- a/src/evloop/lineconnection.cpp
+++ b/src/evloop/lineconnection.cpp
@@ -1,4 +1,4 @@
-// Reading lines, writing in batches, and connecting with a bound.
+// Reads lines, writes in batches, and connects with a timeout.
 #include "evloop/lineconnection.h"
 
 #include "http/address.h"
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Input that was delivered is dropped once it is larger than this.
+/// Delivered input is erased once it is larger than this.
 constexpr std::size_t compactBytes = 16'384;
 
 using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
@@ -33,10 +33,10 @@
     setPeerTimeouts(socket_, limits_.peerTimeout, limits_.keepAliveIdle);
 }
 
-void LineConnection::start(LineHandler onLine, EndHandler onEnd)
+void LineConnection::start(LineHandler onLine, CloseHandler onClose)
 {
     onLine_ = std::move(onLine);
-    onEnd_ = std::move(onEnd);
+    onClose_ = std::move(onClose);
     read();
 }
 
@@ -49,34 +49,34 @@
     socket_.async_read_some(asio::buffer(chunk_), [self = shared_from_this()](const error_code &error, std::size_t count) {
         self->reading_ = false;
         if (error) {
-            self->end(CloseReason::Closed);
+            self->reportClose(CloseReason::Closed);
             return;
         }
-        self->received(count);
+        self->onReceived(count);
     });
 }
 
-void LineConnection::received(std::size_t count)
+void LineConnection::onReceived(std::size_t count)
 {
     if (closed_) {
         return;
     }
     input_.append(chunk_.data(), count);
-    deliver();
+    deliverLines();
     if (!closed_ && input_.size() - consumed_ <= limits_.maxLineBytes) {
         read();
     } else if (!paused_) {
-        end(CloseReason::TooLong);
+        reportClose(CloseReason::TooLong);
     }
 }
 
-void LineConnection::deliver()
+void LineConnection::deliverLines()
 {
-    if (delivering_) {
+    if (deliveringLines_) {
         return;
     }
     const auto self = shared_from_this();
-    delivering_ = true;
+    deliveringLines_ = true;
     while (!paused_ && !closed_ && !closing_) {
         const auto lineEnd = input_.find('\n', std::max(consumed_, scanned_));
         if (lineEnd == std::string::npos) {
@@ -90,7 +90,7 @@
         consumed_ = lineEnd + 1;
         onLine_(line);
     }
-    delivering_ = false;
+    deliveringLines_ = false;
     if (consumed_ == input_.size() || consumed_ > compactBytes) {
         input_.erase(0, consumed_);
         scanned_ = scanned_ > consumed_ ? scanned_ - consumed_ : 0;
@@ -104,10 +104,10 @@
 void LineConnection::resume()
 {
     paused_ = false;
-    if (delivering_) {
+    if (deliveringLines_) {
         return;
     }
-    deliver();
+    deliverLines();
     read();
 }
 
@@ -118,7 +118,7 @@
     }
     queued_ += bytes;
     if (queued_.size() > limits_.maxUnsentBytes) {
-        end(CloseReason::NotReading);
+        reportClose(CloseReason::NotReading);
         return;
     }
     if (writing_ || flushPosted_) {
@@ -149,7 +149,7 @@
         self->writing_ = false;
         self->sending_.clear();
         if (error) {
-            self->end(CloseReason::Closed);
+            self->reportClose(CloseReason::Closed);
             return;
         }
         self->flush();
@@ -170,22 +170,22 @@
         return;
     }
     closed_ = true;
-    error_code ignored; // The connection is gone in either case.
+    error_code ignored; // The connection is closed in either case.
     socket_.shutdown(tcp::socket::shutdown_both, ignored);
     socket_.close(ignored);
-    // The handlers may hold what this object is called from.
+    // The handlers may own the caller of this function, so they are released in a later loop iteration.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
         self->onLine_ = nullptr;
-        self->onEnd_ = nullptr;
+        self->onClose_ = nullptr;
     });
 }
 
-void LineConnection::end(CloseReason reason)
+void LineConnection::reportClose(CloseReason reason)
 {
     if (closed_) {
         return;
     }
-    const auto handler = onEnd_;
+    const auto handler = onClose_;
     if (reason == CloseReason::Closed) {
         abort();
     }
@@ -196,7 +196,7 @@
 
 void setPeerTimeouts(tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle)
 {
-    error_code ignored; // An option that is refused only delays the detection of a lost peer.
+    error_code ignored; // A rejected option only delays the detection of a lost peer.
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(UserTimeout(static_cast<int>(peerTimeout.count())), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -217,10 +217,10 @@
         asio::steady_timer timer;
         bool finished = false;
     };
-    const auto place = http::parseAddress(address);
+    const auto ipPort = http::parseAddress(address);
     error_code failure;
-    const auto ip = place ? asio::ip::make_address_v4(place->ip, failure) : asio::ip::address_v4{};
-    if (!place || failure) {
+    const auto ip = ipPort ? asio::ip::make_address_v4(ipPort->ip, failure) : asio::ip::address_v4{};
+    if (!ipPort || failure) {
         asio::post(loop, [done = std::move(done)] { done(nullptr); });
         return;
     }
@@ -238,7 +238,7 @@
             finish(false);
         }
     });
-    attempt->socket->async_connect(tcp::endpoint(ip, place->port), [finish](const error_code &error) { finish(!error); });
+    attempt->socket->async_connect(tcp::endpoint(ip, ipPort->port), [finish](const error_code &error) { finish(!error); });
 }
 
 } // namespace cardamomstep::evloop
--- a/src/evloop/lineconnection.h
+++ b/src/evloop/lineconnection.h
@@ -1,4 +1,4 @@
-// A TCP connection that carries lines, read and written in batches.
+// A TCP connection that carries lines, which are read and written in batches.
 #pragma once
 
 #include "base/ids.h"
@@ -18,87 +18,90 @@
 
 namespace cardamomstep::evloop {
 
-/// Bounds of a LineConnection.
+/// Limits of a LineConnection.
 struct LineLimits {
-    /// Longest line in bytes, its end included.
+    /// Maximum length of a line in bytes, including its end.
     std::size_t maxLineBytes = std::size_t{1} << 20U;
-    /// Bytes that may wait to be sent before the peer counts as not reading.
+    /// Maximum number of bytes queued for sending; above it, the peer counts as not reading.
     std::size_t maxUnsentBytes = std::size_t{4} << 20U;
-    /// Unacknowledged data for longer means that the peer is gone.
+    /// Time for which sent data may stay unacknowledged before the peer counts as unreachable.
     Milliseconds peerTimeout{5000};
-    /// Silence after which the peer's presence is probed.
+    /// Idle time after which the peer is probed by TCP keep-alive.
     Seconds keepAliveIdle{5};
 };
 
-/// Why a connection ended.
+/// Why a connection was closed or has to be closed.
 enum class CloseReason : std::uint8_t {
-    Closed, ///< By the peer, or broken.
+    Closed, ///< The peer closed the connection, or it broke.
     TooLong, ///< A line exceeded the limit.
-    NotReading, ///< The peer does not read what it is sent.
+    NotReading, ///< The peer does not read the data sent to it.
 };
 
 /// One connection; it keeps itself alive until it is closed.
 ///
-/// Invariant: no handler is called after close() or abort().
+/// Invariant: no line is delivered after closeWhenSent(), and no handler is called after abort().
 class LineConnection : public std::enable_shared_from_this<LineConnection>
 {
 public:
     using LineHandler = std::function<void(std::string_view line)>;
-    using EndHandler = std::function<void(CloseReason reason)>;
+    using CloseHandler = std::function<void(CloseReason reason)>;
 
     LineConnection(boost::asio::ip::tcp::socket socket, const LineLimits &limits);
 
-    /// Begins to read; \a onLine gets each line without its end, \a onEnd at most one call.
-    void start(LineHandler onLine, EndHandler onEnd);
+    /// Starts to read; \a onLine gets each line without its end.
+    ///
+    /// \a onClose is called when the peer closes the connection or it breaks, and when a limit is exceeded; in the latter case
+    /// the connection stays open until the handler's owner closes it.
+    void start(LineHandler onLine, CloseHandler onClose);
 
-    /// Holds back further lines until resume(); reading goes on up to the line limit, so an end is noticed.
+    /// Stops delivering lines until resume(); reading continues up to the line limit, so that a close by the peer is noticed.
     void pause() noexcept
     {
         paused_ = true;
     }
     void resume();
 
-    /// Queues \a bytes; all that is queued in one turn of the loop leaves in one call.
+    /// Queues \a bytes; all bytes queued in one iteration of the loop are written in one call.
     void send(std::string_view bytes);
 
-    /// Closes once all that was queued has left.
+    /// Closes the connection once all queued bytes are written.
     void closeWhenSent();
 
-    /// Closes at once.
+    /// Closes the connection immediately; queued bytes are discarded.
     void abort();
 
 private:
     void read();
-    void received(std::size_t count);
-    void deliver();
+    void onReceived(std::size_t count);
+    void deliverLines();
     void flush();
-    void end(CloseReason reason);
+    void reportClose(CloseReason reason);
 
     boost::asio::ip::tcp::socket socket_;
     LineLimits limits_;
     LineHandler onLine_;
-    EndHandler onEnd_;
+    CloseHandler onClose_;
     std::array<char, 4096> chunk_{};
     std::string input_;
-    /// Start of the first line in input_ that was not delivered.
+    /// Start of the first undelivered line in input_.
     std::size_t consumed_ = 0;
-    /// Bytes of input_ that hold no line end after consumed_.
+    /// End of the part of input_ after consumed_ that is known to contain no line end.
     std::size_t scanned_ = 0;
     std::string queued_;
     std::string sending_;
     bool flushPosted_ = false;
     bool writing_ = false;
     bool paused_ = false;
-    bool delivering_ = false;
+    bool deliveringLines_ = false;
     bool reading_ = false;
     bool closing_ = false;
     bool closed_ = false;
 };
 
-/// Makes \a socket notice within seconds that its peer is gone, also while nothing is sent.
+/// Sets the options of \a socket that detect an unreachable peer, also while nothing is sent, and disables Nagle's algorithm.
 void setPeerTimeouts(boost::asio::ip::tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle);
 
-/// Connects to \a address within \a timeout; \a done gets the socket, or nothing.
+/// Connects to \a address within \a timeout; \a done gets the socket, or null on failure.
 void connect(boost::asio::io_context &loop,
              const Address &address,
              Milliseconds timeout,
--- a/src/http/address.cpp
+++ b/src/http/address.cpp
@@ -1,4 +1,4 @@
-// Splits addresses and names HTTP statuses.
+// Parses addresses and maps HTTP statuses to reason phrases.
 #include "http/address.h"
 
 #include <charconv>
@@ -16,8 +16,8 @@
     IpPort result{text.substr(0, colon), 0};
     const auto *end = text.data() + text.size();
     const auto read = std::from_chars(text.data() + colon + 1, end, result.port);
-    const bool onlyAddressLetters = result.ip.find_first_not_of("0123456789.:abcdefABCDEF[]") == std::string::npos;
-    if (read.ec != std::errc{} || read.ptr != end || result.port == 0 || !onlyAddressLetters) {
+    const bool onlyAddressCharacters = result.ip.find_first_not_of("0123456789.:abcdefABCDEF[]") == std::string::npos;
+    if (read.ec != std::errc{} || read.ptr != end || result.port == 0 || !onlyAddressCharacters) {
         return malformed;
     }
     return result;
--- a/src/http/address.h
+++ b/src/http/address.h
@@ -1,4 +1,4 @@
-// Network addresses as "IP:port".
+// Network addresses of the form "IP:port", and HTTP reason phrases.
 #pragma once
 
 #include "base/ids.h"
@@ -10,16 +10,16 @@
 
 namespace cardamomstep::http {
 
-/// The two parts of an Address.
+/// The parts of an Address.
 struct IpPort {
     std::string ip;
     std::uint16_t port = 0;
 };
 
-/// Splits \a address; the error is ErrorKind::MalformedRequest when it is not "IP:port".
+/// Parses \a address; the error is ErrorKind::MalformedRequest if it is not of the form "IP:port".
 [[nodiscard]] Result<IpPort> parseAddress(const Address &address);
 
-/// The standard reason phrase of an HTTP \a status.
+/// Returns the standard reason phrase of an HTTP \a status; "Other" for a status that is not listed.
 [[nodiscard]] std::string_view reasonPhrase(int status) noexcept;
 
 } // namespace cardamomstep::http
--- a/src/http/connection.cpp
+++ b/src/http/connection.cpp
@@ -1,5 +1,5 @@
-// The client connection, on Boost.Beast: cxxtools' client resends a request when a kept connection breaks,
-// which would run a non-idempotent statement twice.
+// The client connection, implemented on Boost.Beast: cxxtools' client resends a request when a keep-alive connection
+// breaks, which would run a non-idempotent statement twice.
 #include "http/connection.h"
 
 #include "http/address.h"
@@ -65,7 +65,7 @@
     {
     }
 
-    /// Runs the one pending operation to its end; its own timer bounds it.
+    /// Runs the pending operation to completion; the stream's timeout bounds it.
     void run()
     {
         context.restart();
@@ -85,7 +85,7 @@
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
     bool open = false;
-    /// Error of the last connect, to tell a refusal from a timeout.
+    /// Error of the last connect; distinguishes a refusal from a timeout.
     beast::error_code connectError;
 };
 
@@ -106,7 +106,7 @@
     beast::error_code error;
     const auto ip = boost::asio::ip::make_address(endpoint->ip, error);
     if (error) {
-        return Error{ErrorKind::EndpointUnreachable, "not an IP number: " + endpoint->ip};
+        return Error{ErrorKind::EndpointUnreachable, "not an IP address: " + endpoint->ip};
     }
     impl_->stream.expires_after(timeout);
     impl_->stream.async_connect(Tcp::endpoint(ip, endpoint->port), [&error](beast::error_code result) { error = result; });
@@ -131,7 +131,7 @@
     if (!impl_->open) {
         return false;
     }
-    // An idle connection has nothing to read: an end or unexpected bytes mean that it is of no more use.
+    // An idle connection has nothing to read: an end of stream or unexpected bytes make it unusable.
     char byte = 0;
     const auto count = ::recv(impl_->stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     const bool idle = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -156,24 +156,24 @@
     parser.body_limit(maxResponseBytes);
     beast::error_code error;
     impl_->stream.expires_after(timeout);
-    beast::http::async_write(impl_->stream, message, [&](beast::error_code written, std::size_t) {
-        error = written;
-        if (written) {
+    beast::http::async_write(impl_->stream, message, [&](beast::error_code writeError, std::size_t) {
+        error = writeError;
+        if (writeError) {
             return;
         }
-        beast::http::async_read(impl_->stream, impl_->buffer, parser, [&](beast::error_code read, std::size_t) { error = read; });
+        beast::http::async_read(impl_->stream, impl_->buffer, parser, [&](beast::error_code readError, std::size_t) { error = readError; });
     });
     impl_->run();
     if (error) {
         close();
         return {std::nullopt, {ExchangeStage::Sent, error == beast::error::timeout, false, impl_->remote.text() + ": " + error.message()}};
     }
-    auto whole = parser.release();
+    auto completeResponse = parser.release();
     const bool unexpectedBytes = impl_->buffer.size() > 0;
-    if (!whole.keep_alive() || unexpectedBytes) {
+    if (!completeResponse.keep_alive() || unexpectedBytes) {
         close();
     }
-    return {fromBeast(whole), {}};
+    return {fromBeast(completeResponse), {}};
 }
 
 void Connection::close() noexcept
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -1,4 +1,4 @@
-// One client connection that sends a request at most once and says how far it got.
+// A client connection that sends each request at most once and reports how far a failed exchange got.
 #pragma once
 
 #include "base/ids.h"
@@ -16,20 +16,20 @@
 /// How far an exchange got before it failed.
 enum class ExchangeStage : std::uint8_t {
     NotSent, ///< No byte of the request left this process.
-    Sent, ///< Some bytes may have left; the other end may have acted on them.
+    Sent, ///< Some bytes may have left; the server may have processed the request.
 };
 
 /// Why an exchange has no response.
 struct ExchangeFailure {
     ExchangeStage stage = ExchangeStage::NotSent;
-    /// True when the time ran out; false when the connection was refused, reset or closed.
+    /// True if the timeout expired; false if the connection was refused, reset or closed.
     bool timedOut = false;
-    /// True when the other end refused the connection, which a live but slow process does not do.
+    /// True if the server's host refused the connection, which does not happen while the process is alive but slow.
     bool refused = false;
     std::string description;
 };
 
-/// Either a response or the reason why there is none.
+/// A response, or the reason why there is none.
 struct ExchangeResult {
     std::optional<Response> response;
     ExchangeFailure failure;
@@ -37,14 +37,14 @@
 
 /// A client's keep-alive connection.
 ///
-/// It never resends: a broken keep-alive connection fails the exchange instead (a server may have acted on the
-/// request before it closed). After a failure the connection is closed and can connect anew; no bytes of an abandoned exchange are
-/// ever read by a later one.
-/// Not safe for use by two threads at once.
+/// It never resends a request: if a keep-alive connection breaks, the exchange fails, because the server may have processed
+/// the request before it closed. A failure closes the connection, which can then connect again; bytes of an abandoned exchange
+/// are never read by a later one.
+/// Not thread-safe.
 class Connection
 {
 public:
-    /// Prepares a connection to \a remote; nothing is sent yet.
+    /// Prepares a connection to \a remote without connecting.
     explicit Connection(Address remote);
     Connection(const Connection &) = delete;
     Connection &operator=(const Connection &) = delete;
@@ -53,21 +53,21 @@
     /// Connects within \a timeout; the error is ErrorKind::EndpointUnreachable.
     [[nodiscard]] Result<Success> connect(Milliseconds timeout);
 
-    /// True between a successful connect() and the first failure, close, or "Connection: close" from the server.
+    /// Returns true between a successful connect() and the first failure, close, or "Connection: close" from the server.
     [[nodiscard]] bool isOpen() const noexcept;
 
-    /// Closes the connection when the other end has closed it meanwhile; returns isOpen().
+    /// Closes the connection if the server has closed it meanwhile; returns isOpen().
     ///
-    /// A request on such a connection would fail after its first byte had left, and nobody could tell whether it ran.
+    /// A request on such a connection would fail after its first byte was sent, and its outcome would be unknown.
     bool checkOpen() noexcept;
 
-    /// Sends \a request and waits for the whole response; connects first when not open or closed by the other end.
+    /// Sends \a request and waits for the complete response; connects first if the connection is not open or the server has closed it.
     [[nodiscard]] ExchangeResult exchange(const Request &request, Milliseconds timeout);
 
     /// Closes the connection.
     void close() noexcept;
 
-    /// The other end.
+    /// Returns the server's address.
     [[nodiscard]] const Address &remote() const noexcept;
 
 private:
--- a/src/http/fwd.h
+++ b/src/http/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the http slice: plain messages, a server and a client connection.
+// Forward declarations of the http module: plain messages, a server and a client connection.
 #pragma once
 
 namespace cardamomstep::http {
--- a/src/http/impl/urltext.cpp
+++ b/src/http/impl/urltext.cpp
@@ -1,4 +1,4 @@
-// Percent coding of paths and queries.
+// Percent-encoding of paths and queries.
 #include "http/impl/urltext.h"
 
 #include <cctype>
@@ -9,8 +9,8 @@
 std::string lowerCase(std::string_view text)
 {
     std::string result(text);
-    for (auto &letter : result) {
-        letter = static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
+    for (auto &character : result) {
+        character = static_cast<char>(std::tolower(static_cast<unsigned char>(character)));
     }
     return result;
 }
@@ -38,10 +38,10 @@
     constexpr std::string_view hex = "0123456789ABCDEF";
     constexpr std::string_view unreserved = "-_.~/";
     std::string result;
-    for (const char letter : text) {
-        const auto byte = static_cast<unsigned char>(letter);
-        if (std::isalnum(byte) != 0 || unreserved.find(letter) != std::string_view::npos) {
-            result.push_back(letter);
+    for (const char character : text) {
+        const auto byte = static_cast<unsigned char>(character);
+        if (std::isalnum(byte) != 0 || unreserved.find(character) != std::string_view::npos) {
+            result.push_back(character);
         } else {
             result.push_back('%');
             result.push_back(hex[byte >> 4U]);
--- a/src/http/impl/urltext.h
+++ b/src/http/impl/urltext.h
@@ -1,4 +1,4 @@
-// Percent coding of paths and queries.
+// Percent-encoding of paths and queries.
 #pragma once
 
 #include <map>
@@ -7,19 +7,19 @@
 
 namespace cardamomstep::http::impl {
 
-/// \a text in lower case, ASCII letters only.
+/// Returns \a text with its ASCII letters in lower case.
 [[nodiscard]] std::string lowerCase(std::string_view text);
 
-/// \a text with percent escapes and plus signs resolved; a broken escape stays as it is.
+/// Returns \a text with percent escapes and plus signs decoded; a malformed escape is left unchanged.
 [[nodiscard]] std::string decodeUrl(std::string_view text);
 
-/// \a text with all but unreserved letters (and "/" ) escaped.
+/// Returns \a text with all characters percent-encoded except unreserved ones and "/".
 [[nodiscard]] std::string encodeUrl(std::string_view text);
 
-/// Splits "a=1&b=2" into decoded pairs.
+/// Parses a query such as "a=1&b=2" into decoded names and values.
 [[nodiscard]] std::map<std::string, std::string> parseQuery(std::string_view text);
 
-/// Joins \a query into "a=1&b=2", encoded.
+/// Formats \a query as "a=1&b=2", percent-encoded.
 [[nodiscard]] std::string formatQuery(const std::map<std::string, std::string> &query);
 
 } // namespace cardamomstep::http::impl
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// HTTP requests and responses as plain values, apart from any library.
+// HTTP requests and responses as plain values, independent of any library.
 #pragma once
 
 #include "http/fwd.h"
@@ -11,24 +11,24 @@
 /// Header fields by lower-case name.
 using Headers = std::map<std::string, std::string>;
 
-/// A request, as the server hands it to the handler and the client takes it.
+/// A request, as passed to a server's handler and to a client connection.
 struct Request {
     std::string method = "GET";
     /// Path without the query, for example "/v1/report".
     std::string path;
-    /// Decoded query parameters; the server fills them, the client adds them to the path.
+    /// Decoded query parameters; set by the server, appended to the path by the client.
     std::map<std::string, std::string> query;
     Headers headers;
     std::string body;
 
-    /// The header \a name (in lower case), or an empty text.
+    /// Returns the header \a name (in lower case), or an empty string.
     [[nodiscard]] std::string header(const std::string &name) const
     {
         const auto found = headers.find(name);
         return found == headers.end() ? std::string() : found->second;
     }
 
-    /// The query parameter \a name, or an empty text.
+    /// Returns the query parameter \a name, or an empty string.
     [[nodiscard]] std::string parameter(const std::string &name) const
     {
         const auto found = query.find(name);
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -1,4 +1,4 @@
-// Adapts cxxtools::http::Server, which runs blocking responders on a pool of threads.
+// Adapts cxxtools::http::Server, which runs blocking responders on a thread pool.
 #include "http/server.h"
 
 #include "http/address.h"
@@ -24,10 +24,10 @@
 constexpr int payloadTooLarge = 413;
 constexpr int internalServerError = 500;
 
-class PlainResponder : public cxxtools::http::Responder
+class HandlerResponder : public cxxtools::http::Responder
 {
 public:
-    PlainResponder(cxxtools::http::Service &service, const Handler &handler, std::size_t maxBodyBytes)
+    HandlerResponder(cxxtools::http::Service &service, const Handler &handler, std::size_t maxBodyBytes)
         : Responder(service)
         , handler_(handler)
         , maxBodyBytes_(maxBodyBytes)
@@ -51,7 +51,7 @@
                 break;
             }
             total += static_cast<std::size_t>(count);
-            keep(chunk.data(), static_cast<std::size_t>(count));
+            appendBody(chunk.data(), static_cast<std::size_t>(count));
         }
         return total;
     }
@@ -63,7 +63,7 @@
             out << R"({"error":"too-large","ran":"no","description":"the request body exceeds the limit"})";
             return;
         }
-        const auto response = handler_(plain(request));
+        const auto response = handler_(toRequest(request));
         reply.httpReturn(static_cast<unsigned>(response.status), std::string(reasonPhrase(response.status)));
         for (const auto &[name, value] : response.headers) {
             reply.setHeader(name.c_str(), value.c_str());
@@ -77,11 +77,11 @@
                     const std::exception & /*ex*/) override
     {
         reply.httpReturn(internalServerError, "Internal Server Error");
-        out << R"({"error":"internal","ran":"unknown","description":"internal fault"})";
+        out << R"({"error":"internal","ran":"unknown","description":"internal error"})";
     }
 
 private:
-    void keep(const char *data, std::size_t count)
+    void appendBody(const char *data, std::size_t count)
     {
         if (body_.size() + count > maxBodyBytes_) {
             tooLarge_ = true;
@@ -92,7 +92,7 @@
         }
     }
 
-    [[nodiscard]] Request plain(const cxxtools::http::Request &request) const
+    [[nodiscard]] Request toRequest(const cxxtools::http::Request &request) const
     {
         Request result;
         result.method = request.method();
@@ -111,10 +111,10 @@
     bool tooLarge_ = false;
 };
 
-class PlainService : public cxxtools::http::Service
+class HandlerService : public cxxtools::http::Service
 {
 public:
-    PlainService(Handler handler, std::size_t maxBodyBytes)
+    HandlerService(Handler handler, std::size_t maxBodyBytes)
         : handler_(std::move(handler))
         , maxBodyBytes_(maxBodyBytes)
     {
@@ -123,7 +123,7 @@
 protected:
     cxxtools::http::Responder *createResponder(const cxxtools::http::Request & /*request*/) override
     {
-        return new PlainResponder(*this, handler_, maxBodyBytes_);
+        return new HandlerResponder(*this, handler_, maxBodyBytes_);
     }
 
     void releaseResponder(cxxtools::http::Responder *responder) override
@@ -149,10 +149,10 @@
         server.addService(cxxtools::Regex("^/"), service);
     }
 
-    // The loop outlives the server, and the service outlives both.
+    // Declared before the server, which it must outlive.
     cxxtools::EventLoop loop;
     cxxtools::http::Server server;
-    PlainService service;
+    HandlerService service;
     std::thread thread;
 };
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,4 +1,4 @@
-// An HTTP server: cxxtools' server behind a plain handler function, with bounded requests.
+// An HTTP server with a handler function and limits on requests, based on cxxtools' server.
 #pragma once
 
 #include "base/ids.h"
@@ -11,27 +11,27 @@
 
 namespace cardamomstep::http {
 
-/// Limits of a server.
+/// Options of a Server.
 struct ServerOptions {
-    /// Address to listen on, as "IP:port".
+    /// Address to listen on.
     Address listen;
-    /// Largest request body in bytes; a larger one is answered with status 413.
+    /// Maximum size of a request body in bytes; a larger one is answered with status 413.
     std::size_t maxBodyBytes = std::size_t{1} << 20U;
-    /// Most requests that are handled at once.
+    /// Maximum number of requests handled at once.
     unsigned maxThreads = 200;
-    /// How long an idle connection is kept open.
+    /// Time after which an idle connection is closed.
     Milliseconds keepAliveTimeout{30'000};
     /// Certificate and key file for TLS; plain TCP when empty.
     std::string certificateFile;
     std::string keyFile;
 };
 
-/// Handles one request; called on a thread of the server and allowed to block.
+/// Handles one request; called on a server thread and may block.
 using Handler = std::function<Response(const Request &)>;
 
 /// A running HTTP server.
 ///
-/// The constructor listens; the destructor stops listening and waits for the requests in flight.
+/// start() listens; the destructor stops listening and waits for the requests in flight.
 ///
 /// Example:
 /// \code
@@ -40,7 +40,9 @@
 class Server
 {
 public:
-    /// Listens and begins to serve; the error is ErrorKind::Internal when the address cannot be bound.
+    /// Listens and starts to serve requests.
+    ///
+    /// The error is ErrorKind::MalformedRequest if the address cannot be parsed, and ErrorKind::Internal if it cannot be bound.
     [[nodiscard]] static Result<std::unique_ptr<Server>> start(const ServerOptions &options, Handler handler);
 
     Server(const Server &) = delete;
--- a/src/json/checked.h
+++ b/src/json/checked.h
@@ -9,7 +9,7 @@
 
 namespace cardamomstep {
 
-/// Holds either a \a T or every fault that was found, so that a person mends them all at once.
+/// Holds either a \a T or every fault that was found, so that all of them can be corrected at once.
 ///
 /// Example:
 /// \code
@@ -22,24 +22,24 @@
 class [[nodiscard]] Checked
 {
 public:
-    Checked(T value) // NOLINT(google-explicit-constructor): a value is a result
+    Checked(T value) // NOLINT(google-explicit-constructor): a function returns its value as it is
         : state_(std::in_place_index<0>, std::move(value))
     {
     }
 
-    /// Takes a list of faults, which must not be empty.
-    Checked(std::vector<Error> faults) // NOLINT(google-explicit-constructor): faults are a result
+    /// Holds \a faults, which must not be empty.
+    Checked(std::vector<Error> faults) // NOLINT(google-explicit-constructor): a function returns its faults as they are
         : state_(std::in_place_index<1>, std::move(faults))
     {
     }
 
-    /// True when a value is held.
+    /// Returns true if a value is held.
     [[nodiscard]] explicit operator bool() const noexcept
     {
         return state_.index() == 0;
     }
 
-    /// The value; only when one is held.
+    /// Returns the value; requires that one is held.
     [[nodiscard]] const T &operator*() const &noexcept
     {
         return *std::get_if<0>(&state_);
@@ -61,7 +61,7 @@
         return std::get_if<0>(&state_);
     }
 
-    /// The faults in order of their lines; only when no value is held.
+    /// Returns the faults, ordered by line; requires that no value is held.
     [[nodiscard]] const std::vector<Error> &faults() const noexcept
     {
         return *std::get_if<1>(&state_);
--- a/src/json/document.cpp
+++ b/src/json/document.cpp
@@ -1,4 +1,4 @@
-// Joins a text's values with the places where they stand.
+// Combines the values of a JSON text with the lines of its keys.
 #include "json/document.h"
 
 #include <algorithm>
--- a/src/json/document.h
+++ b/src/json/document.h
@@ -1,4 +1,4 @@
-// A JSON text that was parsed once, with all that turns a key path into a source position.
+// A parsed JSON text and the source positions of its keys.
 #pragma once
 
 #include "json/checked.h"
@@ -13,20 +13,20 @@
 
 namespace cardamomstep::json {
 
-/// A parsed text and where its keys stand.
+/// A parsed text and the lines of its keys.
 struct Document {
     std::string file;
     nlohmann::json value;
     LineIndex lines;
 };
 
-/// Parses \a text; the one fault has the kind \a kind, or ErrorKind::TooLarge above a limit.
+/// Parses \a text; the error has the kind \a kind, or ErrorKind::TooLarge if a limit is exceeded.
 [[nodiscard]] Result<Document> parseDocument(std::string file, std::string_view text, ErrorKind kind, const TextLimits &limits = {});
 
-/// The error of the kind \a kind for \a fault in \a document.
+/// Returns an error of the kind \a kind for \a fault, with its position in \a document.
 [[nodiscard]] Error faultError(const Document &document, ErrorKind kind, const Fault &fault);
 
-/// The errors for all \a faults and for the document's duplicate keys, in order of their lines.
+/// Returns the errors for all \a faults and for the document's duplicate keys, ordered by line.
 [[nodiscard]] std::vector<Error> faultErrors(const Document &document, ErrorKind kind, const std::vector<Fault> &faults);
 
 } // namespace cardamomstep::json
--- a/src/json/fwd.h
+++ b/src/json/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the json slice: checked reading of JSON texts that people wrote.
+// Forward declarations of the json module: validated reading of hand-written JSON texts.
 #pragma once
 
 namespace cardamomstep {
--- a/src/json/located.cpp
+++ b/src/json/located.cpp
@@ -1,4 +1,4 @@
-// Follows the parser's events to note on which line each key path begins.
+// Records the line of each key path from the parser's SAX events.
 #include "json/located.h"
 
 #include <nlohmann/json.hpp>
@@ -12,20 +12,20 @@
 
 namespace {
 
-/// Counts the lines that were read.
+/// Counts the lines of the text read so far.
 struct LineCounter {
-    /// Line of the last character that was read.
+    /// Line of the last character read.
     std::uint32_t line = 1;
     bool afterNewline = false;
 
-    void read(char letter) noexcept
+    void read(char character) noexcept
     {
         line += afterNewline ? 1 : 0;
-        afterNewline = letter == '\n';
+        afterNewline = character == '\n';
     }
 };
 
-/// An input iterator over a text that counts lines while it is advanced.
+/// An input iterator over a text that counts lines as it advances.
 class CountingIterator
 {
 public:
@@ -38,44 +38,44 @@
     using reference = const char &;
     // NOLINTEND(readability-identifier-naming)
 
-    CountingIterator(const char *place, LineCounter &counter)
-        : place_(place)
+    CountingIterator(const char *cursor, LineCounter &counter)
+        : cursor_(cursor)
         , counter_(&counter)
     {
     }
 
     reference operator*() const noexcept
     {
-        return *place_;
+        return *cursor_;
     }
 
     CountingIterator &operator++() noexcept
     {
-        counter_->read(*place_);
-        ++place_;
+        counter_->read(*cursor_);
+        ++cursor_;
         return *this;
     }
 
     bool operator==(const CountingIterator &other) const noexcept
     {
-        return place_ == other.place_;
+        return cursor_ == other.cursor_;
     }
 
     bool operator!=(const CountingIterator &other) const noexcept
     {
-        return place_ != other.place_;
+        return cursor_ != other.cursor_;
     }
 
 private:
-    const char *place_;
+    const char *cursor_;
     LineCounter *counter_;
 };
 
-/// Receives the parser's events; function names are set by the parser.
-class LineNoter
+/// Builds a LineIndex from the parser's SAX events; the parser prescribes the function names.
+class LineIndexBuilder
 {
 public:
-    LineNoter(LineIndex &index, const LineCounter &counter, std::size_t maxDepth)
+    LineIndexBuilder(LineIndex &index, const LineCounter &counter, std::size_t maxDepth)
         : index_(index)
         , counter_(counter)
         , maxDepth_(maxDepth)
@@ -162,12 +162,12 @@
         std::string path;
         bool isArray = false;
         std::size_t nextElement = 0;
-        /// Path of the value that is being read.
+        /// Path of the value being read.
         std::string current;
         std::set<std::string> keys;
     };
 
-    /// The path of the value that begins now.
+    /// Starts a value and returns its path; records the line of an array element.
     std::string beginValue()
     {
         if (levels_.empty()) {
@@ -211,20 +211,20 @@
     bool tooDeep_ = false;
 };
 
-Error located(ErrorKind kind, std::string description, std::uint32_t line)
+Error errorOnLine(ErrorKind kind, std::string description, std::uint32_t line)
 {
     Error error{kind, std::move(description)};
     error.position = SourcePosition{{}, line, {}};
     return error;
 }
 
-/// \a token without control characters and short enough to print.
+/// Returns the end of \a token, without control characters and short enough to print.
 std::string printable(const std::string &token)
 {
-    constexpr std::size_t longest = 40;
-    std::string text = token.size() > longest ? token.substr(token.size() - longest) : token;
+    constexpr std::size_t maxLength = 40;
+    std::string text = token.size() > maxLength ? token.substr(token.size() - maxLength) : token;
     std::replace_if(
-        text.begin(), text.end(), [](unsigned char letter) { return letter < ' '; }, ' ');
+        text.begin(), text.end(), [](unsigned char character) { return character < ' '; }, ' ');
     return text;
 }
 
@@ -252,20 +252,20 @@
 Result<LineIndex> locateKeys(std::string_view text, const TextLimits &limits)
 {
     if (text.size() > limits.maxBytes) {
-        return located(ErrorKind::TooLarge, "the text has more than " + std::to_string(limits.maxBytes) + " bytes", 0);
+        return errorOnLine(ErrorKind::TooLarge, "the text has more than " + std::to_string(limits.maxBytes) + " bytes", 0);
     }
     LineIndex index;
     LineCounter counter;
-    LineNoter noter(index, counter, limits.maxDepth);
+    LineIndexBuilder builder(index, counter, limits.maxDepth);
     const CountingIterator begin(text.data(), counter);
     const CountingIterator end(text.data() + text.size(), counter);
-    if (nlohmann::json::sax_parse(begin, end, &noter)) {
+    if (nlohmann::json::sax_parse(begin, end, &builder)) {
         return index;
     }
-    if (noter.tooDeep()) {
-        return located(ErrorKind::TooLarge, "more than " + std::to_string(limits.maxDepth) + " levels of nesting", counter.line);
+    if (builder.tooDeep()) {
+        return errorOnLine(ErrorKind::TooLarge, "more than " + std::to_string(limits.maxDepth) + " levels of nesting", counter.line);
     }
-    return located(ErrorKind::MalformedRequest, "expected JSON, got \"" + printable(noter.lastToken()) + "\"", counter.line);
+    return errorOnLine(ErrorKind::MalformedRequest, "expected JSON, got \"" + printable(builder.lastToken()) + "\"", counter.line);
 }
 
 std::string childPath(std::string_view parent, std::string_view key)
--- a/src/json/nearest.cpp
+++ b/src/json/nearest.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t longestWord = 64;
+constexpr std::size_t maxWordLength = 64;
 
-/// Fewest letters to insert, drop or replace to turn \a from into \a to.
+/// Returns the minimum number of characters to insert, delete or replace to turn \a from into \a to.
 std::size_t editDistance(std::string_view from, std::string_view to)
 {
     std::vector<std::size_t> row(to.size() + 1);
@@ -32,7 +32,7 @@
 
 std::optional<std::string> nearestWord(std::string_view word, const std::vector<std::string> &known)
 {
-    if (word.size() > longestWord) {
+    if (word.size() > maxWordLength) {
         return std::nullopt;
     }
     std::optional<std::string> nearest;
--- a/src/json/reader.cpp
+++ b/src/json/reader.cpp
@@ -1,4 +1,4 @@
-// Reads the fields of JSON objects and describes what was expected where a field is faulty.
+// Reads the fields of JSON objects and describes what was expected of a faulty field.
 #include "json/reader.h"
 
 #include "json/located.h"
@@ -20,10 +20,10 @@
     return value;
 }
 
-/// \a value in few words; texts are cut, since they may be long.
+/// Describes \a value in a few words; long texts are truncated.
 std::string describe(const nlohmann::json &value)
 {
-    constexpr std::size_t longest = 40;
+    constexpr std::size_t maxLength = 40;
     if (value.is_object()) {
         return "an object";
     }
@@ -31,8 +31,8 @@
         return "an array of " + std::to_string(value.size());
     }
     auto text = value.dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
-    if (text.size() > longest) {
-        text = text.substr(0, longest) + "... (" + std::to_string(text.size()) + " bytes)";
+    if (text.size() > maxLength) {
+        text = text.substr(0, maxLength) + "... (" + std::to_string(text.size()) + " bytes)";
     }
     return text;
 }
@@ -80,12 +80,12 @@
         return std::nullopt;
     }
     if (!value->is_string()) {
-        unexpected(key, "a text", *value);
+        unexpected(key, "a string", *value);
         return std::nullopt;
     }
     const auto &text = value->get_ref<const std::string &>();
     if (!contains(length, text.size())) {
-        // The text itself may be a secret, so only its length is told.
+        // The text itself may be a secret, so only its length is reported.
         fault(key, "expected " + describe(length, "characters") + ", got " + std::to_string(text.size()));
         return std::nullopt;
     }
--- a/src/json/reader.h
+++ b/src/json/reader.h
@@ -1,4 +1,4 @@
-// Typed reading of JSON objects that collects every fault instead of stopping at the first.
+// Typed reading of JSON objects that collects all faults instead of stopping at the first.
 #pragma once
 
 #include "json/fwd.h"
@@ -19,30 +19,30 @@
 
 namespace cardamomstep::json {
 
-/// What is wrong at one key path.
+/// A fault at one key path.
 struct Fault {
     std::string path;
-    /// What was expected there and what was found.
+    /// Description of the fault, for example what was expected and what was found.
     std::string expected;
 };
 
-/// Lowest and highest value allowed, both included.
+/// Minimum and maximum value, both inclusive.
 template<std::integral T>
 struct Range {
     T low = std::numeric_limits<T>::min();
     T high = std::numeric_limits<T>::max();
 };
 
-/// Fewest and most characters of a text, or elements of an array.
+/// Minimum and maximum size, both inclusive: bytes of a string or elements of an array.
 struct Length {
     std::size_t low = 0;
     std::size_t high = 0;
 };
 
-/// Reads the fields of one JSON object and remembers which keys were asked for.
+/// Reads the fields of one JSON object and records which keys were requested.
 ///
-/// Every fault goes to the list that the constructor was given; a faulty field reads as its fallback or an empty value, so reading
-/// goes on. The object and the list must outlive the reader.
+/// Each fault is appended to the list passed to the constructor; a faulty field yields its fallback or an empty value, so that
+/// reading continues. The object and the list must outlive the reader.
 ///
 /// Example:
 /// \code
@@ -54,25 +54,25 @@
 class ObjectReader
 {
 public:
-    /// Reads \a value, which stands at \a path; a value that is not an object is a fault.
+    /// Creates a reader of \a value, whose path is \a path; a value that is not an object is a fault.
     ObjectReader(const nlohmann::json &value, std::string path, std::vector<Fault> &faults);
 
-    /// The path of this object.
+    /// Returns the path of this object.
     [[nodiscard]] const std::string &path() const noexcept
     {
         return path_;
     }
 
-    /// True when \a key is present; marks it as known.
+    /// Returns true if \a key is present; marks the key as known.
     [[nodiscard]] bool has(const std::string &key);
 
-    /// A required text.
+    /// Returns a required string; empty if it is missing or faulty.
     [[nodiscard]] std::string text(const std::string &key, Length length);
 
-    /// A text that may be missing.
+    /// Returns a string; none if it is missing or faulty.
     [[nodiscard]] std::optional<std::string> optionalText(const std::string &key, Length length);
 
-    /// A required whole number.
+    /// Returns a required whole number; the lowest allowed one if it is missing or faulty.
     template<std::integral T>
     [[nodiscard]] T number(const std::string &key, Range<T> range)
     {
@@ -83,14 +83,14 @@
         return found.value_or(range.low);
     }
 
-    /// A whole number that is \a fallback when it is missing.
+    /// Returns a whole number; \a fallback if it is missing or faulty.
     template<std::integral T>
     [[nodiscard]] T number(const std::string &key, Range<T> range, T fallback)
     {
         return optionalNumber<T>(key, range).value_or(fallback);
     }
 
-    /// A whole number that may be missing.
+    /// Returns a whole number; none if it is missing or faulty.
     template<std::integral T>
     [[nodiscard]] std::optional<T> optionalNumber(const std::string &key, Range<T> range)
     {
@@ -115,10 +115,10 @@
         return std::nullopt;
     }
 
-    /// A truth value that is \a fallback when it is missing.
+    /// Returns a boolean; \a fallback if it is missing or faulty.
     [[nodiscard]] bool boolean(const std::string &key, bool fallback);
 
-    /// One of a closed list of words; \a fallback when it is missing, a fault when there is no fallback either.
+    /// Returns the value for one of \a words; \a fallback if the key is missing, which is a fault if there is no fallback.
     template<typename Value, std::size_t Count>
     [[nodiscard]] Value
     oneOf(const std::string &key, const std::array<std::pair<std::string_view, Value>, Count> &words, std::optional<Value> fallback)
@@ -141,28 +141,28 @@
         return fallback.value_or(words.front().second);
     }
 
-    /// A required nested object; reads as an empty object when it is missing.
+    /// Returns a reader of a required nested object; reads an empty object if it is missing.
     [[nodiscard]] ObjectReader object(const std::string &key);
 
-    /// A nested object that may be missing, when each of its fields has a fallback.
+    /// Returns a reader of a nested object that may be missing; each of its fields needs a fallback.
     [[nodiscard]] ObjectReader optionalObject(const std::string &key);
 
-    /// The elements of a required array; reads as empty when it is faulty.
+    /// Returns a required array; an empty one if it is missing or faulty.
     [[nodiscard]] const nlohmann::json &array(const std::string &key, Length length);
 
-    /// The elements of an array that is empty when it is missing.
+    /// Returns an array; an empty one if it is missing or faulty.
     [[nodiscard]] const nlohmann::json &optionalArray(const std::string &key, Length length);
 
-    /// Reports the fault that \a key is not as expected.
+    /// Reports a fault at \a key, described by \a expected.
     void fault(const std::string &key, std::string expected);
 
-    /// Reports every key that was never asked for, naming the nearest known one.
+    /// Reports every key that was never requested, and suggests the nearest known key.
     void rejectUnknown();
 
-    /// The keys that were never asked for.
+    /// Returns the keys that were never requested.
     [[nodiscard]] std::vector<std::string> unknownKeys() const;
 
-    /// The value of \a key as it stands; null when it is missing. Marks it as known.
+    /// Returns the unchecked value of \a key, or null if it is missing; marks the key as known.
     [[nodiscard]] const nlohmann::json *find(const std::string &key);
 
 private:
@@ -170,7 +170,7 @@
     void unexpected(const std::string &key, const std::string &expected, const nlohmann::json &found);
     [[nodiscard]] const nlohmann::json &checkedArray(const std::string &key, Length length, const nlohmann::json *value);
 
-    // Never null; an empty object when the value was none.
+    // Never null; an empty object if the value is not an object.
     const nlohmann::json *value_;
     std::string path_;
     std::vector<Fault> *faults_;
--- a/src/members/fwd.h
+++ b/src/members/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the members slice.
+// Forward declarations of the members module.
 #pragma once
 
 #include <cstdint>
--- a/src/members/httpconnection.cpp
+++ b/src/members/httpconnection.cpp
@@ -1,4 +1,4 @@
-// Links to a member over HTTP/JSON.
+// Connections to a member over HTTP/JSON.
 #include "members/httpconnection.h"
 
 #include "http/connection.h"
@@ -14,7 +14,7 @@
 constexpr int statusConflict = 409;
 constexpr int statusTooMany = 429;
 
-/// Builds requests that name this process.
+/// Sends requests that identify this process.
 class Requester
 {
 public:
@@ -57,7 +57,7 @@
     std::string from_;
 };
 
-ConnectionFailure toLinkFailure(const http::ExchangeFailure &failure)
+ConnectionFailure toConnectionFailure(const http::ExchangeFailure &failure)
 {
     ConnectionFailure result;
     result.notSent = failure.stage == http::ExchangeStage::NotSent;
@@ -75,16 +75,16 @@
     return {ConnectionFault::Corrupt, false, what + " is truncated, malformed or belongs to another exchange"};
 }
 
-/// Decodes the response of \a result by \a decode; a response that cannot be read closes the connection.
+/// Decodes the response of \a result with \a decode; closes the connection if the response cannot be decoded.
 template<typename Reply, typename Decode>
-ConnectionResult<Reply> decoded(Requester &requester, const http::ExchangeResult &result, Decode decode)
+ConnectionResult<Reply> decodeResult(Requester &requester, const http::ExchangeResult &result, Decode decode)
 {
     if (!result.response) {
-        return toLinkFailure(result.failure);
+        return toConnectionFailure(result.failure);
     }
     const auto &response = *result.response;
-    const bool known = response.status == statusOk || response.status == statusConflict;
-    auto reply = known ? decode(response.body) : std::nullopt;
+    const bool decodable = response.status == statusOk || response.status == statusConflict;
+    auto reply = decodable ? decode(response.body) : std::nullopt;
     if (!reply) {
         requester.connection().close();
         return corrupt("reply with status " + std::to_string(response.status));
@@ -94,7 +94,7 @@
 
 } // namespace
 
-// Control link
+// Control connection
 
 struct HttpControlConnection::Impl {
     Impl(const Address &remote, const ConnectionIdentity &identity)
@@ -117,48 +117,48 @@
 ConnectionResult<MemberReport> HttpControlConnection::report(Milliseconds timeout)
 {
     const auto result = impl_->requester.get("/v1/report", {}, timeout);
-    return decoded<MemberReport>(impl_->requester, result, impl::decodeReport);
+    return decodeResult<MemberReport>(impl_->requester, result, impl::decodeReport);
 }
 
-ConnectionResult<MemberReport> HttpControlConnection::reportAfter(const MemberReport &seen, Milliseconds wait, Milliseconds timeout)
+ConnectionResult<MemberReport> HttpControlConnection::reportAfter(const MemberReport &lastReport, Milliseconds wait, Milliseconds timeout)
 {
     std::map<std::string, std::string> query{
-        {"afterTerm", toText(seen.adopted)},
-        {"afterMark", toText(seen.log)},
-        {"afterRole", seen.role == MemberRole::Primary ? "primary" : "replica"},
-        {"afterLeaving", seen.leaving ? "true" : "false"},
+        {"afterTerm", toText(lastReport.adopted)},
+        {"afterMark", toText(lastReport.log)},
+        {"afterRole", lastReport.role == MemberRole::Primary ? "primary" : "replica"},
+        {"afterLeaving", lastReport.leaving ? "true" : "false"},
         {"waitMs", std::to_string(wait.count())},
     };
     const auto result = impl_->requester.get("/v1/report", std::move(query), wait + timeout);
-    return decoded<MemberReport>(impl_->requester, result, impl::decodeReport);
+    return decodeResult<MemberReport>(impl_->requester, result, impl::decodeReport);
 }
 
 ConnectionResult<TermReply> HttpControlConnection::adopt(Term term, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/adopt", impl::encodeTerm(term), timeout);
-    return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
+    return decodeResult<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
 ConnectionResult<TermReply> HttpControlConnection::lead(Term term, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/lead", impl::encodeTerm(term), timeout);
-    return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
+    return decodeResult<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
 ConnectionResult<TermReply>
 HttpControlConnection::follow(Term term, const MemberName &primary, const Address &address, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/follow", impl::encodeFollow(term, primary, address), timeout);
-    return decoded<TermReply>(impl_->requester, result, impl::decodeTermReply);
+    return decodeResult<TermReply>(impl_->requester, result, impl::decodeTermReply);
 }
 
 ConnectionResult<OutcomeReply> HttpControlConnection::outcome(const RequestId &id, Milliseconds timeout)
 {
     const auto result = impl_->requester.post("/v1/outcome", impl::encodeOutcome(id), timeout);
-    return decoded<OutcomeReply>(impl_->requester, result, impl::decodeOutcome);
+    return decodeResult<OutcomeReply>(impl_->requester, result, impl::decodeOutcome);
 }
 
-// Statement link
+// Statement connection
 
 struct HttpStatementConnection::Impl {
     Impl(const Address &remote, const ConnectionIdentity &identity)
@@ -178,8 +178,8 @@
             return ConnectionFailure{ConnectionFault::Closed, true, "the connection is closed"};
         }
         const auto result = requester.post(path, impl::encodeCall(call), timeout);
-        auto reply =
-            decoded<MemberReply>(requester, result, [&call](const std::string &body) { return impl::decodeReply(body, call.exchange); });
+        auto reply = decodeResult<MemberReply>(
+            requester, result, [&call](const std::string &body) { return impl::decodeReply(body, call.exchange); });
         open = open && requester.connection().isOpen() && std::holds_alternative<MemberReply>(reply);
         return reply;
     }
@@ -198,14 +198,14 @@
 {
     const auto result = impl_->requester.post("/v1/open", R"({"client":")" + impl_->client + "\"}", timeout);
     if (!result.response) {
-        auto failure = toLinkFailure(result.failure);
+        auto failure = toConnectionFailure(result.failure);
         failure.notSent = true; // no statement was sent
         return failure;
     }
     if (result.response->status != statusOk) {
         impl_->requester.connection().close();
         const auto fault = result.response->status == statusTooMany ? ConnectionFault::NoConnection : ConnectionFault::Corrupt;
-        return ConnectionFailure{fault, true, "open was answered with status " + std::to_string(result.response->status)};
+        return ConnectionFailure{fault, true, "open failed with status " + std::to_string(result.response->status)};
     }
     impl_->open = true;
     return Success{};
--- a/src/members/httpconnection.h
+++ b/src/members/httpconnection.h
@@ -1,4 +1,4 @@
-// Links to a member over HTTP/JSON: the only place that knows the members' wire form.
+// Connections to a member over HTTP/JSON; encapsulates the members' wire format.
 #pragma once
 
 #include "base/random.h"
@@ -9,15 +9,15 @@
 
 namespace cardamomstep {
 
-/// Who this process is, as members are told with every request.
+/// The identity of this process, sent to members with every request.
 struct ConnectionIdentity {
     InstanceName instance;
     FailureDomain domain;
 };
 
-/// Carries reports and orders; models ControlLink.
+/// Carries reports and orders; models ControlConnection.
 ///
-/// One call at a time. A failed link connects anew on its next call.
+/// One call at a time. After a failure, the next call connects again.
 class HttpControlConnection
 {
 public:
@@ -26,22 +26,22 @@
     HttpControlConnection &operator=(HttpControlConnection &&) noexcept;
     ~HttpControlConnection();
 
-    /// The member's report as it is now.
+    /// Returns the member's current report.
     [[nodiscard]] ConnectionResult<MemberReport> report(Milliseconds timeout);
 
-    /// The member's report once it differs from \a seen, or after \a wait; \a timeout is on top of \a wait.
-    [[nodiscard]] ConnectionResult<MemberReport> reportAfter(const MemberReport &seen, Milliseconds wait, Milliseconds timeout);
+    /// Returns the member's report once it differs from \a lastReport, or after \a wait; \a timeout is added to \a wait.
+    [[nodiscard]] ConnectionResult<MemberReport> reportAfter(const MemberReport &lastReport, Milliseconds wait, Milliseconds timeout);
 
-    /// Tells the member to adopt \a term.
+    /// Orders the member to adopt \a term.
     [[nodiscard]] ConnectionResult<TermReply> adopt(Term term, Milliseconds timeout);
 
-    /// Tells the member to lead at \a term, which it must have adopted.
+    /// Orders the member to lead in \a term, which it must have adopted.
     [[nodiscard]] ConnectionResult<TermReply> lead(Term term, Milliseconds timeout);
 
-    /// Tells the member to replicate from \a primary at \a address in \a term.
+    /// Orders the member to replicate from \a primary at \a address in \a term.
     [[nodiscard]] ConnectionResult<TermReply> follow(Term term, const MemberName &primary, const Address &address, Milliseconds timeout);
 
-    /// Asks whether the request \a id stands in the member's log.
+    /// Queries whether the request \a id is in the member's log.
     [[nodiscard]] ConnectionResult<OutcomeReply> outcome(const RequestId &id, Milliseconds timeout);
 
 private:
@@ -49,7 +49,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-/// Carries statements over one database connection; models StatementLink.
+/// Carries statements over one database connection; models StatementConnection.
 class HttpStatementConnection
 {
 public:
@@ -58,13 +58,13 @@
     HttpStatementConnection &operator=(HttpStatementConnection &&) noexcept;
     ~HttpStatementConnection();
 
-    /// Opens the database connection; the failure is LinkFault::NoConnection at the member's limit.
+    /// Opens the database connection; the fault is ConnectionFault::NoConnection if the member is at its connection limit.
     [[nodiscard]] ConnectionResult<Success> open(Milliseconds timeout);
 
-    /// True until the first failure.
+    /// Returns true from a successful open() until the first failure.
     [[nodiscard]] bool isOpen() const noexcept;
 
-    /// Notices when the member has closed the idle connection, for example by a restart; returns isOpen().
+    /// Detects whether the member has closed the idle connection, for example by a restart; returns isOpen().
     bool checkOpen() noexcept;
 
     [[nodiscard]] ConnectionResult<MemberReply> execute(const MemberCall &call, Milliseconds timeout);
--- a/src/members/impl/membercodec.cpp
+++ b/src/members/impl/membercodec.cpp
@@ -1,4 +1,4 @@
-// JSON forms of the members' messages.
+// JSON encoding of the members' messages.
 #include "members/impl/membercodec.h"
 
 #include <nlohmann/json.hpp>
@@ -77,7 +77,7 @@
     return value;
 }
 
-/// Parses \a body as an object; a discarded value when it is anything else.
+/// Parses \a body as an object; returns a discarded value if it is anything else.
 Json parseObject(const std::string &body)
 {
     auto value = Json::parse(body, nullptr, false);
@@ -102,7 +102,7 @@
     return MemberReport{MemberName{*member}, memberRole, *adopted, *log, *leaving};
 }
 
-/// Reads "rows" and "rowCount" and checks that they agree.
+/// Reads "rows" and "rowCount"; returns false if they are malformed or disagree.
 bool readRows(const Json &object, std::string &rows, std::uint64_t &rowCount)
 {
     const auto found = object.find("rows");
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -1,4 +1,4 @@
-// What a member of a database group must offer, as plain messages; see docs/design/member.md.
+// The interface of a member of a database group, as plain messages; see docs/design/member.md.
 #pragma once
 
 #include "base/ids.h"
@@ -15,31 +15,31 @@
 
 namespace cardamomstep {
 
-/// What a member does in its group.
+/// The role of a member in its group.
 enum class MemberRole : std::uint8_t {
     Replica,
     Primary,
 };
 
-/// A member's report on itself.
+/// A member's report on its own state.
 struct MemberReport {
     MemberName member;
     MemberRole role = MemberRole::Replica;
-    /// Highest term adopted: the member refuses everything of a lower term.
+    /// Highest term adopted; the member refuses everything of a lower term.
     Term adopted;
-    /// Last entry of its log.
+    /// Position of the last entry of its log.
     LogPosition log;
-    /// True when the member has been told to stop.
+    /// True if the member was requested to shut down.
     bool leaving = false;
 
     [[nodiscard]] bool operator==(const MemberReport &) const = default;
 };
 
-/// Why a member gave no usable reply.
+/// The reason why a member gave no usable reply.
 enum class ConnectionFault : std::uint8_t {
-    Refused, ///< Nothing listens at the address: the process is gone.
+    Refused, ///< Nothing listens at the address: the process is down.
     Closed, ///< The connection broke, perhaps after the request was sent.
-    TimedOut, ///< No reply within the time given.
+    TimedOut, ///< No reply within the timeout.
     Corrupt, ///< The reply was truncated, malformed, or belongs to another exchange.
     NoConnection, ///< The member is at its connection limit.
 };
@@ -47,84 +47,84 @@
 /// A failed exchange with a member.
 struct ConnectionFailure {
     ConnectionFault fault = ConnectionFault::TimedOut;
-    /// True when no byte of the request left this process, so it did not run.
+    /// True if no byte of the request left this process, so it did not run.
     bool notSent = false;
     std::string description;
 };
 
-/// Why a member refused a call; nothing of the call took effect.
+/// The reason why a member refused a call; a refused call has no effect.
 enum class Refusal : std::uint8_t {
     LowerTerm, ///< The call's term is below the adopted one.
-    NotPrimary, ///< A write or a primary's call came to a replica.
-    RequestIdReused, ///< The request id stands in the log with another fingerprint.
+    NotPrimary, ///< A write, or a call that needs the primary, reached a replica.
+    RequestIdReused, ///< The request id is in the log with a different fingerprint.
     TransactionUnknown, ///< The transaction is not open on this connection.
     StatementFailed, ///< The statement itself failed, for example an unknown operation.
-    Leaving, ///< The member takes no new work.
+    Leaving, ///< The member accepts no new work.
 };
 
 /// One statement as sent to a member.
 struct MemberCall {
-    /// Correlates the reply; drawn anew for each exchange.
+    /// Correlates the reply; unique for each exchange.
     std::string exchange;
-    /// The term that the caller believes in; writes of another term are refused.
+    /// The group's term as known to the sender; writes of another term are refused.
     Term term;
     bool write = false;
-    /// Reads at a primary set this, so that a demoted member refuses them.
+    /// Set for reads and transactions at the primary, so that a demoted member refuses them.
     bool needsPrimary = false;
     std::string operation;
     std::string key;
     std::string arguments;
-    /// Stored in the same log entry as the effect, for writes and commits.
+    /// For writes and commits; stored in the same log entry as the effect.
     RequestId requestId;
     /// Hash of the request's body, to detect a reused id.
     std::uint64_t fingerprint = 0;
-    /// The member-side transaction; empty for a statement on its own.
+    /// The member's id of the transaction; empty for a statement outside a transaction.
     std::string transaction;
 };
 
-/// A member's whole reply to a call.
+/// A member's reply to a call.
 struct MemberReply {
     std::string exchange;
     std::optional<Refusal> refusal;
     std::string description;
-    /// Rows as a JSON array text.
+    /// Rows as the text of a JSON array.
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
-    /// Last log entry when the statement ran; for writes, the entry that holds the effect.
+    /// Position of the last log entry when the statement ran; for writes, of the entry that holds the effect.
     LogPosition position;
-    /// Highest adopted term when it ran.
+    /// Highest adopted term when the statement ran.
     Term adopted;
-    /// The member-side transaction that a begin opened.
+    /// The member's id of the transaction that a begin opened.
     std::string transaction;
-    /// True when the request id was already in the log and its stored outcome is returned.
+    /// True if the request id was already in the log and its stored outcome is returned.
     bool repeated = false;
 };
 
-/// Reply to an outcome question.
+/// Reply to an outcome query.
 struct OutcomeReply {
     bool found = false;
-    /// Entry that holds the effect, when found.
+    /// Position of the entry that holds the effect, if found.
     LogPosition position;
     std::uint64_t fingerprint = 0;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
-    /// State of the member that answered.
+    /// State of the member that replied.
     MemberReport report;
 };
 
-/// Reply to adopt, lead and follow: accepted or not, and the member's state afterwards.
+/// Reply to adopt, lead and follow: whether the order was accepted, and the member's state afterwards.
 struct TermReply {
     bool accepted = false;
     MemberReport report;
 };
 
-/// A reply or the failure of the link.
+/// A reply or the failure of the connection.
 template<typename Reply>
 using ConnectionResult = std::variant<Reply, ConnectionFailure>;
 
 /// A connection to one member that carries statements.
 ///
-/// One call at a time. After a LinkFailure it is closed and must not be used again.
+/// One call at a time. After a ConnectionFailure it is closed and must not be used again.
 template<typename T>
 concept StatementConnection = requires(T connection, const MemberCall &call, Milliseconds timeout)
 {
@@ -142,10 +142,10 @@
         } -> std::same_as<ConnectionResult<MemberReply>>;
 };
 
-/// A connection to one member that carries reports and orders; it takes no slot and no database connection.
+/// A connection to one member that carries reports and orders; it uses no slot and no database connection.
 template<typename T>
 concept ControlConnection = requires(T connection,
-                                     const MemberReport &seen,
+                                     const MemberReport &lastReport,
                                      Term term,
                                      const MemberName &name,
                                      const Address &address,
@@ -156,7 +156,7 @@
         connection.report(timeout)
         } -> std::same_as<ConnectionResult<MemberReport>>;
     {
-        connection.reportAfter(seen, timeout, timeout)
+        connection.reportAfter(lastReport, timeout, timeout)
         } -> std::same_as<ConnectionResult<MemberReport>>;
     {
         connection.adopt(term, timeout)
--- a/src/statements/fwd.h
+++ b/src/statements/fwd.h
@@ -1,4 +1,4 @@
-// Forward declarations of the statements slice.
+// Forward declarations of the statements module.
 #pragma once
 
 #include <cstdint>
--- a/tests/base/test_base.cpp
+++ b/tests/base/test_base.cpp
@@ -1,4 +1,4 @@
-// Tests of identifiers, marks, errors and the generator.
+// Tests of log positions, errors, hashing and the random number generator.
 #include "base/errorkind.h"
 #include "base/hash.h"
 #include "base/ids.h"
@@ -12,18 +12,18 @@
 
 using namespace cardamomstep;
 
-Test(base, marksRoundTripAsText)
+Test(base, logPositionsRoundTripAsText)
 {
-    const bool holds = rc::check("marks round trip", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position) {
-        const LogPosition mark{Term{number, proposer}, position};
-        const auto read = parseLogPosition(toText(mark));
+    const bool passed = rc::check("log positions round trip", [](std::uint64_t number, std::uint64_t proposer, std::uint64_t position) {
+        const LogPosition original{Term{number, proposer}, position};
+        const auto read = parseLogPosition(toText(original));
         RC_ASSERT(bool(read));
-        RC_ASSERT(*read == mark);
+        RC_ASSERT(*read == original);
     });
-    cr_assert(holds);
+    cr_assert(passed);
 }
 
-Test(base, malformedMarksAreRefused)
+Test(base, malformedLogPositionsAreRejected)
 {
     for (const char *text : {"", "7", "7.x", "7.1f", "7.1f/", "7.1f/-1", "7.1f/99999999999999999999", "a.1/1", "7.1f/1 "}) {
         const auto read = parseLogPosition(text);
@@ -32,13 +32,13 @@
     }
 }
 
-Test(base, higherTermOutranksHigherPosition)
+Test(base, higherTermOutranksHigherIndex)
 {
     cr_assert((LogPosition{Term{2, 0}, 1} > LogPosition{Term{1, 9}, 100}));
     cr_assert((LogPosition{Term{1, 2}, 1} > LogPosition{Term{1, 1}, 100}));
 }
 
-Test(base, everyErrorKindHasAnAnswer)
+Test(base, everyErrorKindHasAnAnswerRule)
 {
     for (std::size_t index = 0; index < errorKindCount; ++index) {
         const auto kind = static_cast<ErrorKind>(index);
@@ -53,7 +53,7 @@
     }
 }
 
-Test(base, errorsNameTheirPosition)
+Test(base, errorTextStartsWithItsSourcePosition)
 {
     Error error{ErrorKind::InvalidSettings, "expected a number"};
     error.position = SourcePosition{"proxy.json", 7, "limits.callers"};
@@ -62,7 +62,7 @@
     cr_assert(out.str() == "proxy.json:7: limits.callers: invalid-settings: expected a number");
 }
 
-Test(base, generatorsWithOneSeedAgree)
+Test(base, generatorsWithTheSameSeedAgree)
 {
     Random first{7};
     Random second{7};
--- a/tests/http/test_http.cpp
+++ b/tests/http/test_http.cpp
@@ -1,4 +1,4 @@
-// Tests of the HTTP server and of the client connection that never resends.
+// Tests of the HTTP server and of the client connection, which never resends a request.
 #include "http/address.h"
 #include "http/connection.h"
 #include "http/server.h"
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr Milliseconds patience{5000};
+constexpr Milliseconds timeout{5000};
 
-Result<std::unique_ptr<http::Server>> startEcho(const char *address, std::size_t maxBodyBytes)
+Result<std::unique_ptr<http::Server>> startEchoServer(const char *address, std::size_t maxBodyBytes)
 {
     return http::Server::start({.listen = Address{address}, .maxBodyBytes = maxBodyBytes}, [](const http::Request &request) {
         return http::Response{200,
@@ -29,7 +29,8 @@
     });
 }
 
-// Answers the first request on a connection and closes after reading the second.
+// Replies to the first request on a connection and closes the connection after reading the second.
+// A second connection counts as a request, too.
 class ClosingServer
 {
 public:
@@ -66,10 +67,10 @@
         socket.close();
         acceptor_.non_blocking(true);
         std::this_thread::sleep_for(Milliseconds{100});
-        boost::system::error_code none;
+        boost::system::error_code acceptError;
         Tcp::socket second(context_);
-        acceptor_.accept(second, none);
-        requests_ += none ? 0 : 1;
+        acceptor_.accept(second, acceptError);
+        requests_ += acceptError ? 0 : 1;
     }
     boost::asio::io_context context_;
     Tcp::acceptor acceptor_;
@@ -79,62 +80,62 @@
 
 } // namespace
 
-Test(http, requestAndResponseArriveWhole)
+Test(http, requestAndResponseArriveComplete)
 {
-    auto server = startEcho("127.0.0.1:18101", 1000000);
+    auto server = startEchoServer("127.0.0.1:18101", 1000000);
     cr_assert(bool(server));
     http::Connection connection{Address{"127.0.0.1:18101"}};
     const std::string large(300000, 'x');
-    const auto result = connection.exchange({"POST", "/v1/a", {{"a b", "c&d"}}, {{"x-question", "why"}}, large}, patience);
+    const auto result = connection.exchange({"POST", "/v1/a", {{"a b", "c&d"}}, {{"x-question", "why"}}, large}, timeout);
     cr_assert(result.response.has_value());
     cr_assert(result.response->body == "POST /v1/a c&d " + large);
     cr_assert(result.response->headers.at("x-echo") == "why");
     cr_assert(connection.isOpen());
 }
 
-Test(http, oversizeBodyIsRefused)
+Test(http, oversizedBodyIsRejected)
 {
-    auto server = startEcho("127.0.0.1:18102", 1000);
+    auto server = startEchoServer("127.0.0.1:18102", 1000);
     http::Connection connection{Address{"127.0.0.1:18102"}};
-    const auto result = connection.exchange({"POST", "/", {}, {}, std::string(2000, 'x')}, patience);
+    const auto result = connection.exchange({"POST", "/", {}, {}, std::string(2000, 'x')}, timeout);
     cr_assert(result.response.has_value());
     cr_assert(result.response->status == 413);
 }
 
-Test(http, refusedConnectionSentNothing)
+Test(http, refusedConnectionIsReportedAsNotSent)
 {
     http::Connection connection{Address{"127.0.0.1:18103"}};
-    const auto result = connection.exchange({"GET", "/", {}, {}, ""}, patience);
+    const auto result = connection.exchange({"GET", "/", {}, {}, ""}, timeout);
     cr_assert(!result.response.has_value());
     cr_assert(result.failure.stage == http::ExchangeStage::NotSent);
     cr_assert(result.failure.refused);
 }
 
-Test(http, brokenKeptConnectionIsNotSentAgain)
+Test(http, requestOnBrokenKeepAliveConnectionIsNotResent)
 {
     ClosingServer server;
     http::Connection connection{server.address()};
-    cr_assert(connection.exchange({"GET", "/1", {}, {}, ""}, patience).response.has_value());
-    const auto second = connection.exchange({"GET", "/2", {}, {}, ""}, patience);
+    cr_assert(connection.exchange({"GET", "/1", {}, {}, ""}, timeout).response.has_value());
+    const auto second = connection.exchange({"GET", "/2", {}, {}, ""}, timeout);
     cr_assert(!second.response.has_value());
     cr_assert(second.failure.stage == http::ExchangeStage::Sent);
     std::this_thread::sleep_for(Milliseconds{200});
     cr_assert(server.requests() == 2);
 }
 
-Test(http, connectionThatTheServerClosedIsNotUsed)
+Test(http, connectionClosedByTheServerIsNotUsed)
 {
     boost::asio::io_context context;
     Tcp::acceptor acceptor(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     http::Connection connection{Address{"127.0.0.1:" + std::to_string(acceptor.local_endpoint().port())}};
-    cr_assert(bool(connection.connect(patience)));
+    cr_assert(bool(connection.connect(timeout)));
     cr_assert(connection.checkOpen());
     Tcp::socket(acceptor.accept()).close();
     while (connection.checkOpen()) {
         std::this_thread::yield();
     }
     acceptor.close();
-    const auto result = connection.exchange({"POST", "/", {}, {}, ""}, patience);
+    const auto result = connection.exchange({"POST", "/", {}, {}, ""}, timeout);
     cr_assert(result.failure.stage == http::ExchangeStage::NotSent);
     cr_assert(result.failure.refused);
 }
@@ -151,7 +152,7 @@
     cr_assert(!connection.isOpen());
 }
 
-Test(http, addressesAreChecked)
+Test(http, malformedAddressesAreRejected)
 {
     cr_assert(bool(http::parseAddress(Address{"10.0.0.1:80"})));
     for (const char *text : {"", "10.0.0.1", ":80", "10.0.0.1:0", "10.0.0.1:70000", "10.0.0.1:8x", "host.example:80"}) {
--- a/tests/json/test_json.cpp
+++ b/tests/json/test_json.cpp
@@ -1,4 +1,4 @@
-// Tests of located parsing and of readers that collect all faults.
+// Tests of locating keys and of the reader that collects all faults.
 #include "json/document.h"
 #include "json/nearest.h"
 
@@ -8,7 +8,7 @@
 using namespace cardamomstep;
 using namespace cardamomstep::json;
 
-Test(json, linesOfKeysAndElementsAreKnown)
+Test(json, keysAndElementsAreLocated)
 {
     const auto lines = locateKeys("{\n \"a\": {\n  \"b\": 1\n },\n \"c\": [\n  1\n ,\n  {\"d\": 2}]\n}");
     cr_assert(bool(lines));
@@ -18,19 +18,19 @@
     cr_assert(lines->line("c[0]") == 6);
     cr_assert(lines->line("c[1]") == 8);
     cr_assert(lines->line("c[1].d") == 8);
-    cr_assert(lines->line("c[1].missing.deeper") == 8, "a missing key stands where its parent stands");
+    cr_assert(lines->line("c[1].missing.deeper") == 8, "a missing key has the line of its parent");
     cr_assert(lines->line("nothing") == 1);
 }
 
-Test(json, everyElementIsFoundOnItsLine)
+Test(json, everyElementIsLocatedOnItsLine)
 {
-    const bool holds = rc::check("element lines", [](const std::vector<std::uint8_t> &gaps) {
+    const bool passed = rc::check("element lines", [](const std::vector<std::uint8_t> &separators) {
         std::string text = "[0";
         std::uint32_t line = 1;
         std::vector<std::uint32_t> expected{1};
-        for (const auto gap : gaps) {
-            text += std::string(gap % 3, '\n') + "," + std::string(gap % 2, '\n') + "1";
-            line += gap % 3 + gap % 2;
+        for (const auto separator : separators) {
+            text += std::string(separator % 3, '\n') + "," + std::string(separator % 2, '\n') + "1";
+            line += separator % 3 + separator % 2;
             expected.push_back(line);
         }
         const auto lines = locateKeys(text + "]");
@@ -39,7 +39,7 @@
             RC_ASSERT(lines->line(elementPath("", index)) == expected[index]);
         }
     });
-    cr_assert(holds);
+    cr_assert(passed);
 }
 
 Test(json, duplicateKeysAreFoundInTheirObject)
@@ -53,7 +53,7 @@
     cr_assert(lines->duplicates()[1].line == 4);
 }
 
-Test(json, malformedTextNamesItsLine)
+Test(json, malformedTextReportsItsLine)
 {
     for (const char *text : {"{\n\"a\": }", "{\n\"a\"", "\n", "{}\nx", "[1,\n2"}) {
         const auto lines = locateKeys(text);
@@ -105,17 +105,17 @@
         static_cast<void>(reader.number<std::uint8_t>("n", {0, 255}));
         cr_assert(faults.size() == 1, "accepted %s", text);
     }
-    const bool holds = rc::check("numbers in range are read", [](std::int64_t number) {
+    const bool passed = rc::check("numbers in range are read", [](std::int64_t number) {
         const nlohmann::json value{{"n", number}};
         std::vector<Fault> faults;
         ObjectReader reader(value, "", faults);
         RC_ASSERT(reader.number<std::int64_t>("n", {}) == number);
         RC_ASSERT(faults.empty());
     });
-    cr_assert(holds);
+    cr_assert(passed);
 }
 
-Test(json, nearestWordIsNamed)
+Test(json, nearestWordIsSuggested)
 {
     const std::vector<std::string> known{"apply", "status", "get"};
     cr_assert(nearestWord("aply", known) == std::optional<std::string>("apply"));
