--- a/bench/decisions.cpp
+++ b/bench/decisions.cpp
@@ -1,4 +1,4 @@
-// Micro benchmark of the decisions on the path of every request: routing, admission, attempt, token and connection.
+// Micro benchmark of the decisions made for every request: routing, admission, write attempt, session token and connection pool.
 #include "connections/pool.h"
 #include "requests/admission.h"
 #include "requests/attempt.h"
@@ -36,7 +36,7 @@
     return report;
 }
 
-/// Runs \a step for each round and prints the mean time of one; `sink` keeps the work from being left out.
+/// Runs \a step once per round and prints its mean time; `sink` keeps the compiler from optimizing the work away.
 template<typename Step>
 void measure(const char *name, Step step)
 {
@@ -45,8 +45,8 @@
     for (std::int64_t round = 0; round < rounds; ++round) {
         sink += step(round);
     }
-    const auto taken = std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - began).count();
-    std::printf("%-34s %7.0f ns (%llu)\n", name, taken / static_cast<double>(rounds), static_cast<unsigned long long>(sink % 10));
+    const auto elapsed = std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - began).count();
+    std::printf("%-34s %7.0f ns (%llu)\n", name, elapsed / static_cast<double>(rounds), static_cast<unsigned long long>(sink % 10));
 }
 
 ReadRouter readyRouter()
@@ -79,8 +79,8 @@
     measure("route and verify a read", [&](std::int64_t round) {
         ReadPlan plan{agedRead(100'000 + round % 1'000)};
         const auto step = router.route(plan, at(100'000 + round % 1'000));
-        const auto *ask = std::get_if<ReadFromMember>(&step);
-        return ask != nullptr && router.verify(plan, ask->member, positionOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
+        const auto *fromMember = std::get_if<ReadFromMember>(&step);
+        return fromMember != nullptr && router.verify(plan, fromMember->member, positionOf(99), at(104'000 + round % 1'000)) ? 1U : 0U;
     });
     AdmissionQueue queue;
     (void)queue.setSlots(Lane::Replica, slots, at(0));
@@ -91,7 +91,7 @@
         return step.index() + admitted + queue.finished(static_cast<std::uint64_t>(round), at(round)).size();
     });
     std::int64_t position = 100;
-    measure("take in a report", [&](std::int64_t round) {
+    measure("apply a report", [&](std::int64_t round) {
         ++position;
         router.confirm(at(200'000 + round * 100), positionOf(position));
         router.report(reportOf("ledger-1-b", position), at(200'000 + round * 100 + 50));
@@ -115,11 +115,11 @@
 void measureWrite()
 {
     RetryBudget budget;
-    measure("carry a write through its attempt", [&](std::int64_t round) {
-        WriteRequirements need;
-        need.fingerprint = 5;
-        need.deadline = at(round + 300'000);
-        WriteAttempt attempt{need, budget};
+    measure("run a write attempt", [&](std::int64_t round) {
+        WriteRequirements requirements;
+        requirements.fingerprint = 5;
+        requirements.deadline = at(round + 300'000);
+        WriteAttempt attempt{requirements, budget};
         (void)attempt.start({Term{3, 9}, true}, at(round));
         MemberReply reply;
         reply.position = positionOf(round);
@@ -134,7 +134,7 @@
     (void)token.merge(GroupName{"ledger-1"}, positionOf(120'000));
     (void)token.merge(GroupName{"ledger-2"}, positionOf(90'000));
     const auto text = token.format();
-    measure("read, merge and write a token", [&](std::int64_t round) {
+    measure("parse, merge and format a token", [&](std::int64_t round) {
         auto read = SessionToken::parse(text);
         (void)read->merge(GroupName{"ledger-1"}, positionOf(120'000 + round));
         return read->format().size();
@@ -144,7 +144,7 @@
     const auto first = std::get<OpenConnection>(pool.acquire(at(100'000), at(0))).key;
     pool.opened(first, at(0));
     (void)pool.release(first, at(0));
-    measure("take and give back a connection", [&](std::int64_t round) {
+    measure("acquire and release a connection", [&](std::int64_t round) {
         (void)pool.acquire(at(round + 100'000), at(round));
         return pool.release(first, at(round)) ? 1U : 0U;
     });
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,4 +1,4 @@
-// Load from many callers on a few proxies: throughput, latency percentiles and kinds of answers, as one JSON line.
+// Load generator: many callers on a few proxies. Prints throughput, latency percentiles and counts of answers as one JSON line.
 #include "http/connection.h"
 
 #include <cxxopts.hpp>
@@ -66,7 +66,7 @@
     return body.dump();
 }
 
-/// One caller: sends its statements one after the other, at its part of the rate.
+/// Runs one caller: sends statements one after the other, at its fraction of the total rate.
 void runCaller(const LoadOptions &options, unsigned index, TimePoint until, Totals &totals)
 {
     http::Connection connection(options.proxies[index % options.proxies.size()]);
@@ -115,12 +115,12 @@
     totals.reads += reads;
 }
 
-double percentile(const std::vector<double> &sorted, double part)
+double percentile(const std::vector<double> &sorted, double fraction)
 {
     if (sorted.empty()) {
         return 0;
     }
-    const auto index = static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1));
+    const auto index = static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1));
     return sorted[index];
 }
 
@@ -147,7 +147,7 @@
             {"answers", totals.answers}};
 }
 
-/// Holds \a count idle connections open for some seconds, each after one answered request.
+/// Opens \a count connections, sends one request on each, and keeps them idle for the duration of the run.
 void holdIdle(const LoadOptions &options, unsigned count)
 {
     std::vector<std::unique_ptr<http::Connection>> idle;
@@ -165,18 +165,18 @@
 
 int main(int argc, char **argv)
 {
-    cxxopts::Options description("load", "Load on proxies on loopback, bounded in time");
+    cxxopts::Options description("load", "Generates load on proxies for a bounded time");
     auto add = description.add_options();
-    add("proxies", "callers' addresses, separated by commas", cxxopts::value<std::string>());
+    add("proxies", "caller addresses of the proxies, separated by commas", cxxopts::value<std::string>());
     add("service", "service", cxxopts::value<std::string>()->default_value("ledger"));
     add("prefixes", "key prefixes, separated by commas", cxxopts::value<std::string>()->default_value(""));
     add("callers", "callers", cxxopts::value<unsigned>()->default_value("32"));
-    add("seconds", "duration", cxxopts::value<double>()->default_value("5"));
-    add("read-share", "part of reads", cxxopts::value<double>()->default_value("0.9"));
-    add("rate", "statements a second over all callers; 0 for as many as are answered", cxxopts::value<double>()->default_value("0"));
-    add("window", "window in ms", cxxopts::value<std::int64_t>()->default_value("500"));
-    add("age", "accepted age in ms; negative for current reads", cxxopts::value<std::int64_t>()->default_value("-1"));
-    add("idle", "hold this many idle connections instead", cxxopts::value<unsigned>()->default_value("0"));
+    add("seconds", "duration in seconds, at most 120", cxxopts::value<double>()->default_value("5"));
+    add("read-share", "fraction of statements that are reads", cxxopts::value<double>()->default_value("0.9"));
+    add("rate", "statements per second of all callers together; 0 for no limit", cxxopts::value<double>()->default_value("0"));
+    add("window", "time window of a statement in ms", cxxopts::value<std::int64_t>()->default_value("500"));
+    add("age", "accepted age of reads in ms; negative for current reads", cxxopts::value<std::int64_t>()->default_value("-1"));
+    add("idle", "open this many idle connections instead of running a load", cxxopts::value<unsigned>()->default_value("0"));
     const auto parsed = description.parse(argc, argv);
     LoadOptions options;
     for (const auto &address : split(parsed["proxies"].as<std::string>())) {
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Measures of the running system; see scripts/bench --help. Prints one JSON object a line and a table on stderr."""
+"""Benchmarks of the running system; see scripts/bench --help. Prints one JSON object per line, and a table on stderr."""
 
 import argparse
 import json
@@ -45,7 +45,7 @@
         return {**head, "runs": self.options.runs, **values}
 
     def load(self, cluster, proxies=None, **flags):
-        """Runs the load generator; returns its result with the proxies' processor time for each statement."""
+        """Runs the load generator; returns its result with the proxies' processor time per statement."""
         addresses = ",".join(proxy.callers for proxy in (proxies or cluster.proxies))
         prefixes = ",".join(self.deployment.prefix(group) for group in self.deployment.groups)
         command = [os.path.join(self.options.build, "bench-load"), "--proxies", addresses]
@@ -62,7 +62,7 @@
     # Measures
 
     def reads(self):
-        """Share of reads from replicas under a mixed load of sessions, with the check of the whole history."""
+        """Fraction of reads served by replicas under a mixed load of sessions; the whole history is checked."""
         for run in range(self.options.runs):
             seed = self.options.seed + run
             with self.cluster() as cluster:
@@ -84,7 +84,7 @@
             )
 
     def failover(self):
-        """Time from the kill of a primary to the first acknowledged write, as one caller sees it."""
+        """Time from the kill of a primary to the first acknowledged write of one caller."""
         gaps = []
         with self.cluster() as cluster:
             with Workload(cluster, self.options.seed, sessions=4, client_ms=self.deployment.to_clients_ms) as workload:
@@ -111,7 +111,7 @@
         return gap
 
     def overload(self):
-        """Statements completed in their window at 1, 2 and 5 times what the groups can serve."""
+        """Statements completed within their window at 1, 2 and 5 times the capacity of the groups."""
         with self.cluster() as cluster:
             capacity = self.load(cluster, callers=96, seconds=5, read_share=0.5, age=500, window=1000)["in_window_per_second"]
             completed = {}
@@ -123,25 +123,27 @@
         yield self.result(capacity_per_second=round(capacity), completed=completed, least_of_peak=share(completed["5x"], peak))
 
     def overhead(self):
-        """A statement straight to a member, through one proxy and through two, without emulated delays; then the rate of one proxy."""
+        """Latency of a write sent directly to a member and through each proxy, which may forward it to a second one; no emulated delays.
+
+        Then the throughput of the proxies, and the memory of one with idle connections."""
         with self.cluster(relays=False, delays=False) as cluster:
             group = self.deployment.groups[0]
             member = wait_for(lambda: cluster.primary(group))
-            straight = direct_latencies(member, f"{self.deployment.prefix(group)}direct")
+            direct = direct_latencies(member, f"{self.deployment.prefix(group)}direct")
             through = {}
             for proxy in range(len(cluster.proxies)):
                 caller = Caller(cluster, proxy)
                 through[cluster.proxies[proxy].name] = percentiles(write_latencies(caller, f"{self.deployment.prefix(group)}via"))
             load = self.load(cluster, callers=64, seconds=5, read_share=0.9, age=1000)
             idle = self.idle_memory(cluster)
-        yield self.result(straight_ms=percentiles(straight), through_ms=through, load=load, **idle)
+        yield self.result(straight_ms=percentiles(direct), through_ms=through, load=load, **idle)
 
     def idle_memory(self, cluster, connections=4000):
         proxy = cluster.proxies[0]
         before = resident_kb(proxy.process)
         command = [os.path.join(self.options.build, "bench-load"), "--proxies", proxy.callers, "--idle", str(connections), "--seconds", "2"]
-        with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as holder:
-            open_now = json.loads(holder.stdout.readline())["idle_connections"]
+        with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as idle_load:
+            open_now = json.loads(idle_load.stdout.readline())["idle_connections"]
             after = resident_kb(proxy.process)
         return {"idle_connections": open_now, "idle_connections_mb": round((after - before) / 1024, 1)}
 
@@ -161,15 +163,15 @@
 
 
 def violations(workload):
-    """Checks the history of \\a workload and counts what it finds, by sort."""
+    """Checks the history of `workload`; returns the number of violations of each kind."""
     found = {"stale": 0, "lost": 0, "doubled": 0, "false_not_run": 0}
     try:
         workload.verify()
     except AssertionError as fault:
         found["violations"] = str(fault)[:500]
-        for sort in found:
-            if sort != "violations":
-                found[sort] = found["violations"].count(sort.split("_")[0])
+        for violation in found:
+            if violation != "violations":
+                found[violation] = found["violations"].count(violation.split("_")[0])
     return found
 
 
@@ -180,7 +182,7 @@
         if value:
             return value
         time.sleep(0.01)
-    raise SystemExit("bench: gave up waiting")
+    raise SystemExit("bench: timed out while waiting")
 
 
 def share(part, whole):
@@ -219,7 +221,7 @@
 
 
 def plot(results, file):
-    """Writes the numbers of the results as a PNG by gnuplot, which the package gnuplot-nox brings."""
+    """Plots the numbers of the results as a PNG with gnuplot (package gnuplot-nox)."""
     points = [(f"{r['deployment']} {name}", value) for r in results for name, value in r.items() if isinstance(value, float)]
     rows = "\n".join(f'"{name}" {value}' for name, value in points)
     script = f'set terminal png size 1000,500\nset output "{file}"\nset style fill solid\nset xtics rotate by -30\n$data << E\n{rows}\nE\n'
@@ -227,11 +229,11 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(prog="scripts/bench", description="Measures real processes at a deployment's sizes and delays.")
+    parser = argparse.ArgumentParser(prog="scripts/bench", description="Benchmarks real processes with the sizes and delays of a deployment.")
     parser.add_argument("measure", choices=["reads", "failover", "overload", "overhead", "control"])
     parser.add_argument("--deployment", choices=sorted(DEPLOYMENTS), default="kaheksa")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--runs", type=int, default=1, help="runs, or failovers of one run")
+    parser.add_argument("--runs", type=int, default=1, help="number of runs; for failover, of failovers in one run")
     parser.add_argument("--build", default=os.path.join(ROOT, "build"))
     parser.add_argument("--plot", metavar="FILE", help="write a PNG (needs gnuplot-nox)")
     options = parser.parse_args()
--- a/bench/record_traces.py
+++ b/bench/record_traces.py
@@ -1,6 +1,6 @@
-"""Records the decisions of one owner in named failure cases, as traces for tests/trace/recorded.
+"""Records the decisions of one group owner in named failure cases, as traces for tests/trace/recorded.
 
-Usage: bench/record_traces.py [BUILD_FOLDER [CASE]...]. Real processes without emulated delays; a few seconds for each case.
+Usage: bench/record_traces.py [BUILD_FOLDER [CASE]...]. Runs real processes without emulated delays; a case takes a few seconds.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 
 def bootstrap(cluster):
-    """Three members without a term get a primary."""
+    """Three members without a term: one becomes primary."""
 
 
 def killed_primary(cluster):
@@ -125,7 +125,7 @@
 
 
 class TracedCluster(Cluster):
-    """Each proxy records its own traces."""
+    """A cluster whose proxies each record traces to a file of their own."""
 
     def settings_of(self, proxy):
         return {**super().settings_of(proxy), "trace": {"file": os.path.join(self.folder, proxy.name)}}
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the control cost: idle proxies before more and more groups, and more and more proxies. One JSON object a line.
+"""Growth of the control cost of idle proxies with the number of groups and of proxies. Prints one JSON object per line.
 
 Usage: bench/slopes.py [BUILD_FOLDER]. Takes about a minute; at most 70 processes.
 """
@@ -48,12 +48,12 @@
 
 
 def fit(points, x, y):
-    """Least squares: slope and value at zero."""
+    """Least squares fit of `y` over `x`: slope and value at zero."""
     count = len(points)
     mean_x = sum(point[x] for point in points) / count
     mean_y = sum(point[y] for point in points) / count
-    spread = sum((point[x] - mean_x) ** 2 for point in points)
-    slope = sum((point[x] - mean_x) * (point[y] - mean_y) for point in points) / spread
+    squares = sum((point[x] - mean_x) ** 2 for point in points)
+    slope = sum((point[x] - mean_x) * (point[y] - mean_y) for point in points) / squares
     return {"of": y, "for_each": x, "slope": round(slope, 3), "at_zero": round(mean_y - slope * mean_x, 3)}
 
 
--- a/cmake/slices.cmake
+++ b/cmake/slices.cmake
@@ -14,7 +14,7 @@
 cardamomstep_library(members base http)
 
 
-# Generated code is committed and compiled as it is, without our warnings.
+# Generated code is committed, and compiled without the additional warnings.
 add_library(peerwire STATIC ${CMAKE_SOURCE_DIR}/src/peer/generated/peer.pb.cc ${CMAKE_SOURCE_DIR}/src/peer/generated/peer.grpc.pb.cc)
 target_include_directories(peerwire SYSTEM PUBLIC ${CMAKE_SOURCE_DIR}/src/peer/generated)
 target_link_libraries(peerwire PUBLIC PkgConfig::GRPC PkgConfig::PROTOBUF)
@@ -36,7 +36,7 @@
 cardamomstep_library(logging base settings Boost::log)
 cardamomstep_library(metrics base)
 
-# The data path for callers whose session is a connection, and the event loop that it runs on.
+# The data path for callers whose session is a connection, and its event loop.
 cardamomstep_library(evloop http)
 cardamomstep_library(relay base sessions requests connections membership)
 cardamomstep_test(relay)
@@ -47,7 +47,7 @@
 target_link_libraries(fleetwire PUBLIC PkgConfig::GRPC PkgConfig::PROTOBUF)
 cardamomstep_library(fleet leadership fleetwire peer)
 
-# What translates the users' platform; the folder stands at the root.
+# Adapter to the users' platform, in the folder platform at the root.
 file(GLOB platformSources CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/platform/*.cpp)
 add_library(platform STATIC ${platformSources})
 target_include_directories(platform PUBLIC ${CMAKE_SOURCE_DIR} ${CMAKE_SOURCE_DIR}/src)
@@ -84,13 +84,13 @@
 
 cardamomstep_test(trace)
 
-# Templates of these libraries use 0 for null pointers.
+# Templates of the external libraries used by these files use 0 for null pointers.
 set_source_files_properties(${CMAKE_SOURCE_DIR}/src/http/connection.cpp ${CMAKE_SOURCE_DIR}/src/http/server.cpp
     ${CMAKE_SOURCE_DIR}/src/evloop/lineconnection.cpp ${CMAKE_SOURCE_DIR}/src/evloop/httpclient.cpp
     ${CMAKE_SOURCE_DIR}/src/evloop/httpserver.cpp ${CMAKE_SOURCE_DIR}/platform/sessionproxycommand.cpp
     ${CMAKE_SOURCE_DIR}/platform/objectstore.cpp
     PROPERTIES COMPILE_OPTIONS -Wno-zero-as-null-pointer-constant)
-# Micro benchmark; built on demand and not part of the verdict.
+# Micro benchmark; built on demand only, and not part of the test run.
 add_executable(bench-decisions EXCLUDE_FROM_ALL ${CMAKE_SOURCE_DIR}/bench/decisions.cpp)
 target_compile_options(bench-decisions PRIVATE -Wall -Wextra -Wno-missing-field-initializers -Werror)
 target_link_libraries(bench-decisions PRIVATE sessions requests connections)
--- a/examples/quickstart/session.py
+++ b/examples/quickstart/session.py
@@ -1,4 +1,4 @@
-"""Runs three proxies and two services on loopback and shows a session: write, read elsewhere, failover.
+"""Runs three proxies and two services on loopback and shows a session: write, read through another proxy, failover.
 
 Usage: session.py BUILD_FOLDER
 """
@@ -32,13 +32,13 @@
 
 
 def groups():
-    """The database groups of the example records, by name."""
+    """Returns the specs of the database groups in the example records, by name."""
     records = [read_json(folder, name) for folder in RECORD_FOLDERS for name in sorted(os.listdir(folder))]
     return {record["name"]: record["spec"] for record in records if record["kind"] == "DatabaseGroup"}
 
 
 class Proxy:
-    """A proxy that runs with an example's settings."""
+    """A proxy process with the settings of an example file."""
 
     def __init__(self, build, folder, number):
         file = os.path.join(EXAMPLES, "kaheksa", f"proxy-{number}.json")
@@ -62,12 +62,12 @@
 
 
 class Quickstart:
-    """The processes of the quickstart; leaving the block stops them."""
+    """The processes of the quickstart; a context manager that stops them on exit."""
 
     def __init__(self, build):
         self.build = os.path.abspath(build)
-        self.folder_holder = tempfile.TemporaryDirectory(prefix="cardamomstep-quickstart-")
-        folder = self.folder_holder.name
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="cardamomstep-quickstart-")
+        folder = self.temporary_folder.name
         self.proxies = [Proxy(self.build, folder, number + 1) for number in range(PROXY_COUNT)]
         settings = self.proxies[0].settings
         self.store = Store(self.build, settings["platform"]["store"], folder)
@@ -86,7 +86,7 @@
             proxy.process.kill()
         for process in [*self.all_members(), self.store]:
             process.stop()
-        self.folder_holder.cleanup()
+        self.temporary_folder.cleanup()
 
     def all_members(self):
         return [member for members in self.members.values() for member in members]
@@ -111,7 +111,7 @@
 
     def apply_records(self):
         self.wait_until_ready()
-        step("waiting until the proxies know each other and take changes")
+        step("waiting until the proxies have found each other and accept changes")
         first_record = os.path.join(RECORD_FOLDERS[0], "ledger-1.json")
         quiet = {"stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL}
         wait_until(lambda: self.apply(first_record, **quiet) == 0, "a record is applied", 20)
@@ -131,7 +131,7 @@
 
 
 def until_ok(send, what):
-    """Repeats a request with a request id until it is answered with success; the id makes repeats harmless."""
+    """Repeats a request with a request id until it succeeds; the id makes the request idempotent."""
 
     def attempt():
         status, answer = send()
@@ -147,7 +147,7 @@
 
 
 def read_from_replica(proxy, service, key, session, expected):
-    """Reads until a replica answers; every answer must hold what the session wrote."""
+    """Reads until a replica serves the read; every answer must contain what the session wrote."""
 
     def attempt():
         status, answer = proxy.ask(service, "read", "get", key, {}, session)
--- a/standins/faults.cpp
+++ b/standins/faults.cpp
@@ -1,4 +1,4 @@
-// Reads fault orders and answers what is in force.
+// Merges fault settings from control messages and reports those in force.
 #include "faults.h"
 
 #include <nlohmann/json.hpp>
@@ -12,9 +12,9 @@
 
 constexpr const char *answerFaultNames[] = {"loseAnswers", "truncateAnswers", "swapAnswers", "duplicateAnswers", "dropRows"};
 
-std::chrono::microseconds inMicroseconds(DoubleMilliseconds span)
+std::chrono::microseconds toMicroseconds(DoubleMilliseconds time)
 {
-    return std::chrono::duration_cast<std::chrono::microseconds>(span);
+    return std::chrono::duration_cast<std::chrono::microseconds>(time);
 }
 
 template<typename T>
@@ -25,7 +25,7 @@
     }
 }
 
-void mergeSpan(const Json &change, const char *name, DoubleMilliseconds &value)
+void mergeDuration(const Json &change, const char *name, DoubleMilliseconds &value)
 {
     if (change.contains(name)) {
         value = DoubleMilliseconds{change.at(name).get<double>()};
@@ -60,10 +60,10 @@
     mergeValue(change, "stuck", stuck_);
     mergeValue(change, "leaving", leaving_);
     mergeValue(change, "refuseWork", refusesWork_);
-    mergeSpan(change, "lagMs", lag_);
-    mergeSpan(change, "slowMs", slow_);
+    mergeDuration(change, "lagMs", lag_);
+    mergeDuration(change, "slowMs", extraServiceTime_);
     for (const auto *name : answerFaultNames) {
-        mergeValue(change, name, answers_[name]);
+        mergeValue(change, name, pendingAnswerFaults_[name]);
     }
     if (change.contains("outage")) {
         outage_ = outageFromText(change.at("outage").get<std::string>());
@@ -71,7 +71,7 @@
     if (change.contains("seed")) {
         random_ = Random{change.at("seed").get<std::uint64_t>()};
     }
-    thawed_.notify_all();
+    changed_.notify_all();
 }
 
 Json Faults::state() const
@@ -83,15 +83,15 @@
             {"stuck", stuck_},
             {"leaving", leaving_},
             {"lagMs", lag_.count()},
-            {"slowMs", slow_.count()},
+            {"slowMs", extraServiceTime_.count()},
             {"outage",
              outage_ == Outage::None         ? ""
                  : outage_ == Outage::Silent ? "silent"
                                              : "503"},
-            {"answers", answers_}};
+            {"answers", pendingAnswerFaults_}};
 }
 
-std::chrono::microseconds Faults::oneWay(const std::string &from, const std::string &to)
+std::chrono::microseconds Faults::drawDelay(const std::string &from, const std::string &to)
 {
     const std::lock_guard lock(mutex_);
     auto found = delays_.find({from, to});
@@ -101,15 +101,15 @@
     if (found == delays_.end()) {
         return std::chrono::microseconds{0};
     }
-    const auto jitter = inMicroseconds(found->second.jitter);
+    const auto jitter = toMicroseconds(found->second.jitter);
     const auto extra = random_.below(static_cast<std::uint64_t>(jitter.count()) + 1);
-    return inMicroseconds(found->second.base) + std::chrono::microseconds{extra};
+    return toMicroseconds(found->second.base) + std::chrono::microseconds{extra};
 }
 
 void Faults::waitWhileFrozen()
 {
     std::unique_lock lock(mutex_);
-    thawed_.wait(lock, [this] { return !frozen_; });
+    changed_.wait(lock, [this] { return !frozen_; });
 }
 
 bool Faults::isCut(const std::string &name) const
@@ -130,16 +130,16 @@
     return outage_;
 }
 
-std::chrono::microseconds Faults::slow() const
+std::chrono::microseconds Faults::extraServiceTime() const
 {
     const std::lock_guard lock(mutex_);
-    return inMicroseconds(slow_);
+    return toMicroseconds(extraServiceTime_);
 }
 
 std::chrono::microseconds Faults::lag() const
 {
     const std::lock_guard lock(mutex_);
-    return inMicroseconds(lag_);
+    return toMicroseconds(lag_);
 }
 
 bool Faults::stuck() const
@@ -162,8 +162,8 @@
 
 bool Faults::consume(const char *name)
 {
-    const auto found = answers_.find(name);
-    if (found == answers_.end() || found->second == 0) {
+    const auto found = pendingAnswerFaults_.find(name);
+    if (found == pendingAnswerFaults_.end() || found->second == 0) {
         return false;
     }
     --found->second;
--- a/standins/main.cpp
+++ b/standins/main.cpp
@@ -3,7 +3,7 @@
 #include "relay.h"
 #include "store.h"
 
-// A false alarm of g++ 12 in the strings of cxxopts.
+// g++ 12 reports a false positive of -Wrestrict in the string handling of cxxopts.
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wrestrict"
 #endif
@@ -59,17 +59,17 @@
     auto add = options.add_options();
     add("role", "member, store or relay", cxxopts::value<std::string>());
     add("name", "member name", cxxopts::value<std::string>()->default_value("member"));
-    add("domain", "own failure domain", cxxopts::value<std::string>()->default_value(""));
-    add("listen", "address to serve", cxxopts::value<std::string>());
-    add("slots", "statements at once", cxxopts::value<unsigned>()->default_value("3"));
-    add("connections", "most database connections", cxxopts::value<unsigned>()->default_value("40"));
-    add("open-ms", "time to open a database connection", cxxopts::value<unsigned>()->default_value("12"));
-    add("service-us", "time of a statement", cxxopts::value<unsigned>()->default_value("0"));
-    add("state", "file that keeps a member's state", cxxopts::value<std::string>()->default_value(""));
+    add("domain", "failure domain of the stand-in", cxxopts::value<std::string>()->default_value(""));
+    add("listen", "address to listen on", cxxopts::value<std::string>());
+    add("slots", "number of statements that run concurrently", cxxopts::value<unsigned>()->default_value("3"));
+    add("connections", "maximum number of database connections", cxxopts::value<unsigned>()->default_value("40"));
+    add("open-ms", "time to open a database connection in ms", cxxopts::value<unsigned>()->default_value("12"));
+    add("service-us", "service time of a statement in us", cxxopts::value<unsigned>()->default_value("0"));
+    add("state", "file that stores a member's state", cxxopts::value<std::string>()->default_value(""));
     add("writes-per-second", "store limit, 0 for none", cxxopts::value<unsigned>()->default_value("500"));
     add("reads-per-second", "store limit, 0 for none", cxxopts::value<unsigned>()->default_value("2000"));
-    add("target", "address behind the relay", cxxopts::value<std::string>()->default_value(""));
-    add("control", "control address of the relay", cxxopts::value<std::string>()->default_value(""));
+    add("target", "address that the relay connects to", cxxopts::value<std::string>()->default_value(""));
+    add("control", "address for control requests to the relay", cxxopts::value<std::string>()->default_value(""));
     options.parse_positional({"role"});
     return options;
 }
@@ -96,8 +96,8 @@
     (void)std::signal(SIGPIPE, SIG_IGN);
     try {
         return runRole(makeOptions().parse(argumentCount, arguments));
-    } catch (const std::exception &fault) {
-        std::cerr << "standins: " << fault.what() << "\n";
+    } catch (const std::exception &error) {
+        std::cerr << "standins: " << error.what() << "\n";
         return EXIT_FAILURE;
     }
 }
--- a/standins/member.cpp
+++ b/standins/member.cpp
@@ -1,4 +1,4 @@
-// HTTP interface of a stand-in member; the rules themselves are in memberstate.cpp.
+// HTTP interface of a stand-in member; memberstate.cpp implements the member's rules.
 #include "member.h"
 
 #include <nlohmann/json.hpp>
@@ -14,7 +14,7 @@
 constexpr int ok = 200;
 constexpr int badRequest = 400;
 constexpr int notFound = 404;
-constexpr int refused = 409;
+constexpr int conflict = 409;
 constexpr int tooMany = 429;
 constexpr std::uint64_t maxEntriesPerPull = 500;
 
@@ -63,13 +63,13 @@
 void Member::run()
 {
     std::thread([this] { replicate(); }).detach();
-    const auto handlers = service();
+    const auto handlers = makeHandlers();
     Server(handlers, faults_).run(options_.listen);
 }
 
-Service Member::service()
+ServerHandlers Member::makeHandlers()
 {
-    Service handlers;
+    ServerHandlers handlers;
     handlers.handle = [this](ConnectionNumber connection, const http::Request &request) {
         return handle(connection, request);
     };
@@ -125,9 +125,9 @@
 
 bool Member::differsLocked(const http::Request &request) const
 {
-    const auto differs = [&request](const char *name, const std::string &now) {
-        const auto seen = request.parameter(name);
-        return !seen.empty() && seen != now;
+    const auto differs = [&request](const char *name, const std::string &current) {
+        const auto known = request.parameter(name);
+        return !known.empty() && known != current;
     };
     return differs("afterTerm", toText(state_.adopted())) || differs("afterMark", toText(state_.log().last()))
         || differs("afterRole", state_.isPrimary() ? "primary" : "replica")
@@ -166,30 +166,30 @@
 {
     const auto body = Json::parse(request.body);
     const std::lock_guard lock(mutex_);
-    const auto position = state_.log().findRequest(body.at("requestId").get<std::string>());
-    Json answer{{"found", position != 0}, {"rows", Json::array()}, {"rowCount", 0}, {"report", reportLocked()}};
-    if (position != 0) {
-        const auto &entry = state_.log().at(position);
-        answer["mark"] = toText(state_.log().positionAt(position));
-        answer["fingerprint"] = std::to_string(entry.fingerprint);
-        answer["rows"] = entry.rows;
-        answer["rowCount"] = entry.rows.size();
+    const auto entryIndex = state_.log().findRequest(body.at("requestId").get<std::string>());
+    Json replyBody{{"found", entryIndex != 0}, {"rows", Json::array()}, {"rowCount", 0}, {"report", reportLocked()}};
+    if (entryIndex != 0) {
+        const auto &entry = state_.log().at(entryIndex);
+        replyBody["mark"] = toText(state_.log().positionAt(entryIndex));
+        replyBody["fingerprint"] = std::to_string(entry.fingerprint);
+        replyBody["rows"] = entry.rows;
+        replyBody["rowCount"] = entry.rows.size();
     }
-    return jsonReply(ok, answer);
+    return jsonReply(ok, replyBody);
 }
 
 Reply Member::open(ConnectionNumber connection)
 {
     {
         const std::lock_guard lock(mutex_);
-        if (open_.count(connection) > 0) {
+        if (openConnections_.count(connection) > 0) {
             return jsonReply(ok, Json::object());
         }
         if (!connections_.tryAcquire()) {
             ++refusedOpens_;
             return jsonReply(tooMany, {{"error", "connection limit"}});
         }
-        open_.insert(connection);
+        openConnections_.insert(connection);
     }
     std::this_thread::sleep_for(options_.openTime);
     return jsonReply(ok, Json::object());
@@ -200,31 +200,31 @@
     const auto call = callOf(Json::parse(request.body));
     {
         const std::lock_guard lock(mutex_);
-        if (open_.count(connection) == 0) {
+        if (openConnections_.count(connection) == 0) {
             return jsonReply(badRequest, {{"error", "this is not a database connection"}});
         }
     }
     const SlotGuard slot(slots_);
-    std::this_thread::sleep_for(options_.serviceTime + faults_.slow());
+    std::this_thread::sleep_for(options_.serviceTime + faults_.extraServiceTime());
     faults_.waitWhileFrozen();
     const std::lock_guard lock(mutex_);
     const auto result = runCall(request.path, call, connection);
-    Json answer{{"exchange", call.exchange},
-                {"rows", result.rows},
-                {"rowCount", result.rows.size()},
-                {"mark", toText(result.logPosition.value_or(state_.log().last()))},
-                {"adopted", toText(state_.adopted())}};
+    Json replyBody{{"exchange", call.exchange},
+                   {"rows", result.rows},
+                   {"rowCount", result.rows.size()},
+                   {"mark", toText(result.logPosition.value_or(state_.log().last()))},
+                   {"adopted", toText(state_.adopted())}};
     if (!result.refusal.empty()) {
-        answer["refusal"] = result.refusal;
-        answer["description"] = result.description;
+        replyBody["refusal"] = result.refusal;
+        replyBody["description"] = result.description;
     }
     if (!result.transaction.empty()) {
-        answer["transaction"] = result.transaction;
+        replyBody["transaction"] = result.transaction;
     }
     if (result.repeated) {
-        answer["repeated"] = true;
+        replyBody["repeated"] = true;
     }
-    auto reply = jsonReply(result.refusal.empty() ? ok : refused, answer);
+    auto reply = jsonReply(result.refusal.empty() ? ok : conflict, replyBody);
     reply.allowsAnswerFaults = true;
     reply.isChange = result.changed;
     return reply;
@@ -237,7 +237,7 @@
         recordWork();
     }
     if (isNewWork && faults_.refusesWork()) {
-        return {"leaving", "this member takes no new work", Json::array(), {}, {}, false, false};
+        return {"leaving", "this member accepts no new work", Json::array(), {}, {}, false, false};
     }
     CallResult result;
     if (path == "/v1/execute") {
@@ -266,7 +266,7 @@
     const auto term = parseTerm(request.parameter("term"));
     const auto after = parseLogPosition(request.parameter("afterMark"));
     if (!term || !after) {
-        return jsonReply(badRequest, {{"error", "term and afterMark are needed"}});
+        return jsonReply(badRequest, {{"error", "term and afterMark are required"}});
     }
     std::unique_lock lock(mutex_);
     if (*term > state_.adopted()) {
@@ -280,30 +280,30 @@
     const auto &log = state_.log();
     const bool matches = after->index <= log.size() && log.positionAt(after->index) == *after;
     changed_.wait_for(lock, wait, [&] { return !leads() || !matches || log.size() > after->index; });
-    Json answer{{"adopted", toText(state_.adopted())}, {"last", toText(log.last())}, {"domain", options_.domain}};
+    Json replyBody{{"adopted", toText(state_.adopted())}, {"last", toText(log.last())}, {"domain", options_.domain}};
     if (!leads()) {
-        answer["refusal"] = state_.adopted() > *term ? "lower-term" : "not-primary";
-        return jsonReply(refused, answer);
+        replyBody["refusal"] = state_.adopted() > *term ? "lower-term" : "not-primary";
+        return jsonReply(conflict, replyBody);
     }
-    answer["matches"] = matches;
-    answer["entries"] = Json::array();
+    replyBody["matches"] = matches;
+    replyBody["entries"] = Json::array();
     if (!matches) {
         const auto limit = after->index == 0 ? 0 : after->index - 1;
-        answer["try"] = toText(log.positionAt(log.lastPositionUpTo(limit, after->term)));
-        return jsonReply(ok, answer);
+        replyBody["try"] = toText(log.positionAt(log.lastIndexUpTo(limit, after->term)));
+        return jsonReply(ok, replyBody);
     }
     const auto end = std::min<std::uint64_t>(log.size(), after->index + maxEntriesPerPull);
-    for (auto position = after->index + 1; position <= end; ++position) {
-        answer["entries"].push_back(toJson(log.at(position)));
+    for (auto entryIndex = after->index + 1; entryIndex <= end; ++entryIndex) {
+        replyBody["entries"].push_back(toJson(log.at(entryIndex)));
     }
-    return jsonReply(ok, answer);
+    return jsonReply(ok, replyBody);
 }
 
 void Member::closed(ConnectionNumber connection)
 {
     const std::lock_guard lock(mutex_);
     state_.closed(connection);
-    if (open_.erase(connection) > 0) {
+    if (openConnections_.erase(connection) > 0) {
         connections_.release();
     }
 }
--- a/standins/member.h
+++ b/standins/member.h
@@ -16,32 +16,34 @@
 
 namespace cardamomstep::standins {
 
-/// Settings of a member.
+/// Options of a member.
 struct MemberOptions {
     std::string name;
     std::string domain;
     Address listen;
+    /// Maximum number of statements that run concurrently.
     unsigned slots = 3;
+    /// Maximum number of database connections.
     unsigned connections = 40;
     /// Time to open a database connection.
     Milliseconds openTime{12};
-    /// Time that each statement holds its slot.
+    /// Time that each statement occupies its slot.
     Microseconds serviceTime{0};
-    /// File that keeps the state over restarts; empty for none.
+    /// File that preserves the state across restarts; empty for none.
     std::string stateFile;
 };
 
-/// One member; serves until the process ends.
+/// One member; serves requests until the process ends.
 class Member
 {
 public:
     explicit Member(MemberOptions options);
 
-    /// Returns only when the address cannot be bound.
+    /// Serves requests; returns only if the address cannot be bound.
     void run();
 
 private:
-    [[nodiscard]] Service service();
+    [[nodiscard]] ServerHandlers makeHandlers();
     [[nodiscard]] Reply handle(ConnectionNumber connection, const http::Request &request);
     [[nodiscard]] Reply report(const http::Request &request);
     [[nodiscard]] Reply order(const http::Request &request);
@@ -61,21 +63,22 @@
     void follow(const Primary &primary, const Term &term);
     [[nodiscard]] bool follows(const Primary &primary, const Term &term) const;
     void pullOnce(http::Connection &connection, const Primary &primary, const Term &term, std::uint64_t &cursor);
-    void applyEntries(const nlohmann::json &answer, const Term &term, std::uint64_t &cursor);
-    [[nodiscard]] bool waitUntilDue(std::int64_t due, const Term &term);
+    void applyEntries(const nlohmann::json &reply, const Term &term, std::uint64_t &cursor);
+    [[nodiscard]] bool waitUntilDue(std::int64_t dueAt, const Term &term);
 
     MemberOptions options_;
     Faults faults_;
     SlotPool slots_;
     SlotPool connections_;
     std::mutex mutex_;
-    /// Told at each change of the state or the faults.
+    /// Notified after each change of the state or the faults.
     std::condition_variable changed_;
     MemberState state_;
-    std::set<ConnectionNumber> open_;
+    /// TCP connections on which a database connection is open.
+    std::set<ConnectionNumber> openConnections_;
     std::uint64_t refusedOpens_ = 0;
     std::uint64_t workWhileLeaving_ = 0;
-    /// When leaving was ordered and when work last came after that, on the steady clock; 0 for never.
+    /// Microseconds of the steady clock: start of the leaving fault, and latest new work while it was in force; 0 for never.
     std::int64_t leavingSince_ = 0;
     std::int64_t lastWorkWhileLeaving_ = 0;
 };
--- a/standins/memberlog.cpp
+++ b/standins/memberlog.cpp
@@ -1,4 +1,4 @@
-// Keeps rows and request ids in step with the entries.
+// Updates the rows and the request id index with each log entry.
 #include "memberlog.h"
 
 namespace cardamomstep::standins {
@@ -40,35 +40,35 @@
     return positionAt(entries_.size());
 }
 
-Term MemberLog::termAt(std::uint64_t position) const
+Term MemberLog::termAt(std::uint64_t index) const
 {
-    return position == 0 ? Term{} : entries_[position - 1].term;
+    return index == 0 ? Term{} : entries_[index - 1].term;
 }
 
-LogPosition MemberLog::positionAt(std::uint64_t position) const
+LogPosition MemberLog::positionAt(std::uint64_t index) const
 {
-    return {termAt(position), position};
+    return {termAt(index), index};
 }
 
-std::uint64_t MemberLog::lastPositionUpTo(std::uint64_t limit, const Term &term) const
+std::uint64_t MemberLog::lastIndexUpTo(std::uint64_t limit, const Term &term) const
 {
-    auto position = std::min<std::uint64_t>(limit, entries_.size());
-    while (position > 0 && termAt(position) > term) {
-        --position;
+    auto index = std::min<std::uint64_t>(limit, entries_.size());
+    while (index > 0 && termAt(index) > term) {
+        --index;
     }
-    return position;
+    return index;
 }
 
 std::uint64_t MemberLog::findRequest(const std::string &requestId) const
 {
-    const auto found = requests_.find(requestId);
-    return found == requests_.end() ? 0 : found->second;
+    const auto found = requestIndexes_.find(requestId);
+    return found == requestIndexes_.end() ? 0 : found->second;
 }
 
 std::uint64_t MemberLog::lastChangeOf(const std::string &key) const
 {
-    const auto found = changes_.find(key);
-    return found == changes_.end() ? 0 : found->second;
+    const auto found = lastChanges_.find(key);
+    return found == lastChanges_.end() ? 0 : found->second;
 }
 
 void MemberLog::append(Entry entry)
@@ -77,26 +77,26 @@
     apply(entries_.back(), entries_.size());
 }
 
-void MemberLog::truncate(std::uint64_t position)
+void MemberLog::truncate(std::uint64_t index)
 {
-    entries_.resize(std::min<std::size_t>(position, entries_.size()));
+    entries_.resize(std::min<std::size_t>(index, entries_.size()));
     rows_.clear();
-    requests_.clear();
-    changes_.clear();
+    requestIndexes_.clear();
+    lastChanges_.clear();
     for (std::uint64_t next = 1; next <= entries_.size(); ++next) {
         apply(at(next), next);
     }
 }
 
-void MemberLog::apply(const Entry &entry, std::uint64_t position)
+void MemberLog::apply(const Entry &entry, std::uint64_t index)
 {
     std::map<std::string, std::optional<Json>> changes;
-    RowOverlay view(rows_, changes);
+    RowOverlay overlay(rows_, changes);
     for (const auto &operation : entry.operations) {
-        (void)run(operation, view);
+        (void)run(operation, overlay);
     }
     for (auto &[key, value] : changes) {
-        changes_[key] = position;
+        lastChanges_[key] = index;
         if (value) {
             rows_[key] = std::move(*value);
         } else {
@@ -104,7 +104,7 @@
         }
     }
     if (!entry.requestId.empty()) {
-        requests_[entry.requestId] = position;
+        requestIndexes_[entry.requestId] = index;
     }
 }
 
--- a/standins/memberreplication.cpp
+++ b/standins/memberreplication.cpp
@@ -1,4 +1,4 @@
-// The replica's side of a stand-in member: it pulls the primary's log and applies entries when they are due.
+// Replication of a stand-in member: a replica pulls the primary's log and applies each entry when it is due.
 #include "member.h"
 
 #include "http/connection.h"
@@ -15,8 +15,8 @@
 
 constexpr Milliseconds pullWait{500};
 constexpr Milliseconds pullTimeout{2000};
-constexpr Milliseconds pauseAfterFailure{20};
-constexpr int refused = 409;
+constexpr Milliseconds retryDelay{20};
+constexpr int conflict = 409;
 
 std::int64_t steadyMicroseconds()
 {
@@ -25,7 +25,7 @@
 
 } // namespace
 
-// Each primary and term has a thread of its own, so that a pull which hangs on an old primary never holds up the next one.
+// Each primary and term gets its own thread, so that a pull blocked on an old primary never delays the next one.
 void Member::replicate()
 {
     std::unique_lock lock(mutex_);
@@ -77,32 +77,32 @@
     }
     if (faults_.isCut(primary.name)) {
         connection.close();
-        std::this_thread::sleep_for(pauseAfterFailure);
+        std::this_thread::sleep_for(retryDelay);
         return;
     }
     const auto result = connection.exchange(request, pullTimeout);
     faults_.waitWhileFrozen();
-    if (!result.response || result.response->status == refused || faults_.isCut(primary.name)) {
-        std::this_thread::sleep_for(pauseAfterFailure);
+    if (!result.response || result.response->status == conflict || faults_.isCut(primary.name)) {
+        std::this_thread::sleep_for(retryDelay);
         return;
     }
-    const auto answer = Json::parse(result.response->body, nullptr, false);
-    if (!answer.is_discarded() && answer.value("matches", false)) {
-        applyEntries(answer, term, cursor);
-    } else if (!answer.is_discarded() && answer.contains("try")) {
-        const auto hint = parseLogPosition(answer["try"].get<std::string>());
+    const auto reply = Json::parse(result.response->body, nullptr, false);
+    if (!reply.is_discarded() && reply.value("matches", false)) {
+        applyEntries(reply, term, cursor);
+    } else if (!reply.is_discarded() && reply.contains("try")) {
+        const auto hint = parseLogPosition(reply["try"].get<std::string>());
         const std::lock_guard lock(mutex_);
-        cursor = hint ? state_.log().lastPositionUpTo(hint->index, hint->term) : 0;
+        cursor = hint ? state_.log().lastIndexUpTo(hint->index, hint->term) : 0;
     }
 }
 
-void Member::applyEntries(const Json &answer, const Term &term, std::uint64_t &cursor)
+void Member::applyEntries(const Json &reply, const Term &term, std::uint64_t &cursor)
 {
-    const auto primaryDomain = answer.value("domain", std::string());
-    for (const auto &json : answer["entries"]) {
+    const auto primaryDomain = reply.value("domain", std::string());
+    for (const auto &json : reply["entries"]) {
         auto entry = entryFromJson(json);
-        const auto travel = faults_.oneWay(primaryDomain, options_.domain);
-        if (!waitUntilDue(entry.writtenAt + travel.count(), term)) {
+        const auto networkDelay = faults_.drawDelay(primaryDomain, options_.domain);
+        if (!waitUntilDue(entry.writtenAt + networkDelay.count(), term)) {
             return;
         }
         const std::lock_guard lock(mutex_);
@@ -112,7 +112,7 @@
         ++cursor;
         changed_.notify_all();
     }
-    const auto last = parseLogPosition(answer.value("last", std::string()));
+    const auto last = parseLogPosition(reply.value("last", std::string()));
     const std::lock_guard lock(mutex_);
     if (last && last->index == cursor && cursor < state_.log().size()) {
         state_.dropTail(term, cursor);
@@ -120,19 +120,19 @@
     }
 }
 
-// Waits for the entry's time, with the lag in force; false when the term has moved on.
-bool Member::waitUntilDue(std::int64_t due, const Term &term)
+// Waits until \a dueAt plus the lag in force; returns false if the member adopts another term or becomes primary.
+bool Member::waitUntilDue(std::int64_t dueAt, const Term &term)
 {
     std::unique_lock lock(mutex_);
     while (true) {
         if (state_.adopted() != term || state_.isPrimary()) {
             return false;
         }
-        const auto left = due + faults_.lag().count() - steadyMicroseconds();
+        const auto remaining = dueAt + faults_.lag().count() - steadyMicroseconds();
         if (faults_.stuck()) {
             changed_.wait(lock);
-        } else if (left > 0) {
-            changed_.wait_for(lock, Microseconds(left));
+        } else if (remaining > 0) {
+            changed_.wait_for(lock, Microseconds(remaining));
         } else {
             return true;
         }
--- a/standins/memberstate.cpp
+++ b/standins/memberstate.cpp
@@ -69,7 +69,7 @@
 
 CallResult MemberState::execute(const Call &call, std::uint64_t connection, std::int64_t now)
 {
-    if (auto refused = refusedByTerm(call)) {
+    if (auto refused = checkTerm(call)) {
         return *refused;
     }
     if (!call.transaction.empty()) {
@@ -80,22 +80,22 @@
         return refusal("transaction-unknown", "this connection has a transaction open");
     }
     if (call.write) {
-        if (auto stored = repeated(call)) {
+        if (auto stored = storedResultOf(call)) {
             return *stored;
         }
     } else if (!isReading(call.operation)) {
         return refusal("statement-failed", "the operation changes rows, but the call is a read");
     }
     std::map<std::string, std::optional<Json>> changes;
-    RowOverlay view(log_.rows(), changes);
-    auto outcome = run(call.operation, view);
-    if (outcome.failure) {
-        return refusal("statement-failed", *outcome.failure);
+    RowOverlay overlay(log_.rows(), changes);
+    auto operationResult = run(call.operation, overlay);
+    if (operationResult.failure) {
+        return refusal("statement-failed", *operationResult.failure);
     }
     CallResult result;
-    result.rows = outcome.rows;
+    result.rows = operationResult.rows;
     if (call.write) {
-        result.logPosition = write(call, {call.operation}, outcome.rows, now);
+        result.logPosition = write(call, {call.operation}, operationResult.rows, now);
         result.changed = true;
     }
     return result;
@@ -110,24 +110,24 @@
     if (!call.write && !isReading(call.operation)) {
         return refusal("statement-failed", "the operation changes rows, but the call is a read");
     }
-    RowOverlay view(log_.rows(), transaction->changes);
-    auto outcome = run(call.operation, view);
-    if (outcome.failure) {
-        return refusal("statement-failed", *outcome.failure);
+    RowOverlay overlay(log_.rows(), transaction->changes);
+    auto operationResult = run(call.operation, overlay);
+    if (operationResult.failure) {
+        return refusal("statement-failed", *operationResult.failure);
     }
     transaction->lastChangeSeen.emplace(call.operation.key, log_.lastChangeOf(call.operation.key));
     if (!isReading(call.operation)) {
         transaction->operations.push_back(call.operation);
     }
     CallResult result;
-    result.rows = std::move(outcome.rows);
+    result.rows = std::move(operationResult.rows);
     result.transaction = call.transaction;
     return result;
 }
 
 CallResult MemberState::begin(const Call &call, std::uint64_t connection)
 {
-    if (auto refused = refusedByTerm(call)) {
+    if (auto refused = checkTerm(call)) {
         return *refused;
     }
     if (hasTransaction(connection)) {
@@ -142,25 +142,25 @@
 
 CallResult MemberState::commit(const Call &call, std::uint64_t connection, std::int64_t now)
 {
-    auto writing = call;
-    writing.write = true;
-    if (auto refused = refusedByTerm(writing)) {
+    auto writeCall = call;
+    writeCall.write = true;
+    if (auto refused = checkTerm(writeCall)) {
         return *refused;
     }
-    if (auto stored = repeated(call)) {
+    if (auto stored = storedResultOf(call)) {
         return *stored;
     }
     auto *transaction = findTransaction(call.transaction, connection);
     if (transaction == nullptr) {
         return refusal("transaction-unknown", "the transaction is not open on this connection");
     }
-    auto done = std::move(*transaction);
+    auto finished = std::move(*transaction);
     transactions_.erase(call.transaction);
-    if (!isStillCurrent(done)) {
+    if (!rowsUnchanged(finished)) {
         return refusal("statement-failed", "another entry changed a row of this transaction; it is rolled back");
     }
     CallResult result;
-    result.logPosition = write(call, std::move(done.operations), Json::array(), now);
+    result.logPosition = write(call, std::move(finished.operations), Json::array(), now);
     result.changed = true;
     return result;
 }
@@ -186,9 +186,9 @@
     if (term != adopted_ || isPrimary_ || previous > log_.size()) {
         return false;
     }
-    const auto position = previous + 1;
-    if (position <= log_.size()) {
-        if (log_.termAt(position) == entry.term) {
+    const auto index = previous + 1;
+    if (index <= log_.size()) {
+        if (log_.termAt(index) == entry.term) {
             return true;
         }
         truncate(previous);
@@ -197,14 +197,14 @@
     return true;
 }
 
-void MemberState::dropTail(const Term &term, std::uint64_t position)
+void MemberState::dropTail(const Term &term, std::uint64_t index)
 {
-    if (term == adopted_ && !isPrimary_ && position < log_.size()) {
-        truncate(position);
+    if (term == adopted_ && !isPrimary_ && index < log_.size()) {
+        truncate(index);
     }
 }
 
-std::optional<CallResult> MemberState::refusedByTerm(const Call &call) const
+std::optional<CallResult> MemberState::checkTerm(const Call &call) const
 {
     if (!call.write && !call.needsPrimary) {
         return std::nullopt;
@@ -213,24 +213,24 @@
         return refusal("lower-term", "this member has adopted term " + toText(adopted_));
     }
     if (!isPrimary_ || call.term > adopted_) {
-        return refusal("not-primary", "this member does not lead at term " + toText(call.term));
+        return refusal("not-primary", "this member is not the primary at term " + toText(call.term));
     }
     return std::nullopt;
 }
 
-std::optional<CallResult> MemberState::repeated(const Call &call) const
+std::optional<CallResult> MemberState::storedResultOf(const Call &call) const
 {
-    const auto position = log_.findRequest(call.requestId);
-    if (call.requestId.empty() || position == 0) {
+    const auto index = log_.findRequest(call.requestId);
+    if (call.requestId.empty() || index == 0) {
         return std::nullopt;
     }
-    const auto &entry = log_.at(position);
+    const auto &entry = log_.at(index);
     if (entry.fingerprint != call.fingerprint) {
-        return refusal("request-id-reused", "the request id stands in the log with another fingerprint");
+        return refusal("request-id-reused", "the log holds the request id with another fingerprint");
     }
     CallResult result;
     result.rows = entry.rows;
-    result.logPosition = log_.positionAt(position);
+    result.logPosition = log_.positionAt(index);
     result.repeated = true;
     return result;
 }
@@ -251,7 +251,7 @@
     return false;
 }
 
-bool MemberState::isStillCurrent(const Transaction &transaction) const
+bool MemberState::rowsUnchanged(const Transaction &transaction) const
 {
     for (const auto &[key, change] : transaction.lastChangeSeen) {
         if (log_.lastChangeOf(key) != change) {
@@ -273,10 +273,10 @@
     log_.append(std::move(entry));
 }
 
-void MemberState::truncate(std::uint64_t position)
+void MemberState::truncate(std::uint64_t index)
 {
-    persist({{"truncate", position}});
-    log_.truncate(position);
+    persist({{"truncate", index}});
+    log_.truncate(index);
 }
 
 void MemberState::setAdopted(const Term &term)
--- a/standins/memberstate.h
+++ b/standins/memberstate.h
@@ -1,4 +1,4 @@
-// The rules that a stand-in member keeps about terms, its log and its transactions; see docs/design/member.md.
+// The rules of a stand-in member for terms, its log and its transactions; see docs/design/member.md.
 #pragma once
 
 #include "memberlog.h"
@@ -12,7 +12,7 @@
 
 namespace cardamomstep::standins {
 
-/// A statement, begin, commit or rollback as it came over the wire.
+/// A statement, begin, commit or rollback as received.
 struct Call {
     std::string exchange;
     Term term;
@@ -24,19 +24,20 @@
     std::string transaction;
 };
 
-/// What a call gave; a refusal changed nothing.
+/// The result of a call; a refused call changed nothing.
 struct CallResult {
-    /// Name of the refusal on the wire; empty when the call ran.
+    /// Name of the refusal on the wire; empty if the call ran.
     std::string refusal;
     std::string description;
     nlohmann::json rows = nlohmann::json::array();
     std::optional<LogPosition> logPosition;
     std::string transaction;
+    /// True if the request id was in the log already and the stored result is returned.
     bool repeated = false;
     bool changed = false;
 };
 
-/// Where a replica pulls its log from.
+/// The primary from which a replica pulls its log.
 struct Primary {
     std::string name;
     std::string address;
@@ -44,13 +45,13 @@
     [[nodiscard]] bool operator==(const Primary &) const = default;
 };
 
-/// One member's durable and volatile state; the caller serialises access.
+/// One member's durable and volatile state. Not thread-safe.
 ///
-/// `adopted` never falls. A primary leads at exactly `adopted`.
+/// `adopted` never decreases. A primary leads at exactly the term `adopted`.
 class MemberState
 {
 public:
-    /// Starts as a replica; reads and keeps \a stateFile when it is not empty.
+    /// Starts as a replica; restores the state from \a stateFile and persists it there, unless that is empty.
     MemberState(std::string name, const std::string &stateFile);
 
     [[nodiscard]] const std::string &name() const noexcept
@@ -77,14 +78,18 @@
     {
         return transactions_.size();
     }
-    /// Statements outside a transaction that came over a connection with an open one.
+    /// Number of statements and begins outside a transaction that arrived on a connection with an open transaction.
     [[nodiscard]] std::uint64_t mixedStatements() const noexcept
     {
         return mixedStatements_;
     }
 
+    /// Adopts \a term, or returns false if a higher one was adopted. A newly adopted term ends the leadership.
     [[nodiscard]] bool adopt(const Term &term);
+    /// Becomes primary at \a term and appends its start entry; returns false if \a term is not the adopted one.
     [[nodiscard]] bool lead(const Term &term, std::int64_t now);
+    /// Follows \a primary at \a term, adopting the term if it is higher. Returns false for a lower term, for this member
+    /// itself, or if it is primary at \a term.
     [[nodiscard]] bool follow(const Term &term, Primary primary);
 
     [[nodiscard]] CallResult execute(const Call &call, std::uint64_t connection, std::int64_t now);
@@ -92,35 +97,38 @@
     [[nodiscard]] CallResult commit(const Call &call, std::uint64_t connection, std::int64_t now);
     [[nodiscard]] CallResult rollback(const Call &call, std::uint64_t connection);
 
-    /// Rolls back what the ended \a connection had open.
+    /// Rolls back the open transaction of the closed \a connection.
     void closed(std::uint64_t connection);
 
-    /// Takes \a entry as the one after \a previous in a replica's log, when the log of \a term is still followed.
-    /// Returns false when it is not, or when \a previous is not in the log.
+    /// Stores \a entry after index \a previous in a replica's log. An entry of another term there is dropped first, with all
+    /// after it; one of the same term stays.
+    /// Returns false if the member no longer follows at \a term, or if \a previous is beyond the log's end.
     [[nodiscard]] bool replicate(const Term &term, std::uint64_t previous, Entry entry);
 
-    /// Drops a replica's entries after \a position, when \a term is still followed.
-    void dropTail(const Term &term, std::uint64_t position);
+    /// Drops a replica's entries after \a index, if it still follows at \a term.
+    void dropTail(const Term &term, std::uint64_t index);
 
 private:
     struct Transaction {
         std::uint64_t connection = 0;
         std::vector<Operation> operations;
         std::map<std::string, std::optional<nlohmann::json>> changes;
-        /// For each key seen, the last entry that had changed it.
+        /// For each key used, the index of the last entry that had changed it.
         std::map<std::string, std::uint64_t> lastChangeSeen;
         nlohmann::json rows = nlohmann::json::array();
     };
 
-    [[nodiscard]] std::optional<CallResult> refusedByTerm(const Call &call) const;
-    [[nodiscard]] std::optional<CallResult> repeated(const Call &call) const;
+    /// Returns the refusal of a write or primary read whose term differs from the one at which this member leads.
+    [[nodiscard]] std::optional<CallResult> checkTerm(const Call &call) const;
+    /// Returns the stored result of a request id that is in the log, or the refusal if its fingerprint differs.
+    [[nodiscard]] std::optional<CallResult> storedResultOf(const Call &call) const;
     [[nodiscard]] CallResult executeInTransaction(const Call &call, std::uint64_t connection);
     [[nodiscard]] Transaction *findTransaction(const std::string &id, std::uint64_t connection);
     [[nodiscard]] bool hasTransaction(std::uint64_t connection) const;
-    [[nodiscard]] bool isStillCurrent(const Transaction &transaction) const;
+    [[nodiscard]] bool rowsUnchanged(const Transaction &transaction) const;
     [[nodiscard]] LogPosition write(const Call &call, std::vector<Operation> operations, nlohmann::json rows, std::int64_t now);
     void append(Entry entry);
-    void truncate(std::uint64_t position);
+    void truncate(std::uint64_t index);
     void setAdopted(const Term &term);
     void setPrimary(std::optional<Primary> primary);
     void readState(const std::string &stateFile);
--- a/standins/relay.cpp
+++ b/standins/relay.cpp
@@ -1,4 +1,4 @@
-// Forwards TCP bytes through a queue that holds each chunk until its time.
+// Forwards TCP bytes through a queue that delays each chunk until it is due.
 #include "relay.h"
 
 #include "base/random.h"
@@ -41,8 +41,8 @@
     return parts ? Tcp::endpoint{boost::asio::ip::make_address(parts->ip), parts->port} : Tcp::endpoint{};
 }
 
-/// What the relay does to bytes now; used on the relay's thread only.
-struct LinkState {
+/// The faults in force. Used on the relay's thread only.
+struct RelayFaults {
     DoubleMilliseconds delay{0};
     DoubleMilliseconds jitter{0};
     bool cut = false;
@@ -57,23 +57,23 @@
     }
 };
 
-class Link;
+class RelayedConnection;
 
-/// One direction of a link; keeps the link alive through its pending operations.
+/// One direction of a relayed connection. Its pending operations keep the connection alive.
 class Direction
 {
 public:
-    Direction(Link &link, Tcp::socket &from, Tcp::socket &to, LinkState &state)
-        : link_(link)
+    Direction(RelayedConnection &connection, Tcp::socket &from, Tcp::socket &to, RelayFaults &faults)
+        : connection_(connection)
         , from_(from)
         , to_(to)
-        , state_(state)
+        , faults_(faults)
         , timer_(from.get_executor())
     {
     }
 
     void read();
-    /// Goes on with what waits, after a change of the faults.
+    /// Sends queued chunks that a fault has blocked.
     void resume();
 
 private:
@@ -82,56 +82,56 @@
         std::vector<char> bytes;
     };
 
-    void arrived(std::size_t count);
+    void enqueue(std::size_t count);
     void send();
     void write();
 
-    Link &link_;
+    RelayedConnection &connection_;
     Tcp::socket &from_;
     Tcp::socket &to_;
-    LinkState &state_;
+    RelayFaults &faults_;
     boost::asio::steady_timer timer_;
     std::array<char, chunkBytes> buffer_{};
-    /// Due times never fall, so bytes keep their order.
+    /// Due times never decrease, so bytes stay in order.
     std::deque<Chunk> chunks_;
     bool sending_ = false;
-    bool ended_ = false;
+    bool inputEnded_ = false;
 };
 
-/// Two sockets joined by the relay.
-class Link : public std::enable_shared_from_this<Link>
+/// A connection from a client and the one to the target that the relay opens for it.
+class RelayedConnection : public std::enable_shared_from_this<RelayedConnection>
 {
 public:
-    Link(Tcp::socket near, LinkState &state)
-        : near_(std::move(near))
-        , far_(near_.get_executor())
-        , state_(state)
-        , up_(*this, near_, far_, state)
-        , down_(*this, far_, near_, state)
+    RelayedConnection(Tcp::socket clientSocket, RelayFaults &faults)
+        : clientSocket_(std::move(clientSocket))
+        , targetSocket_(clientSocket_.get_executor())
+        , faults_(faults)
+        , toTarget_(*this, clientSocket_, targetSocket_, faults)
+        , toClient_(*this, targetSocket_, clientSocket_, faults)
     {
     }
 
     void start(const Tcp::endpoint &target)
     {
         error_code ignored;
-        near_.set_option(Tcp::no_delay(true), ignored);
-        far_.async_connect(target, [self = shared_from_this()](error_code failed) {
+        clientSocket_.set_option(Tcp::no_delay(true), ignored);
+        targetSocket_.async_connect(target, [self = shared_from_this()](error_code failed) {
             if (failed) {
                 self->close();
                 return;
             }
             error_code ignoredToo;
-            self->far_.set_option(Tcp::no_delay(true), ignoredToo);
-            self->up_.read();
-            self->down_.read();
+            self->targetSocket_.set_option(Tcp::no_delay(true), ignoredToo);
+            self->toTarget_.read();
+            self->toClient_.read();
         });
     }
 
     void close()
     {
         error_code ignored;
-        near_.close(ignored);
-        far_.close(ignored);
+        clientSocket_.close(ignored);
+        targetSocket_.close(ignored);
     }
 
     void silence() noexcept
@@ -139,43 +139,44 @@
         silent_ = true;
     }
 
-    /// True when no byte may move on this link now.
-    [[nodiscard]] bool isHeld() const noexcept
+    /// True if no bytes may be forwarded now.
+    [[nodiscard]] bool isBlocked() const noexcept
     {
-        return silent_ || state_.frozen;
+        return silent_ || faults_.frozen;
     }
 
     void resume()
     {
-        up_.resume();
-        down_.resume();
+        toTarget_.resume();
+        toClient_.resume();
     }
 
 private:
-    Tcp::socket near_;
-    Tcp::socket far_;
-    LinkState &state_;
-    Direction up_;
-    Direction down_;
+    Tcp::socket clientSocket_;
+    Tcp::socket targetSocket_;
+    RelayFaults &faults_;
+    Direction toTarget_;
+    Direction toClient_;
     bool silent_ = false;
 };
 
 void Direction::read()
 {
-    from_.async_read_some(boost::asio::buffer(buffer_), [this, keep = link_.shared_from_this()](error_code failed, std::size_t count) {
-        if (failed) {
-            ended_ = true;
-            send();
-            return;
-        }
-        arrived(count);
-        read();
-    });
+    from_.async_read_some(boost::asio::buffer(buffer_),
+                          [this, keepAlive = connection_.shared_from_this()](error_code failed, std::size_t count) {
+                              if (failed) {
+                                  inputEnded_ = true;
+                                  send();
+                                  return;
+                              }
+                              enqueue(count);
+                              read();
+                          });
 }
 
-void Direction::arrived(std::size_t count)
+void Direction::enqueue(std::size_t count)
 {
-    auto due = Clock::now() + state_.drawDelay();
+    auto due = Clock::now() + faults_.drawDelay();
     if (!chunks_.empty()) {
         due = std::max(due, chunks_.back().due);
     }
@@ -185,20 +186,20 @@
 
 void Direction::send()
 {
-    if (sending_ || link_.isHeld()) {
+    if (sending_ || connection_.isBlocked()) {
         return;
     }
     if (chunks_.empty()) {
-        if (ended_) {
-            link_.close();
+        if (inputEnded_) {
+            connection_.close();
         }
         return;
     }
     sending_ = true;
     timer_.expires_at(chunks_.front().due);
-    timer_.async_wait([this, keep = link_.shared_from_this()](error_code /*failed*/) {
+    timer_.async_wait([this, keepAlive = connection_.shared_from_this()](error_code /*failed*/) {
         sending_ = false;
-        if (!link_.isHeld()) {
+        if (!connection_.isBlocked()) {
             write();
         }
     });
@@ -207,16 +208,17 @@
 void Direction::write()
 {
     sending_ = true;
-    boost::asio::async_write(
-        to_, boost::asio::buffer(chunks_.front().bytes), [this, keep = link_.shared_from_this()](error_code failed, std::size_t /*count*/) {
-            sending_ = false;
-            chunks_.pop_front();
-            if (failed) {
-                link_.close();
-                return;
-            }
-            send();
-        });
+    boost::asio::async_write(to_,
+                             boost::asio::buffer(chunks_.front().bytes),
+                             [this, keepAlive = connection_.shared_from_this()](error_code failed, std::size_t /*count*/) {
+                                 sending_ = false;
+                                 chunks_.pop_front();
+                                 if (failed) {
+                                     connection_.close();
+                                     return;
+                                 }
+                                 send();
+                             });
 }
 
 void Direction::resume()
@@ -224,18 +226,18 @@
     send();
 }
 
-/// Accepts and keeps the links; its private parts run on the relay's thread only.
-class LinkTable
+/// Accepts connections and applies the faults to them; its private members are used on the relay's thread only.
+class RelayServer
 {
 public:
-    explicit LinkTable(const RelayOptions &options)
+    explicit RelayServer(const RelayOptions &options)
         : listen_(endpointOf(options.listen))
         , target_(endpointOf(options.target))
         , acceptor_(context_)
     {
     }
 
-    /// Listens; false when the address cannot be bound.
+    /// Starts to listen; returns false if the address cannot be bound.
     bool listen()
     {
         error_code failed;
@@ -267,12 +269,12 @@
             return {badRequest, {}, R"({"error":"not a JSON object"})"};
         }
         std::promise<Json> done;
-        auto answer = done.get_future();
+        auto appliedState = done.get_future();
         boost::asio::post(context_, [this, &change, &done] {
             apply(change);
             done.set_value(stateJson());
         });
-        return {ok, {}, answer.get().dump()};
+        return {ok, {}, appliedState.get().dump()};
     }
 
 private:
@@ -282,75 +284,77 @@
             if (failed) {
                 return;
             }
-            const auto link = std::make_shared<Link>(std::move(socket), state_);
-            forgetEnded();
-            links_.push_back(link);
-            link->start(target_);
+            const auto connection = std::make_shared<RelayedConnection>(std::move(socket), faults_);
+            removeClosed();
+            connections_.push_back(connection);
+            connection->start(target_);
             accept();
         });
     }
 
     void apply(const Json &change)
     {
-        state_.delay = DoubleMilliseconds{change.value("delayMs", state_.delay.count())};
-        state_.jitter = DoubleMilliseconds{change.value("jitterMs", state_.jitter.count())};
-        state_.frozen = change.value("freeze", state_.frozen);
+        faults_.delay = DoubleMilliseconds{change.value("delayMs", faults_.delay.count())};
+        faults_.jitter = DoubleMilliseconds{change.value("jitterMs", faults_.jitter.count())};
+        faults_.frozen = change.value("freeze", faults_.frozen);
         if (change.contains("seed")) {
-            state_.random = Random{change["seed"].get<std::uint64_t>()};
+            faults_.random = Random{change["seed"].get<std::uint64_t>()};
         }
         if (change.value("silentOpen", false)) {
-            forEachLink([](Link &link) { link.silence(); });
+            forEachConnection([](RelayedConnection &connection) { connection.silence(); });
         }
-        setCut(change.value("cut", state_.cut));
-        forEachLink([](Link &link) { link.resume(); });
+        setCut(change.value("cut", faults_.cut));
+        forEachConnection([](RelayedConnection &connection) { connection.resume(); });
     }
 
     void setCut(bool cut)
     {
-        if (cut == state_.cut) {
+        if (cut == faults_.cut) {
             return;
         }
-        state_.cut = cut;
+        faults_.cut = cut;
         if (!cut) {
             listen();
             return;
         }
         error_code ignored;
         acceptor_.close(ignored);
-        forEachLink([](Link &link) { link.close(); });
+        forEachConnection([](RelayedConnection &connection) { connection.close(); });
     }
 
     template<typename Action>
-    void forEachLink(Action action)
+    void forEachConnection(Action action)
     {
-        for (const auto &known : links_) {
-            if (const auto link = known.lock()) {
-                action(*link);
+        for (const auto &weakConnection : connections_) {
+            if (const auto connection = weakConnection.lock()) {
+                action(*connection);
             }
         }
     }
 
-    void forgetEnded()
+    void removeClosed()
     {
-        links_.erase(std::remove_if(links_.begin(), links_.end(), [](const auto &link) { return link.expired(); }), links_.end());
+        connections_.erase(
+            std::remove_if(connections_.begin(), connections_.end(), [](const auto &connection) { return connection.expired(); }),
+            connections_.end());
     }
 
     [[nodiscard]] Json stateJson()
     {
-        forgetEnded();
-        return {{"links", links_.size()},
-                {"cut", state_.cut},
-                {"freeze", state_.frozen},
-                {"delayMs", state_.delay.count()},
-                {"jitterMs", state_.jitter.count()}};
+        removeClosed();
+        return {{"links", connections_.size()},
+                {"cut", faults_.cut},
+                {"freeze", faults_.frozen},
+                {"delayMs", faults_.delay.count()},
+                {"jitterMs", faults_.jitter.count()}};
     }
 
     Tcp::endpoint listen_;
     Tcp::endpoint target_;
     boost::asio::io_context context_;
     Tcp::acceptor acceptor_;
-    LinkState state_;
-    std::vector<std::weak_ptr<Link>> links_;
+    RelayFaults faults_;
+    std::vector<std::weak_ptr<RelayedConnection>> connections_;
 };
 
 } // namespace
@@ -362,15 +366,15 @@
 
 void Relay::run()
 {
-    LinkTable links(options_);
-    const auto server =
-        http::Server::start({.listen = options_.control}, [&links](const http::Request &request) { return links.control(request); });
+    RelayServer relayServer(options_);
+    const auto server = http::Server::start({.listen = options_.control},
+                                            [&relayServer](const http::Request &request) { return relayServer.control(request); });
     if (!server) {
         std::cerr << server.error() << "\n";
         return;
     }
-    if (links.listen()) {
-        links.run();
+    if (relayServer.listen()) {
+        relayServer.run();
     }
 }
 
--- a/standins/relay.h
+++ b/standins/relay.h
@@ -1,28 +1,28 @@
-// A TCP relay that delays, cuts or silences what passes through it.
+// A TCP relay that delays, cuts, freezes or silences the connections through it.
 #pragma once
 
 #include "base/ids.h"
 
 namespace cardamomstep::standins {
 
-/// Settings of a relay.
+/// Options of a relay.
 struct RelayOptions {
     Address listen;
     Address target;
-    /// Address that takes `/control/...` requests.
+    /// Address that serves `/control/...` requests.
     Address control;
 };
 
-/// One relay; serves until the process ends.
+/// One relay; serves connections until the process ends.
 ///
 /// Faults: `delayMs` and `jitterMs` (one way), `cut` (true refuses new connections and closes the open ones),
-/// `silentOpen` (connections open now never move a byte again), `freeze` (nothing moves until it ends).
+/// `silentOpen` (currently open connections never forward a byte again), `freeze` (no bytes are forwarded until it is reset).
 class Relay
 {
 public:
     explicit Relay(RelayOptions options);
 
-    /// Returns only when an address cannot be bound.
+    /// Serves connections; returns only if an address cannot be bound.
     void run();
 
 private:
--- a/standins/rows.cpp
+++ b/standins/rows.cpp
@@ -33,7 +33,7 @@
 OperationResult put(const Operation &operation, RowOverlay &overlay)
 {
     if (!operation.arguments.contains("value")) {
-        return failure("put needs a value");
+        return failure("put requires a value");
     }
     overlay.set(operation.key, operation.arguments["value"]);
     return {std::nullopt, Json::array({{{"key", operation.key}}})};
@@ -44,7 +44,7 @@
     const auto old = overlay.find(operation.key).value_or(Json(0));
     const auto by = operation.arguments.value("by", Json());
     if (!old.is_number_integer() || !by.is_number_integer()) {
-        return failure("add needs integers");
+        return failure("add requires integers");
     }
     const auto sum = old.get<std::int64_t>() + by.get<std::int64_t>();
     overlay.set(operation.key, Json(sum));
@@ -55,7 +55,7 @@
 {
     auto items = overlay.find(operation.key).value_or(Json::array());
     if (!items.is_array() || !operation.arguments.contains("item")) {
-        return failure("append needs an array and an item");
+        return failure("append requires an array and an item");
     }
     items.push_back(operation.arguments["item"]);
     const auto length = items.size();
--- a/standins/rows.h
+++ b/standins/rows.h
@@ -18,24 +18,24 @@
 /// Rows by key.
 using Rows = std::map<std::string, nlohmann::json>;
 
-/// Rows with changes that are not yet part of them.
+/// Rows with uncommitted changes applied on top.
 class RowOverlay
 {
 public:
-    /// Sees \a base, which outlives the view's use, through \a changes.
+    /// Overlays \a changes on \a base; both must outlive the overlay.
     RowOverlay(const Rows &base, std::map<std::string, std::optional<nlohmann::json>> &changes)
         : base_(base)
         , changes_(changes)
     {
     }
 
-    /// The value at \a key.
+    /// The value at \a key; none if there is no such row.
     [[nodiscard]] std::optional<nlohmann::json> find(const std::string &key) const;
 
-    /// All rows whose keys begin with \a prefix.
+    /// All rows whose keys start with \a prefix.
     [[nodiscard]] Rows list(const std::string &prefix) const;
 
-    /// Changes the row \a key; no value deletes it.
+    /// Sets the row \a key; no value deletes it.
     void set(const std::string &key, std::optional<nlohmann::json> value);
 
 private:
@@ -43,14 +43,14 @@
     std::map<std::string, std::optional<nlohmann::json>> &changes_;
 };
 
-/// What an operation gave.
+/// The result of an operation.
 struct OperationResult {
-    /// Set when the operation failed; then nothing changed.
+    /// Set if the operation failed; no row was changed then.
     std::optional<std::string> failure;
     nlohmann::json rows = nlohmann::json::array();
 };
 
-/// Runs \a operation on \a view.
+/// Runs \a operation on \a overlay.
 [[nodiscard]] OperationResult run(const Operation &operation, RowOverlay &overlay);
 
 /// True for an operation that only reads.
--- a/standins/server.cpp
+++ b/standins/server.cpp
@@ -1,4 +1,4 @@
-// Blocking Boost.Beast connections, each on its own thread, with the faults applied around the handler.
+// Blocking Boost.Beast connections, each on its own thread; faults are applied before and after the handler.
 #include "server.h"
 
 #include "http/address.h"
@@ -37,10 +37,10 @@
     http::Request request;
     request.method = std::string(message.method_string());
     const std::string target(message.target());
-    const auto mark = target.find('?');
-    request.path = http::impl::decodeUrl(target.substr(0, mark));
-    if (mark != std::string::npos) {
-        request.query = http::impl::parseQuery(target.substr(mark + 1));
+    const auto queryStart = target.find('?');
+    request.path = http::impl::decodeUrl(target.substr(0, queryStart));
+    if (queryStart != std::string::npos) {
+        request.query = http::impl::parseQuery(target.substr(queryStart + 1));
     }
     for (const auto &field : message) {
         request.headers[http::impl::lowerCase(std::string_view(field.name_string().data(), field.name_string().size()))] =
@@ -109,7 +109,7 @@
     return {text.substr(0, slash), text.substr(slash + 1)};
 }
 
-/// One TCP connection; lives on its thread.
+/// One TCP connection, used by its own thread only.
 class Server::Connection
 {
 public:
@@ -126,8 +126,8 @@
         socket_.set_option(Tcp::no_delay(true), ignored);
         while (serveOne()) { }
         socket_.close(ignored);
-        if (server_.service_.closed) {
-            server_.service_.closed(number_);
+        if (server_.handlers_.closed) {
+            server_.handlers_.closed(number_);
         }
     }
 
@@ -149,16 +149,16 @@
         return exchange(request) && keepAlive;
     }
 
-    // False when the connection ends.
+    // Handles one request with the faults applied; returns false if the connection is to be closed.
     bool exchange(const http::Request &request)
     {
         auto &faults = server_.faults_;
         const auto sender = senderOf(request);
-        const bool delayed = !server_.service_.isDelayed || server_.service_.isDelayed(request);
+        const bool delayed = !server_.handlers_.isDelayed || server_.handlers_.isDelayed(request);
         if (delayed) {
-            std::this_thread::sleep_for(faults.oneWay(sender.domain, faults.domain()));
+            std::this_thread::sleep_for(faults.drawDelay(sender.domain, faults.domain()));
         }
-        if (!arrives(sender)) {
+        if (!applyNetworkFaults(sender)) {
             return false;
         }
         server_.countCall(callKind(request));
@@ -167,26 +167,26 @@
         }
         const auto reply = handle(request);
         if (delayed) {
-            std::this_thread::sleep_for(faults.oneWay(faults.domain(), sender.domain));
+            std::this_thread::sleep_for(faults.drawDelay(faults.domain(), sender.domain));
         }
-        return arrives(sender) && answer(reply);
+        return applyNetworkFaults(sender) && sendReply(reply);
     }
 
-    // Applies the faults that hold messages back; false when the connection is to be closed.
-    bool arrives(const Sender &sender)
+    // Applies freezes, cuts and silence to a message; returns false if the connection is to be closed.
+    bool applyNetworkFaults(const Sender &sender)
     {
         auto &faults = server_.faults_;
         faults.waitWhileFrozen();
         const bool isCut = faults.isCut(sender.name);
         if (server_.isSilent(number_) || faults.outage() == Outage::Silent || (isCut && faults.cutsSilently())) {
-            drain();
+            discardInput();
             return false;
         }
         return !isCut;
     }
 
-    // Reads without answering until the other end closes.
-    void drain()
+    // Reads and discards input until the peer closes the connection.
+    void discardInput()
     {
         std::array<char, 4096> chunk{};
         boost::system::error_code failed;
@@ -198,13 +198,13 @@
     Reply handle(const http::Request &request)
     {
         try {
-            return server_.service_.handle(number_, request);
-        } catch (const Json::exception &fault) {
-            return jsonReply(badRequest, {{"error", fault.what()}});
+            return server_.handlers_.handle(number_, request);
+        } catch (const Json::exception &jsonError) {
+            return jsonReply(badRequest, {{"error", jsonError.what()}});
         }
     }
 
-    bool answer(Reply reply)
+    bool sendReply(Reply reply)
     {
         const auto fault = reply.allowsAnswerFaults ? server_.faults_.consumeAnswerFault(reply.isChange) : AnswerFault::None;
         switch (fault) {
@@ -246,8 +246,8 @@
     beast::flat_buffer buffer_;
 };
 
-Server::Server(const Service &service, Faults &faults)
-    : service_(service)
+Server::Server(const ServerHandlers &handlers, Faults &faults)
+    : handlers_(handlers)
     , faults_(faults)
 {
 }
@@ -278,7 +278,7 @@
         if (failed) {
             continue;
         }
-        auto connection = std::make_shared<Connection>(*this, std::move(socket), ++last_);
+        auto connection = std::make_shared<Connection>(*this, std::move(socket), ++lastConnection_);
         std::thread([this, connection] {
             ++openConnections_;
             connection->serve();
@@ -300,10 +300,10 @@
             const auto change = Json::parse(request.body);
             faults_.merge(change);
             if (change.value("silentOpen", false)) {
-                silentUpTo_ = last_.load();
+                silentUpTo_ = lastConnection_.load();
             }
-            if (service_.faultsChanged) {
-                service_.faultsChanged();
+            if (handlers_.faultsChanged) {
+                handlers_.faultsChanged();
             }
             return jsonReply(ok, faults_.state());
         }
@@ -313,12 +313,12 @@
                 const std::lock_guard lock(mutex_);
                 state["calls"] = calls_;
             }
-            service_.addState(state);
+            handlers_.addState(state);
             return jsonReply(ok, state);
         }
-        return service_.control ? service_.control(request) : jsonReply(notFound, {{"error", "no such control"}});
-    } catch (const Json::exception &fault) {
-        return jsonReply(badRequest, {{"error", fault.what()}});
+        return handlers_.control ? handlers_.control(request) : jsonReply(notFound, {{"error", "no such control"}});
+    } catch (const Json::exception &jsonError) {
+        return jsonReply(badRequest, {{"error", jsonError.what()}});
     }
 }
 
--- a/standins/server.h
+++ b/standins/server.h
@@ -1,4 +1,4 @@
-// A small HTTP server with a thread for each connection, so that a test can bind state and faults to one connection.
+// A small HTTP server with one thread per connection, so that state and faults can be bound to a connection.
 #pragma once
 
 #include "base/ids.h"
@@ -15,57 +15,58 @@
 
 namespace cardamomstep::standins {
 
-/// Number of a TCP connection, counted from 1 in order of arrival.
+/// Number of a TCP connection, from 1 in the order of acceptance.
 using ConnectionNumber = std::uint64_t;
 
-/// What a request's handler hands back.
+/// The reply of a request handler.
 struct Reply {
     http::Response response;
-    /// True for answers to statements and to store changes, which answer faults may hit.
+    /// True for replies to statements and store changes, to which answer faults may be applied.
     bool allowsAnswerFaults = false;
-    /// True when the request changed something.
+    /// True if the request changed rows or objects.
     bool isChange = false;
 };
 
-/// A reply with the JSON \a body.
+/// Returns a reply with the JSON \a body.
 [[nodiscard]] Reply jsonReply(int status, const nlohmann::json &body);
 
-/// The instance and failure domain that a request names in `x-from`.
+/// The sending instance and its failure domain, from the header `x-from`.
 struct Sender {
     std::string name;
     std::string domain;
 };
 
-/// Reads `x-from: INSTANCE/FAILURE-DOMAIN`; parts that are missing stay empty.
+/// Parses the header `x-from: INSTANCE/FAILURE-DOMAIN`; missing parts are empty.
 [[nodiscard]] Sender senderOf(const http::Request &request);
 
-/// What a stand-in does with requests.
-struct Service {
-    /// Handles a request; faults of the network have already been applied.
+/// Handlers of a stand-in for requests and events of its server.
+struct ServerHandlers {
+    /// Handles a request, after network faults have been applied.
     std::function<Reply(ConnectionNumber, const http::Request &)> handle;
-    /// Handles `/control/...` apart from the faults, which the server takes itself; faults never touch it.
+    /// Handles `/control/...` requests except `/control/faults` and `/control/state`, which the server handles itself.
+    /// Faults are not applied to control requests.
     std::function<Reply(const http::Request &)> control;
-    /// Adds to the answer of `GET /control/state`.
+    /// Adds the stand-in's own fields to the reply to `GET /control/state`.
     std::function<void(nlohmann::json &)> addState;
-    /// Told once for each connection that has ended.
+    /// Called once for each closed connection.
     std::function<void(ConnectionNumber)> closed;
-    /// Told after each change of the faults.
+    /// Called after each change of the faults.
     std::function<void()> faultsChanged;
-    /// Adds the network's one-way time to this request; replication times its entries itself.
+    /// Returns whether the network delay applies to a request. Log pulls are excluded: replicas delay each entry themselves.
     std::function<bool(const http::Request &)> isDelayed;
 };
 
-/// Serves a Service with Faults on one address until the process ends.
+/// Serves requests on one address, with faults applied, until the process ends.
 class Server
 {
 public:
-    /// Both references outlive the server.
-    Server(const Service &service, Faults &faults);
+    /// \a handlers and \a faults must outlive the server.
+    Server(const ServerHandlers &handlers, Faults &faults);
 
-    /// Listens on \a address and serves; returns only when the address cannot be bound.
+    /// Listens on \a address and serves requests; returns only if the address cannot be bound.
     void run(const Address &address);
 
-    /// Counts one call of \a kind for `GET /control/state`.
+    /// Counts one request of \a kind (method and first path segments) for `GET /control/state`.
     void countCall(const std::string &kind);
 
 private:
@@ -74,10 +75,10 @@
     [[nodiscard]] Reply control(const http::Request &request);
     [[nodiscard]] bool isSilent(ConnectionNumber number) const;
 
-    const Service &service_;
+    const ServerHandlers &handlers_;
     Faults &faults_;
-    std::atomic<ConnectionNumber> last_{0};
-    /// Connections up to this one never answer again.
+    std::atomic<ConnectionNumber> lastConnection_{0};
+    /// Connections up to this number never reply again.
     std::atomic<ConnectionNumber> silentUpTo_{0};
     std::atomic<std::uint64_t> openConnections_{0};
     std::mutex mutex_;
--- a/standins/slotpool.h
+++ b/standins/slotpool.h
@@ -1,4 +1,4 @@
-// Counted slots and connections of a stand-in member.
+// Counters of the slots and connections of a stand-in member.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace cardamomstep::standins {
 
-/// A bounded number of places, with the most ever taken.
+/// A bounded number of slots, with the peak numbers in use and waiting. Thread-safe.
 class SlotPool
 {
 public:
@@ -17,7 +17,7 @@
     {
     }
 
-    /// Takes a place, waiting for one.
+    /// Acquires a slot; blocks until one is free.
     void acquire()
     {
         std::unique_lock lock(mutex_);
@@ -29,7 +29,7 @@
         peakInUse_ = std::max(peakInUse_, inUse_);
     }
 
-    /// Takes a place when one is free; false otherwise.
+    /// Acquires a slot if one is free; returns false otherwise.
     [[nodiscard]] bool tryAcquire()
     {
         const std::lock_guard lock(mutex_);
@@ -58,7 +58,7 @@
         const std::lock_guard lock(mutex_);
         return peakInUse_;
     }
-    /// The most that ever waited at once.
+    /// Peak number of threads that waited for a slot at the same time.
     [[nodiscard]] unsigned peakWaiting() const
     {
         const std::lock_guard lock(mutex_);
@@ -75,7 +75,7 @@
     unsigned peakWaiting_ = 0;
 };
 
-/// Holds a place of \a places for a scope.
+/// Acquires a slot for the duration of a scope.
 class SlotGuard
 {
 public:
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -1,4 +1,4 @@
-// Versions, conditional updates, watches, rates and the lagging instance list of the stand-in store.
+// Versions, conditional updates, watches, rate limits and the delayed instance list of the stand-in store.
 #include "store.h"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
     return {{"kind", kind}, {"name", name}, {"version", version}, {"value", value}};
 }
 
-Reply change(int status, std::uint64_t version)
+Reply changeReply(int status, std::uint64_t version)
 {
     auto reply = jsonReply(status, {{"version", version}});
     reply.allowsAnswerFaults = true;
@@ -50,25 +50,25 @@
 
 void Store::run()
 {
-    Service service;
-    service.handle = [this](ConnectionNumber /*connection*/, const http::Request &request) {
+    ServerHandlers handlers;
+    handlers.handle = [this](ConnectionNumber /*connection*/, const http::Request &request) {
         return handle(request);
     };
-    service.control = [this](const http::Request &request) {
+    handlers.control = [this](const http::Request &request) {
         return control(request);
     };
-    service.addState = [this](Json &state) {
+    handlers.addState = [this](Json &state) {
         addState(state);
     };
-    service.faultsChanged = [this] {
+    handlers.faultsChanged = [this] {
         changed_.notify_all();
     };
-    Server(service, faults_).run(options_.listen);
+    Server(handlers, faults_).run(options_.listen);
 }
 
 Reply Store::handle(const http::Request &request)
 {
-    std::this_thread::sleep_for(faults_.slow());
+    std::this_thread::sleep_for(faults_.extraServiceTime());
     const bool isWrite = request.method == "PUT" || request.method == "DELETE";
     if (!admit(isWrite)) {
         return jsonReply(tooMany, {{"error", "rate limit"}});
@@ -85,12 +85,12 @@
     if (request.path.rfind(objectsPath + "/", 0) != 0) {
         return jsonReply(notFound, {{"error", "no such path"}});
     }
-    const auto rest = request.path.substr(objectsPath.size() + 1);
-    const auto slash = rest.find('/');
+    const auto kindAndName = request.path.substr(objectsPath.size() + 1);
+    const auto slash = kindAndName.find('/');
     if (slash == std::string::npos) {
-        return list(rest);
+        return list(kindAndName);
     }
-    return object(request, {rest.substr(0, slash), rest.substr(slash + 1)});
+    return object(request, {kindAndName.substr(0, slash), kindAndName.substr(slash + 1)});
 }
 
 Reply Store::control(const http::Request &request)
@@ -176,12 +176,12 @@
     const auto expected = request.header("if-match");
     const std::lock_guard lock(mutex_);
     if (!expected.empty() && expected != std::to_string(versionOf(key))) {
-        return change(preconditionFailed, versionOf(key));
+        return changeReply(preconditionFailed, versionOf(key));
     }
     ++revision_;
     record(objectJson(key.first, key.second, revision_, value));
     objects_[key] = {revision_, std::move(value)};
-    return change(ok, revision_);
+    return changeReply(ok, revision_);
 }
 
 Reply Store::erase(const http::Request &request, const ObjectKey &key)
@@ -193,12 +193,12 @@
         return jsonReply(notFound, {{"error", "no such object"}});
     }
     if (!expected.empty() && expected != std::to_string(version)) {
-        return change(preconditionFailed, version);
+        return changeReply(preconditionFailed, version);
     }
     ++revision_;
     objects_.erase(key);
     record({{"kind", key.first}, {"name", key.second}, {"version", revision_}, {"deleted", true}});
-    return change(ok, revision_);
+    return changeReply(ok, revision_);
 }
 
 void Store::record(const Json &event)
@@ -240,14 +240,14 @@
     while (instances_.size() > 1 && instances_[1].visibleAt <= steadyMicroseconds()) {
         instances_.pop_front();
     }
-    auto seen = instances_.front().instances;
-    for (auto &instance : seen) {
+    auto visible = instances_.front().instances;
+    for (auto &instance : visible) {
         if (const auto paths = instance.find("addressFrom"); paths != instance.end()) {
             instance["address"] = paths->value(sender.domain, instance.value("address", std::string()));
             instance.erase("addressFrom");
         }
     }
-    return jsonReply(ok, {{"instances", seen}});
+    return jsonReply(ok, {{"instances", visible}});
 }
 
 void Store::addState(Json &state)
--- a/standins/store.h
+++ b/standins/store.h
@@ -16,16 +16,16 @@
 
 namespace cardamomstep::standins {
 
-/// Settings of a store.
+/// Options of a store.
 struct StoreOptions {
     std::string domain;
     Address listen;
-    /// Most changes and most other calls in a second; 0 for no limit.
+    /// Maximum number of changes and of other calls per second; 0 for no limit.
     unsigned writesPerSecond = 500;
     unsigned readsPerSecond = 2000;
 };
 
-/// Calls in the current second, and the most in any second.
+/// Number of calls in the current second, in total, refused, and the peak per second.
 struct CallRate {
     std::int64_t second = 0;
     std::uint64_t count = 0;
@@ -34,13 +34,13 @@
     std::uint64_t refused = 0;
 };
 
-/// The store with its instance list; serves until the process ends.
+/// The store with its instance list; serves requests until the process ends.
 class Store
 {
 public:
     explicit Store(StoreOptions options);
 
-    /// Returns only when the address cannot be bound.
+    /// Serves requests; returns only if the address cannot be bound.
     void run();
 
 private:
@@ -51,10 +51,10 @@
         nlohmann::json value;
     };
 
-    /// A list of instances and when it is to be seen.
+    /// A list of instances and the time from which it is visible, in microseconds of the steady clock.
     ///
-    /// An instance may have `"addressFrom": {"FAILURE-DOMAIN": "IP:port"}`: callers of that failure domain get this address, which leads
-    /// through a relay.
+    /// An instance may have `"addressFrom": {"FAILURE-DOMAIN": "IP:port"}`: callers in that failure domain get this address, for
+    /// example that of a relay.
     struct InstanceList {
         std::int64_t visibleAt = 0;
         nlohmann::json instances = nlohmann::json::array();
@@ -79,7 +79,7 @@
     std::condition_variable changed_;
     std::uint64_t revision_ = 0;
     std::map<ObjectKey, Object> objects_;
-    /// The latest changes, oldest first; events at or below forgotten_ are gone.
+    /// The latest changes, oldest first; events up to compactedUpTo_ have been dropped.
     std::deque<nlohmann::json> events_;
     std::uint64_t compactedUpTo_ = 0;
     std::deque<InstanceList> instances_{InstanceList{}};
