--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,18 +1,18 @@
-"""Callers of a soak: sessions that read, write, run transactions, set values and use prepared statements."""
+"""Callers of a soak: sessions that read, write, run transactions, set session values and use prepared statements."""
 
 import asyncio
 import itertools
 
 from platform_standins import CallerSession, Refused, SessionLost, statements
-from promises import Sent
+from guaranteechecker import SentStatement
 
 ITEMS = 60
-# A statement sent this shortly before the end of its session may not have been read.
+# A statement sent less than this before the end of its session may not have been read by the proxy.
 LOSS_SLACK_S = 0.2
 
 
 class Route:
-    """What callers know of one database name."""
+    """The routing properties of one database name that callers know."""
 
     def __init__(self, host, group, sees_own_writes, staleness_s, timeout_s):
         self.host = host
@@ -46,53 +46,53 @@
     async def ask(self, text, identifier=None):
         """Sends one statement; returns (rows, signature) or raises."""
         identifier = identifier or self.caller.next_id()
-        asked_at = self.caller.clock()
+        sent_at = self.caller.clock()
         try:
             return await self.wire.ask(identifier, text)
         except SessionLost:
-            self.caller.cut(self, identifier, asked_at)
+            self.caller.on_session_lost(self, identifier, sent_at)
             raise
 
-    # Statements that members run
+    # Statements that run at members
 
-    def note(self, identifier, text):
+    def record_sent_statement(self, identifier, text):
         now = self.caller.clock()
         fresh_from = self.fresh_from if self.transaction else now
         own = self.own_commit if self.route.sees_own_writes else None
-        sent = Sent(self.caller.name, text, self.route, now, fresh_from, self.transaction, dict(self.values), dict(self.prepared), own)
-        self.caller.promises.send(identifier, sent)
+        sent = SentStatement(self.caller.name, text, self.route, now, fresh_from, self.transaction, dict(self.values), dict(self.prepared), own)
+        self.caller.checker.record_sent(identifier, sent)
 
     async def run(self, text):
-        """Runs a read, write or commit; success is checked against what members ran. Returns the statement's id."""
+        """Sends a read, write or commit and checks a successful answer against the runs at members. Returns the statement's id."""
         identifier = self.caller.next_id()
-        self.note(identifier, text)
+        self.record_sent_statement(identifier, text)
         try:
             rows, signature = await self.ask(text, identifier)
         except Refused as refusal:
             ids = [identifier] + (self.writes if self.transaction else [])
-            known = [each for each in ids if each in self.caller.promises.sent]
-            self.caller.promises.refused(known, refusal.code)
+            known = [each for each in ids if each in self.caller.checker.sent]
+            self.caller.checker.record_refusal(known, refusal.code)
             raise
         if signature is not None:
-            self.caller.promises.answered(self.route.group, identifier, rows, signature)
+            self.caller.checker.record_success(self.route.group, identifier, rows, signature)
         return identifier
 
-    def committed(self, identifiers):
-        self.caller.promises.acknowledged_writes(self.route.group, identifiers)
-        commits = self.caller.promises.commits_of.get(identifiers[-1])
+    def acknowledged(self, identifiers):
+        self.caller.checker.record_acknowledged(self.route.group, identifiers)
+        commits = self.caller.checker.commits_of.get(identifiers[-1])
         if commits:
             self.own_commit = commits[-1]
 
 
 class Caller:
-    """One caller: opens sessions at ready proxies and works until it is told to end."""
+    """One caller: opens sessions at ready proxies and runs operations until its end time."""
 
-    def __init__(self, name, random, fleet, routes, promises, clock):
+    def __init__(self, name, random, fleet, routes, checker, clock):
         self.name = name
         self.random = random
         self.fleet = fleet
         self.routes = routes
-        self.promises = promises
+        self.checker = checker
         self.clock = clock
         self.numbers = itertools.count(1)
         self.served = []
@@ -101,16 +101,16 @@
     def next_id(self):
         return f"{self.name}-{next(self.numbers)}"
 
-    def cut(self, session, identifier, asked_at):
-        """The session ended although a statement was not answered."""
-        took = self.clock() - asked_at
-        sent = self.promises.sent.get(identifier)
-        passed_on = sent is not None and bool(sent.runs)
-        # A statement that crosses the end of a session at rest was not taken in.
-        crossed = not passed_on and took <= LOSS_SLACK_S
+    def on_session_lost(self, session, identifier, sent_at):
+        """Handles the end of a session with an unanswered statement; a graceful stop must not cause that."""
+        took = self.clock() - sent_at
+        sent = self.checker.sent.get(identifier)
+        forwarded = sent is not None and bool(sent.runs)
+        # The proxy does not read a statement that arrives while it ends an idle session.
+        sent_at_session_end = not forwarded and took <= LOSS_SLACK_S
         in_time = took < session.route.timeout_s * 0.7
-        if in_time and not crossed and self.fleet.stopping_undisturbed(session.proxy, asked_at):
-            self.promises.breach("cut by a graceful stop", f"{identifier} at {session.proxy.name} after {took:.2f} s")
+        if in_time and not sent_at_session_end and self.fleet.stopping_undisturbed(session.proxy, sent_at):
+            self.checker.add_violation("cut by a graceful stop", f"{identifier} at {session.proxy.name} after {took:.2f} s")
 
     async def work(self, end):
         while self.clock() < end():
@@ -133,17 +133,17 @@
                 session.close()
 
     async def _operation(self, session):
-        """One operation; its refusals end it, not the session."""
-        draw = self.random.random()
+        """Runs one operation; an error answer ends the operation, not the session."""
+        chance = self.random.random()
         try:
-            if draw < 0.10:
+            if chance < 0.10:
                 await self._set(session)
-            elif draw < 0.20:
+            elif chance < 0.20:
                 await self._prepared(session)
-            elif draw < 0.45:
+            elif chance < 0.45:
                 await self._transaction(session)
-            elif draw < 0.62:
-                session.committed([await session.run(statements.write(self._item(), self._data()))])
+            elif chance < 0.62:
+                session.acknowledged([await session.run(statements.write(self._item(), self._data()))])
             else:
                 await session.run(statements.read(self._item()))
             self.served.append(self.clock())
@@ -175,7 +175,7 @@
         if access == statements.READ:
             await session.run(statements.execute(name, self._item()))
         else:
-            session.committed([await session.run(statements.execute(name, self._item(), self._data()))])
+            session.acknowledged([await session.run(statements.execute(name, self._item(), self._data()))])
 
     async def _transaction(self, session):
         reads_only = self.random.random() < 0.4
@@ -194,14 +194,14 @@
             await asyncio.sleep(self.random.choice((0.0, 0.0, 0.03, 0.2)))
         ending = self.random.random()
         if ending < 0.06:
-            raise SessionLost("leaves in the middle")
+            raise SessionLost("abandons its transaction")
         if ending < 0.15:
             await session.ask(statements.ROLLBACK)
-            self.promises.refused(session.writes, statements.ROLLED_BACK)
+            self.checker.record_refusal(session.writes, statements.ROLLED_BACK)
         else:
             await session.run(statements.COMMIT)
             if session.writes:
-                session.committed(session.writes)
+                session.acknowledged(session.writes)
         session.transaction, session.writes = None, []
 
     def _item(self):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,25 +1,25 @@
-"""What a soak does to the system: faults drawn from a seed, in series and overlapping."""
+"""The faults that a soak injects: drawn from a seed, one after the other and overlapping."""
 
 import asyncio
 import signal
 
 from platform_standins import Outage
-from relay import Harm
+from relay import RelayFault
 
-# A program that is still being loaded cannot handle a signal.
+# A process cannot handle signals while its program is still being loaded.
 LOADING_S = 0.25
-HARMS = (Harm.SILENT, Harm.NO_REQUESTS, Harm.NO_ANSWERS, Harm.STALE)
+RELAY_FAULTS = (RelayFault.SILENT, RelayFault.NO_REQUESTS, RelayFault.NO_ANSWERS, RelayFault.STALE)
 
 
 class World:
-    """What faults act on."""
+    """The parts of the system under test that faults act on."""
 
-    def __init__(self, fleet, groups, store, promotions, promises, operator, clock, random):
+    def __init__(self, fleet, groups, store, promotions, checker, operator, clock, random):
         self.fleet = fleet
         self.groups = groups
         self.store = store
         self.promotions = promotions
-        self.promises = promises
+        self.checker = checker
         self.operator = operator
         self.clock = clock
         self.random = random
@@ -30,7 +30,7 @@
     def group(self):
         return self.random.choice(self.groups)
 
-    def trouble(self, for_s, proxy=None):
+    def record_disturbance(self, for_s, proxy=None):
         self.fleet.disturb(self.clock() + for_s, proxy)
 
 
@@ -38,37 +38,37 @@
 
 
 async def kill(world):
-    """Single processes are killed, some of them again as they start."""
+    """Kills a proxy, sometimes a second time as it starts."""
     proxy = world.proxy()
     for _ in range(world.random.choice((1, 1, 2))):
         await world.fleet.kill(proxy, world.random.uniform(0.1, 2.5))
         await asyncio.sleep(world.random.uniform(0.0, 1.5))
 
 
-async def herd_kill(world):
-    """Half of the proxies, or all, are killed at the same moment."""
-    share = world.random.choice((0.5, 1.0))
-    proxies = [proxy for proxy in world.fleet.proxies if world.random.random() < share]
+async def kill_many(world):
+    """Kills all proxies, or about half of them, at the same time."""
+    fraction = world.random.choice((0.5, 1.0))
+    proxies = [proxy for proxy in world.fleet.proxies if world.random.random() < fraction]
     down_s = world.random.uniform(0.2, 2.0)
     await asyncio.gather(*(world.fleet.kill(proxy, down_s) for proxy in proxies))
 
 
 async def pause(world):
-    """Processes stand still and go on."""
+    """Pauses one or two proxy processes and resumes them."""
     proxies = world.random.sample(world.fleet.proxies, world.random.choice((1, 1, 2)))
     for_s = world.random.uniform(0.3, 9.0)
     await asyncio.gather(*(world.fleet.pause(proxy, for_s) for proxy in proxies))
 
 
-async def roll(world):
-    """Proxies are stopped gracefully and started again, one after the other."""
+async def rolling_restart(world):
+    """Stops half of the proxies gracefully and starts them again, one after the other."""
     for proxy in world.random.sample(world.fleet.proxies, max(1, len(world.fleet.proxies) // 2)):
-        await world.fleet.stop(proxy, world.promises)
+        await world.fleet.stop(proxy, world.checker)
         await asyncio.sleep(world.random.uniform(0.2, 1.0))
 
 
 async def reload(world):
-    """Processes are told to read their settings again."""
+    """Makes all proxies reload their settings."""
     for proxy in world.fleet.proxies:
         if world.clock() - proxy.started_at > LOADING_S:
             proxy.process.signal(signal.SIGHUP)
@@ -79,29 +79,29 @@
 
 
 async def cut_from_store(world):
-    """Single proxies lose their path to the store, wholly or one way."""
-    proxy, harm, for_s = world.proxy(), world.random.choice(HARMS), world.random.uniform(1.0, 9.0)
-    await _harm(world, [proxy.relays["store"]], harm, for_s, proxy)
+    """Blocks the path of one proxy to the store, in one or both directions."""
+    proxy, relay_fault, for_s = world.proxy(), world.random.choice(RELAY_FAULTS), world.random.uniform(1.0, 9.0)
+    await _inject(world, [proxy.relays["store"]], relay_fault, for_s, proxy)
 
 
 async def cut_from_members(world):
-    """A proxy loses its paths to some members."""
+    """Blocks the paths of one proxy to some members."""
     proxy = world.proxy()
     relays = [relay for relay in proxy.relays.values() if relay.name == "member" and world.random.random() < 0.6]
-    await _harm(world, relays, world.random.choice(HARMS), world.random.uniform(0.5, 6.0), proxy)
+    await _inject(world, relays, world.random.choice(RELAY_FAULTS), world.random.uniform(0.5, 6.0), proxy)
 
 
-async def cut_off(world):
-    """A proxy loses all its paths, and the others theirs to it."""
+async def isolate_proxy(world):
+    """Blocks all paths of one proxy, and the paths of the others to it."""
     proxy = world.proxy()
-    towards = [other.relays[port] for other in world.fleet.proxies for port in other.relays if _leads_to(port, proxy)]
-    await _harm(world, list(proxy.relays.values()) + towards, world.random.choice(HARMS), world.random.uniform(1.0, 8.0), None)
+    relays_to_proxy = [other.relays[port] for other in world.fleet.proxies for port in other.relays if _leads_to(port, proxy)]
+    await _inject(world, list(proxy.relays.values()) + relays_to_proxy, world.random.choice(RELAY_FAULTS), world.random.uniform(1.0, 8.0), None)
 
 
 async def delay(world):
-    """Paths of a proxy become slow."""
+    """Delays all paths of one proxy."""
     proxy, for_s = world.proxy(), world.random.uniform(1.0, 5.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     for relay in proxy.relays.values():
         relay.delay_s = world.random.uniform(0.01, 0.15)
     await asyncio.sleep(for_s)
@@ -110,8 +110,8 @@
 
 
 async def reset(world):
-    """Open connections are reset."""
-    world.trouble(0.5)
+    """Resets the open connections of about half of the relays."""
+    world.record_disturbance(0.5)
     for proxy in world.fleet.proxies:
         for relay in proxy.relays.values():
             if world.random.random() < 0.5:
@@ -122,24 +122,24 @@
     return port in (proxy.port("peers"), proxy.port("sessions"))
 
 
-async def _harm(world, relays, harm, for_s, proxy):
-    world.trouble(for_s, proxy)
+async def _inject(world, relays, relay_fault, for_s, proxy):
+    world.record_disturbance(for_s, proxy)
     for relay in relays:
-        relay.set_harm(harm)
+        relay.set_fault(relay_fault)
     await asyncio.sleep(for_s)
     for relay in relays:
-        relay.set_harm(Harm.NONE)
-        if harm is not Harm.STALE and world.random.random() < 0.5:
+        relay.set_fault(RelayFault.NONE)
+        if relay_fault is not RelayFault.STALE and world.random.random() < 0.5:
             relay.reset()
 
 
 # The store
 
 
-async def store_away(world):
-    """The store is away for all, and entries of members lapse meanwhile."""
+async def store_unavailable(world):
+    """Makes the store unavailable for all proxies, sometimes also for members, whose entries then expire."""
     outage, for_s = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT)), world.random.uniform(1.0, 8.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     world.store.outage = outage
     world.store.writers_reach = world.random.random() < 0.5
     await world.store.interrupt()
@@ -148,10 +148,10 @@
     world.store.writers_reach = True
 
 
-async def store_turns_away(world):
-    """The store turns some proxies away and serves the others."""
+async def store_unavailable_for_some(world):
+    """Makes the store unavailable for some proxies only."""
     for_s = world.random.uniform(1.0, 9.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     away = [proxy.name for proxy in world.fleet.proxies if world.random.random() < 0.4]
     for name in away:
         world.store.turned_away[name] = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT))
@@ -162,9 +162,9 @@
 
 
 async def store_loses_answers(world):
-    """Writes to the store are done, at once or late, and not answered."""
+    """Makes the store apply some writes, at once or after a delay, without a reply."""
     for_s = world.random.uniform(1.0, 6.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     world.store.lost_writes = 0.35
     world.store.late_s = world.random.choice((0.0, 1.5, 5.0))
     await asyncio.sleep(for_s)
@@ -172,16 +172,16 @@
 
 
 async def store_slow(world):
-    """The store's answers take long."""
+    """Delays the replies of the store."""
     for_s = world.random.uniform(1.0, 6.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     world.store.slow_s = world.random.uniform(0.1, 0.5)
     await asyncio.sleep(for_s)
     world.store.slow_s = 0.0
 
 
-async def store_forgets(world):
-    """The store drops its history."""
+async def store_drops_history(world):
+    """Makes the store drop its history of changes."""
     await world.store.forget_history()
 
 
@@ -189,22 +189,22 @@
 
 
 async def member_crash(world):
-    """A member crashes and comes back with its log; more often than not the primary."""
+    """Crashes a member, mostly the primary, and restarts it with its log."""
     group = world.group()
     if len(group.running()) < len(group.members):
         return
     member = group.leader if world.random.random() < 0.7 else world.random.choice(list(group.members.values()))
     for_s = world.random.uniform(0.5, 9.0)
-    world.trouble(for_s + 1.0)
+    world.record_disturbance(for_s + 1.0)
     await group.crash(member)
     await asyncio.sleep(for_s)
     group.restart(member)
 
 
-async def replicas_behind(world):
-    """Replicas apply late, or receive nothing for a while; the primary may crash meanwhile."""
+async def replicas_lag(world):
+    """Makes replicas lag and one receive nothing; a member, mostly the primary, may crash meanwhile."""
     group, for_s = world.group(), world.random.uniform(1.0, 6.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     replicas = [member for member in group.running() if member.role == "replica"]
     deaf = world.random.sample(replicas, min(1, len(replicas)))
     for replica in replicas:
@@ -221,9 +221,9 @@
 
 
 async def primary_cut_from_replicas(world):
-    """A primary is partitioned from its replicas, and still reached by the proxies."""
+    """Partitions a primary from its replicas; proxies can still reach it."""
     group, for_s = world.group(), world.random.uniform(1.0, 6.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     leader = group.leader
     for member in group.members.values():
         group.cut_pairs |= {(leader.name, member.name), (member.name, leader.name)}
@@ -232,9 +232,9 @@
 
 
 async def answers_lost(world):
-    """A member runs statements and their answers are lost."""
+    """Makes a member lose some replies to statements that it ran."""
     group, for_s = world.group(), world.random.uniform(1.0, 5.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     member = world.random.choice(list(group.members.values()))
     member.lost_answers = 0.05
     await asyncio.sleep(for_s)
@@ -242,7 +242,7 @@
 
 
 async def replace_primary(world):
-    """A primary reports that it leaves; it is replaced while it still serves."""
+    """Makes a primary report that it is leaving, so that it is replaced while it still serves."""
     group = world.group()
     leader = group.leader
     if len(group.running()) < len(group.members) or leader.state != "ready":
@@ -253,9 +253,9 @@
 
 
 async def promotions_silent(world):
-    """The platform's service for promotions does not answer."""
+    """Makes the platform's promotion service stop replying."""
     for_s = world.random.uniform(1.0, 4.0)
-    world.trouble(for_s)
+    world.record_disturbance(for_s)
     world.promotions.silent = True
     await asyncio.sleep(for_s)
     world.promotions.silent = False
@@ -265,7 +265,7 @@
 
 
 async def change_configuration(world):
-    """Configurations come, some in quick succession."""
+    """Changes the configuration, sometimes several times in quick succession."""
     for _ in range(world.random.choice((1, 1, 8))):
         await world.operator.change()
         await asyncio.sleep(0.3)
@@ -274,24 +274,24 @@
 ALL = (
     kill,
     kill,
-    herd_kill,
+    kill_many,
     pause,
     pause,
-    roll,
+    rolling_restart,
     reload,
     cut_from_store,
     cut_from_members,
-    cut_off,
+    isolate_proxy,
     delay,
     reset,
-    store_away,
-    store_turns_away,
+    store_unavailable,
+    store_unavailable_for_some,
     store_loses_answers,
     store_slow,
-    store_forgets,
+    store_drops_history,
     member_crash,
     member_crash,
-    replicas_behind,
+    replicas_lag,
     primary_cut_from_replicas,
     answers_lost,
     replace_primary,
@@ -300,8 +300,8 @@
 )
 
 
-async def play(world, until, gap_s, log):
-    """Begins faults until then, on average every `gap_s`; returns once all have ended."""
+async def run_faults(world, until, gap_s, log):
+    """Starts a fault every `gap_s` on average until `until`; returns once all faults have ended."""
     running = []
     while world.clock() < until:
         fault = world.random.choice(ALL)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The proxies of a soak as processes, the relays between them and all else, and what harms each of them now."""
+"""The proxy processes of a soak, the relays on their paths, and the faults that disturb each of them."""
 
 import asyncio
 import json
@@ -10,14 +10,14 @@
 from relay import Relay
 
 FIRST_PORT = 12000
-PORTS_EACH = 8
+PORTS_PER_PROXY = 8
 LISTENERS = ("callers", "readiness", "peers", "sessions", "metrics")
 PROBE_S = 0.5
 STOP_GRACE_S = 6.0
-# A proxy counts as undisturbed when nothing was done to it or around it for this long.
-CALM_S = 4.0
-# Above this size only the paths to members and to the store are relayed: paths between proxies grow with the square.
-MOST_RELAYED_PEERS = 16
+# A proxy counts as undisturbed this long after the last fault at any proxy or in the system.
+SETTLE_S = 4.0
+# In larger fleets only paths to members and services are relayed: the number of paths between proxies is quadratic.
+MAX_RELAYED_PROXIES = 16
 
 
 class Proxy:
@@ -34,11 +34,11 @@
         self.started_at = 0.0
         self.stopping_since = None
         self.disturbed_until = 0.0
-        # Relays by the target's port.
+        # Relays by target port or service name.
         self.relays = {}
 
     def port(self, listener):
-        return FIRST_PORT + self.index * PORTS_EACH + LISTENERS.index(listener)
+        return FIRST_PORT + self.index * PORTS_PER_PROXY + LISTENERS.index(listener)
 
     def write_settings(self, store_port, promotions_port):
         settings = {
@@ -56,14 +56,14 @@
 
 
 class Fleet:
-    """All proxies; also chooses where callers go, as the platform's entry does."""
+    """All proxies; also chooses a ready proxy for each caller, as the platform's load balancer does."""
 
     def __init__(self, size, zones, program, folder, clock):
         self.clock = clock
         self.proxies = [Proxy(index, zones[index % len(zones)], program, folder) for index in range(size)]
         self.down_until = {}
         self.disturbed_until = 0.0
-        self.unexpected_ends = []
+        self.unexpected_exits = []
 
     async def start(self, store_port_of, promotions_port):
         for proxy in self.proxies:
@@ -72,17 +72,17 @@
             promotions = await Relay("promotions", promotions_port).start()
             proxy.relays["promotions"] = promotions
             proxy.write_settings(store.port, promotions.port)
-            self._begin(proxy)
+            self._start_process(proxy)
 
     async def relay_members(self, ports):
-        """Puts a relay between every proxy and each of the members' ports."""
+        """Starts a relay from each proxy to each of the members' ports."""
         for proxy in self.proxies:
             for port in ports:
                 if port not in proxy.relays:
                     proxy.relays[port] = await Relay("member", port).start()
 
     async def relay_peers(self):
-        if len(self.proxies) > MOST_RELAYED_PEERS:
+        if len(self.proxies) > MAX_RELAYED_PROXIES:
             return
         for proxy in self.proxies:
             for other in self.proxies:
@@ -91,7 +91,7 @@
                         proxy.relays[other.port(listener)] = await Relay(other.name, other.port(listener)).start()
 
     def translate(self, proxy, text):
-        """Replaces the addresses in the store's answers by those of the proxy's own relays."""
+        """Replaces the addresses in a reply of the store by those of the proxy's own relays."""
 
         def relayed(match):
             relay = proxy.relays.get(int(match[1]))
@@ -99,25 +99,25 @@
 
         return re.sub(r"127\.0\.0\.1:(\d+)", relayed, text)
 
-    def _begin(self, proxy):
+    def _start_process(self, proxy):
         proxy.started_at = self.clock()
         proxy.process.start()
 
-    # Harm
+    # Faults
 
     def disturb(self, until, proxy=None):
-        """Notes that something unplanned is done until then, to one proxy or around all."""
+        """Records a fault that lasts until `until`, at one proxy or, without one, in the whole system."""
         if proxy is None:
             self.disturbed_until = max(self.disturbed_until, until)
         else:
             proxy.disturbed_until = max(proxy.disturbed_until, until)
 
     def stopping_undisturbed(self, proxy, since):
-        """True when the proxy is stopping as planned and nothing else was wrong around `since`."""
+        """Returns true when the proxy has time left for a planned stop and no fault was active from SETTLE_S before `since`."""
         now = self.clock()
-        everywhere = max([self.disturbed_until] + [each.disturbed_until for each in self.proxies])
-        calm = everywhere + CALM_S < since
-        return proxy.stopping_since is not None and calm and now < proxy.stopping_since + STOP_GRACE_S * 5 / 6
+        last_disturbance = max([self.disturbed_until] + [each.disturbed_until for each in self.proxies])
+        undisturbed = last_disturbance + SETTLE_S < since
+        return proxy.stopping_since is not None and undisturbed and now < proxy.stopping_since + STOP_GRACE_S * 5 / 6
 
     async def kill(self, proxy, down_s):
         self.disturb(self.clock() + down_s + 1.0, proxy)
@@ -132,22 +132,22 @@
         await asyncio.sleep(for_s)
         proxy.process.signal(signal.SIGCONT)
 
-    async def stop(self, proxy, promises):
-        """A graceful stop and a start."""
+    async def stop(self, proxy, checker):
+        """Stops a proxy gracefully, checks that it ends in time with exit code 0, and starts it again."""
         if proxy.stopping_since is not None or not proxy.process.is_running():
             return
         proxy.stopping_since = self.clock()
         proxy.process.signal(signal.SIGTERM)
         while proxy.process.is_running() and self.clock() < proxy.stopping_since + STOP_GRACE_S:
             await asyncio.sleep(0.05)
-        calm = self.stopping_undisturbed(proxy, proxy.stopping_since)
+        undisturbed = self.stopping_undisturbed(proxy, proxy.stopping_since)
         if proxy.process.is_running():
-            if calm:
-                promises.breach("graceful stop", f"{proxy.name} still runs after {STOP_GRACE_S} s")
+            if undisturbed:
+                checker.add_violation("graceful stop", f"{proxy.name} still runs after {STOP_GRACE_S} s")
             proxy.process.signal(signal.SIGKILL)
         code = await asyncio.to_thread(proxy.process.wait)
-        if calm and code != 0:
-            promises.breach("graceful stop", f"{proxy.name} ended with {code}")
+        if undisturbed and code != 0:
+            checker.add_violation("graceful stop", f"{proxy.name} ended with {code}")
         proxy.ready = False
         await self._restart_after(proxy, 0.3)
         proxy.stopping_since = None
@@ -157,7 +157,7 @@
         self.down_until[proxy.name] = self.clock() + down_s
         await asyncio.sleep(down_s)
         if not proxy.process.is_running():
-            self._begin(proxy)
+            self._start_process(proxy)
         self.down_until.pop(proxy.name, None)
 
     # Readiness
@@ -167,7 +167,7 @@
         return random.choice(ready) if ready else None
 
     async def probe(self):
-        """Asks every proxy whether it takes callers, until it is cancelled; notes processes that ended by themselves."""
+        """Probes the readiness of each proxy until it is cancelled; records and restarts processes that ended unexpectedly."""
         while True:
             await asyncio.gather(*(self._probe_one(proxy) for proxy in self.proxies))
             await asyncio.sleep(PROBE_S)
@@ -176,10 +176,10 @@
         expected_down = proxy.name in self.down_until or proxy.stopping_since is not None
         if not proxy.process.is_running():
             proxy.ready = False
-            ended_alone = proxy.process.child is not None and proxy.process.child.returncode not in (None, -signal.SIGKILL)
-            if ended_alone and not expected_down:
-                self.unexpected_ends.append(f"{proxy.name} ended with {proxy.process.child.returncode}")
-                self._begin(proxy)
+            exited_unexpectedly = proxy.process.child is not None and proxy.process.child.returncode not in (None, -signal.SIGKILL)
+            if exited_unexpectedly and not expected_down:
+                self.unexpected_exits.append(f"{proxy.name} ended with {proxy.process.child.returncode}")
+                self._start_process(proxy)
             return
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", proxy.port("readiness")), PROBE_S)
@@ -190,8 +190,8 @@
         except (OSError, asyncio.TimeoutError):
             proxy.ready = False
 
-    def end(self):
-        """Kills every process that this fleet started."""
+    def kill_all(self):
+        """Kills all processes that this fleet started."""
         for proxy in self.proxies:
             if proxy.process.is_running():
                 proxy.process.signal(signal.SIGCONT)
--- a/tests/soak/platform_standins.py
+++ b/tests/soak/platform_standins.py
@@ -1,4 +1,4 @@
-"""The platform's stand-ins, which live in the folder that knows the platform's names."""
+"""Re-exports the stand-ins of platform/standins, so that names of the platform stay in platform/."""
 
 import os
 import sys
--- a/tests/soak/relay.py
+++ b/tests/soak/relay.py
@@ -1,4 +1,4 @@
-"""A loopback TCP relay whose connections can be delayed, reset, cut one way or silenced."""
+"""A loopback TCP relay whose connections can be delayed, reset, or blocked in one or both directions."""
 
 import asyncio
 import enum
@@ -6,27 +6,27 @@
 CHUNK_BYTES = 1 << 16
 
 
-class Harm(enum.Enum):
-    """What is done to a relay's bytes."""
+class RelayFault(enum.Enum):
+    """A fault of a relay."""
 
     NONE = "none"
-    SILENT = "silent"  # nothing passes, new connections hang
-    NO_REQUESTS = "no-requests"  # nothing passes towards the target
-    NO_ANSWERS = "no-answers"  # nothing passes back
-    STALE = "stale"  # connections that are open now go silent for good; new ones work
+    SILENT = "silent"  # forwards nothing, new connections hang
+    NO_REQUESTS = "no-requests"  # forwards nothing to the target
+    NO_ANSWERS = "no-answers"  # forwards nothing from the target
+    STALE = "stale"  # connections that are open now are blocked until they end; new ones work
 
 
 class Relay:
-    """Forwards connections from a port of its own to a target port."""
+    """Forwards connections from its own port to a target port."""
 
     def __init__(self, name, target_port):
         self.name = name
         self.target_port = target_port
         self.port = 0
-        self.harm = Harm.NONE
+        self.fault = RelayFault.NONE
         self.delay_s = 0.0
         self.server = None
-        self.links = set()
+        self.connections = set()
 
     async def start(self, port=0):
         self.server = await asyncio.start_server(self._connected, "127.0.0.1", port)
@@ -39,63 +39,63 @@
 
     def reset(self):
         """Resets every open connection."""
-        for link in list(self.links):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
-    def set_harm(self, harm):
-        if harm is Harm.STALE:
-            for link in self.links:
-                link.stale = True
+    def set_fault(self, fault):
+        if fault is RelayFault.STALE:
+            for connection in self.connections:
+                connection.stale = True
             return
-        self.harm = harm
+        self.fault = fault
 
     async def _connected(self, reader, writer):
-        link = _Link(self, reader, writer)
-        self.links.add(link)
+        connection = _RelayedConnection(self, reader, writer)
+        self.connections.add(connection)
         try:
-            await link.run()
+            await connection.run()
         finally:
-            self.links.discard(link)
+            self.connections.discard(connection)
 
 
-class _Link:
+class _RelayedConnection:
     """One relayed connection."""
 
     def __init__(self, relay, reader, writer):
         self.relay = relay
         self.reader = reader
         self.writer = writer
-        self.far_writer = None
+        self.target_writer = None
         self.stale = False
 
     def abort(self):
-        for writer in (self.writer, self.far_writer):
+        for writer in (self.writer, self.target_writer):
             if writer is not None:
                 writer.transport.abort()
 
-    def _stopped(self, towards_target):
-        harm = self.relay.harm
-        one_way = harm is (Harm.NO_REQUESTS if towards_target else Harm.NO_ANSWERS)
-        return self.stale or harm is Harm.SILENT or one_way
+    def _is_blocked(self, to_target):
+        fault = self.relay.fault
+        one_way = fault is (RelayFault.NO_REQUESTS if to_target else RelayFault.NO_ANSWERS)
+        return self.stale or fault is RelayFault.SILENT or one_way
 
     async def run(self):
-        while self._stopped(True):
+        while self._is_blocked(True):
             await asyncio.sleep(0.05)
         try:
-            far_reader, self.far_writer = await asyncio.open_connection("127.0.0.1", self.relay.target_port)
+            target_reader, self.target_writer = await asyncio.open_connection("127.0.0.1", self.relay.target_port)
         except OSError:
             self.abort()
             return
-        ways = [self._carry(self.reader, self.far_writer, True), self._carry(far_reader, self.writer, False)]
-        await asyncio.gather(*ways)
+        directions = [self._forward(self.reader, self.target_writer, True), self._forward(target_reader, self.writer, False)]
+        await asyncio.gather(*directions)
         self.abort()
 
-    async def _carry(self, source, sink, towards_target):
+    async def _forward(self, source, sink, to_target):
         try:
             while data := await source.read(CHUNK_BYTES):
                 if self.relay.delay_s:
                     await asyncio.sleep(self.relay.delay_s)
-                while self._stopped(towards_target):
+                while self._is_blocked(to_target):
                     await asyncio.sleep(0.02)
                 sink.write(data)
                 await sink.drain()
--- a/tests/system/callers.py
+++ b/tests/system/callers.py
@@ -1,4 +1,4 @@
-"""A caller with a session, as a client library would hold it."""
+"""A caller with a session, as a client library would implement it."""
 
 import http.client
 import time
@@ -7,7 +7,7 @@
 
 
 class Answer:
-    """An answer to a caller; `ran` is "unknown" when none arrived."""
+    """An answer to a caller; `ran` is "unknown" when no answer arrived."""
 
     def __init__(self, status, body, headers):
         self.status = status
@@ -25,7 +25,7 @@
 
     @property
     def value(self):
-        """The value of the only row; None when there is none."""
+        """The value of the first row; None when there are no rows."""
         return self.rows[0]["value"] if self.rows else None
 
     def __repr__(self):
@@ -33,7 +33,7 @@
 
 
 class Caller:
-    """One session of a service; it may roam between proxies."""
+    """One session of a service; it can continue through any proxy."""
 
     def __init__(self, cluster, proxy=0, client_ms=0.0, timeout=60):
         self.cluster = cluster
@@ -42,10 +42,10 @@
         self.timeout = timeout
         self.session = ""
         self.connection = None
-        self.roam(proxy)
+        self.switch_proxy(proxy)
 
-    def roam(self, proxy):
-        """Goes on through another proxy, given by its number."""
+    def switch_proxy(self, proxy):
+        """Connects to another proxy, given by its number, and keeps the session."""
         self.close()
         self.proxy = proxy % len(self.cluster.proxies)
         self.connection = Connection(self.cluster.proxies[self.proxy].callers, "caller/", self.timeout)
@@ -74,15 +74,15 @@
         return self._post(f"transactions/{transaction}/rollback", more)
 
     def outcome(self, request_id, key):
-        return self._ask("GET", f"requests/{request_id}?key={key}", None, {"x-session": self.session} if self.session else {})
+        return self._send("GET", f"requests/{request_id}?key={key}", None, {"x-session": self.session} if self.session else {})
 
     def _post(self, path, body):
         if self.session:
             body["session"] = self.session
-        return self._ask("POST", path, body, {})
+        return self._send("POST", path, body, {})
 
-    def _ask(self, method, path, body, headers):
-        """Sends one request; a broken connection gives an answer with `ran` unknown."""
+    def _send(self, method, path, body, headers):
+        """Sends one request. A refused connection gives an answer with `ran` "no", a broken one an answer with `ran` "unknown"."""
         time.sleep(self.client_seconds)
         try:
             status, answer, fields = self.connection.ask(method, f"/v1/services/{self.service}/{path}", body, headers)
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -1,4 +1,4 @@
-"""Starts a whole deployment: the store, members, relays and proxies, each a process of its own."""
+"""Starts a whole deployment: the store, members, relays and proxies, each as a separate process."""
 
 import json
 import os
@@ -8,7 +8,7 @@
 from standins import Member, Relay, Store
 
 OPERATOR_TOKEN = "operator-token-of-the-tests"
-READY_PATIENCE = 30
+READY_TIMEOUT_SECONDS = 30
 
 
 class Proxy:
@@ -30,7 +30,7 @@
         return ask(self.callers, "GET", "/ready", timeout=2)[0] == 200
 
     def wait_until_ready(self):
-        wait_until(lambda: self.is_ready() or not self.process.is_running(), f"{self.name} is ready", READY_PATIENCE)
+        wait_until(lambda: self.is_ready() or not self.process.is_running(), f"{self.name} is ready", READY_TIMEOUT_SECONDS)
         assert self.process.is_running(), f"{self.name} ended: {self.process.log()[-2000:]}"
 
     def stop(self):
@@ -39,9 +39,9 @@
 
 
 class Cluster:
-    """A deployment that runs on loopback, from port `base` on.
+    """A deployment that runs on loopback, on ports from `base` up.
 
-    Use as a context manager: whatever happens, all processes that it started are ended.
+    Use it as a context manager: it kills every process that it started when the block ends, also after an error.
     """
 
     def __init__(self, build, base, deployment, proxies=None, relays=False, delays=True, settings=None):
@@ -50,8 +50,8 @@
         self.deployment = deployment
         self.delays = delays
         self.extra_settings = settings or {}
-        self.folder_holder = tempfile.TemporaryDirectory(prefix="cardamomstep-")
-        self.folder = self.folder_holder.name
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="cardamomstep-")
+        self.folder = self.temporary_folder.name
         self.store = Store(self.build, self.address(0), self.folder)
         self.proxies = [self._proxy(index) for index in range(proxies or deployment.proxies)]
         self.members = {}
@@ -115,7 +115,7 @@
         }
 
     def records(self):
-        """The records of the deployment: its groups and the routing intent."""
+        """Returns the records of the deployment: its groups and the routing intent."""
         deployment = self.deployment
         records = []
         for group, members in self.members.items():
@@ -129,7 +129,7 @@
         return records
 
     def put_record(self, record):
-        """Writes a record past the operators' interface."""
+        """Writes a record straight to the store, without the operators' interface; returns its version."""
         status, answer = ask(self.store.address, "PUT", f"/v1/objects/{record['kind']}/{record['name']}", record)
         assert status == 200, answer
         return answer["version"]
@@ -182,7 +182,7 @@
         self.store.faults(delays=[{"from": domain, "to": "", "ms": self.deployment.store_ms} for domain in domains])
 
     def publish_instances(self):
-        """Writes the platform's instance list from `listed`."""
+        """Writes the platform's instance list; `listed` gives the states, and proxies without an entry are left out."""
         entries = []
         for proxy in self.proxies:
             if proxy.name not in self.listed:
@@ -197,9 +197,9 @@
         self.store.set_instances(entries)
 
     def wait_until_serving(self):
-        """Waits until every group has taken a write."""
+        """Waits until every group has accepted a write."""
         for group in self.deployment.groups:
-            wait_until(lambda: self.probe(group), f"group {group} takes writes", READY_PATIENCE)
+            wait_until(lambda: self.probe(group), f"group {group} accepts writes", READY_TIMEOUT_SECONDS)
 
     def probe(self, group):
         path = f"/v1/services/{self.deployment.service}/statements"
@@ -209,12 +209,12 @@
     def stop(self):
         for process in [*self.proxies, *self.relays.values(), *self.all_members(), self.store]:
             process.stop()
-        self.folder_holder.cleanup()
+        self.temporary_folder.cleanup()
 
     # State
 
     def primary(self, group):
-        """The member that leads `group` at the highest term."""
+        """Returns the member that leads `group` at the highest term; None when no running member reports that it leads."""
         reports = []
         for member in self.members[group]:
             if member.process.is_running():
@@ -228,7 +228,7 @@
         return [member for member in self.members[group] if member is not primary]
 
     def final_rows(self, group):
-        """The rows of the group's legitimate primary."""
+        """Returns the rows of the member that leads `group` at the highest term."""
         primary = wait_until(lambda: self.primary(group), f"{group} has a primary")
         return primary.rows()
 
--- a/tests/system/deployments.py
+++ b/tests/system/deployments.py
@@ -1,11 +1,11 @@
-"""The places, services and sizes of the deployments that the system tests run."""
+"""Deployments that the system tests run: failure domains, services, sizes and network delays."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """One installation: failure domains, one service, and the delays between places."""
+    """One deployment: failure domains, one service with its groups, and the network delays between domains."""
 
     name: str
     region: str
@@ -27,7 +27,7 @@
         return [f"{group}-{'abc'[index]}" for index in range(self.members_per_group)]
 
     def prefix(self, group):
-        """Keys that begin with this belong to `group`."""
+        """Returns the prefix of all keys of `group`."""
         return f"{group}/"
 
 
--- a/tests/system/processes.py
+++ b/tests/system/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a test and HTTP requests to them."""
+"""Child processes of a test, and HTTP requests to them."""
 
 import http.client
 import json
@@ -7,11 +7,11 @@
 import subprocess
 import time
 
-GIVE_UP_SECONDS = 60
+DEFAULT_TIMEOUT_SECONDS = 60
 
 
 class Process:
-    """One child process, stopped by its process id only."""
+    """One child process; signals go to its process id only."""
 
     def __init__(self, arguments, log_file):
         self.arguments = [str(argument) for argument in arguments]
@@ -37,20 +37,20 @@
         self.signal(signal.SIGCONT)
 
     def kill(self):
-        """Ends the process without warning."""
+        """Kills the process with SIGKILL and returns its exit code."""
         self.signal(signal.SIGKILL)
         return self.wait()
 
-    def terminate(self, patience=GIVE_UP_SECONDS):
-        """Asks the process to stop and returns its exit code; kills it when it takes too long."""
+    def terminate(self, timeout_seconds=DEFAULT_TIMEOUT_SECONDS):
+        """Stops the process with SIGTERM and returns its exit code; kills it after the timeout and returns None."""
         self.signal(signal.SIGTERM)
-        return self.wait(patience)
+        return self.wait(timeout_seconds)
 
-    def wait(self, patience=GIVE_UP_SECONDS):
+    def wait(self, timeout_seconds=DEFAULT_TIMEOUT_SECONDS):
         if self.child is None:
             return None
         try:
-            return self.child.wait(patience)
+            return self.child.wait(timeout_seconds)
         except subprocess.TimeoutExpired:
             self.child.kill()
             self.child.wait()
@@ -62,14 +62,14 @@
 
 
 class Connection:
-    """One kept HTTP connection with JSON bodies."""
+    """One persistent HTTP connection with JSON bodies."""
 
-    def __init__(self, address, sender="test/", timeout=GIVE_UP_SECONDS):
+    def __init__(self, address, sender="test/", timeout=DEFAULT_TIMEOUT_SECONDS):
         self.connection = http.client.HTTPConnection(address, timeout=timeout)
         self.sender = sender
 
     def ask(self, method, path, body=None, headers=None):
-        """Returns (status, JSON body, headers in lower case)."""
+        """Sends one request; returns (status, JSON body, headers with names in lower case)."""
         fields = {"x-from": self.sender, "content-type": "application/json", **(headers or {})}
         text = body if body is None or isinstance(body, (str, bytes)) else json.dumps(body)
         self.connection.request(method, path, body=text, headers=fields)
@@ -82,15 +82,15 @@
 
 
 def parse_json(content):
-    """The JSON in `content`; the text itself when it is none, and None when it is empty."""
+    """Returns the JSON value in `content`, the text itself when it is not JSON, and None when it is empty."""
     try:
         return json.loads(content) if content else None
     except ValueError:
         return content.decode(errors="replace")
 
 
-def ask(address, method, path, body=None, headers=None, sender="test/", timeout=GIVE_UP_SECONDS):
-    """One request on a connection of its own; returns (status, JSON body)."""
+def ask(address, method, path, body=None, headers=None, sender="test/", timeout=DEFAULT_TIMEOUT_SECONDS):
+    """Sends one request on a new connection; returns (status, JSON body)."""
     connection = Connection(address, sender, timeout)
     try:
         status, answer, _ = connection.ask(method, path, body, headers)
@@ -99,21 +99,21 @@
         connection.close()
 
 
-def wait_until(condition, what, patience=GIVE_UP_SECONDS):
-    """Returns the first true value of `condition()`; errors of the network count as not yet."""
+def wait_until(condition, what, patience=DEFAULT_TIMEOUT_SECONDS):
+    """Returns the first true value of `condition()`; network errors count as false. Fails after `patience` seconds."""
     end = time.monotonic() + patience
-    last = None
+    last_error = None
     while time.monotonic() < end:
         try:
             value = condition()
             if value:
                 return value
-        except (OSError, http.client.HTTPException) as fault:
-            last = fault
+        except (OSError, http.client.HTTPException) as error:
+            last_error = error
         time.sleep(0.02)
-    raise AssertionError(f"gave up waiting: {what} ({last})" if last else f"gave up waiting: {what}")
+    raise AssertionError(f"timed out waiting: {what} ({last_error})" if last_error else f"timed out waiting: {what}")
 
 
-def wait_until_serving(address, path, patience=GIVE_UP_SECONDS):
+def wait_until_serving(address, path, patience=DEFAULT_TIMEOUT_SECONDS):
     """Waits until `path` at `address` answers with status 200."""
     wait_until(lambda: ask(address, "GET", path, timeout=2)[0] == 200, f"{address}{path}", patience)
--- a/tests/system/sessions.py
+++ b/tests/system/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of a caller and of an operator, as texts that are the same in every run."""
+"""Scripted sessions of a caller and of an operator, rendered as text that is the same in every run."""
 
 import json
 import os
@@ -9,8 +9,8 @@
 from cluster import OPERATOR_TOKEN
 from processes import ask
 
-# What differs between runs, and what stands for it.
-VARYING = [
+# Patterns of values that differ between runs, and their placeholders.
+PLACEHOLDERS = [
     (r"c1![^\"\s]+![0-9a-f]{8}", "SESSION"),
     (r"t1\.proxy-\d+\.[0-9a-f]+", "TRANSACTION"),
     (r"proxy-\d+-[0-9a-f]{16}-\d+", "REQUEST"),
@@ -25,9 +25,9 @@
 ]
 
 
-def steady(text):
-    """`text` without what differs between runs."""
-    for pattern, name in VARYING:
+def normalize(text):
+    """Returns `text` with the values that differ between runs replaced by their placeholders."""
+    for pattern, name in PLACEHOLDERS:
         text = re.sub(pattern, name, text)
     return text
 
@@ -38,32 +38,32 @@
     def __init__(self):
         self.lines = []
 
-    def note(self, title, *parts):
+    def add_step(self, title, *parts):
         self.lines.append(f"== {title}")
-        self.lines.extend(steady(part) for part in parts if part)
+        self.lines.extend(normalize(part) for part in parts if part)
 
     def text(self):
         return "\n".join(self.lines) + "\n"
 
 
 def caller_session(cluster):
-    """A caller writes, reads elsewhere, repeats, asks, runs transactions and makes each sort of mistake."""
+    """Runs a caller's writes, reads through another proxy, repeated requests, outcome queries, transactions and each kind of error."""
     transcript = Transcript()
     caller = Caller(cluster, 0)
     key = "ledger-1/golden"
 
     def step(title, answer):
-        transcript.note(title, f"status {answer.status}", json.dumps(answer.body, sort_keys=True))
+        transcript.add_step(title, f"status {answer.status}", json.dumps(answer.body, sort_keys=True))
         return answer
 
     step("write", caller.write("append", key, {"item": "trade 1"}, requestId="trade-1"))
-    caller.roam(1)
+    caller.switch_proxy(1)
     step("read through another proxy", caller.read("get", key))
     step("the same request again", caller.write("append", key, {"item": "trade 1"}, requestId="trade-1"))
     step("its id with another body", caller.write("append", key, {"item": "trade 2"}, requestId="trade-1"))
     step("outcome of a request that ran", caller.outcome("trade-1", key))
-    step("outcome of a request that never came", caller.outcome("trade-9", key))
-    step("that request, late", caller.write("append", key, {"item": "trade 9"}, requestId="trade-9"))
+    step("outcome of a request that was never sent", caller.outcome("trade-9", key))
+    step("that request, sent after the query", caller.write("append", key, {"item": "trade 9"}, requestId="trade-9"))
     begun = step("begin", caller.begin(key))
     step("write in the transaction", caller.write("append", key, {"item": "trade 3"}, transaction=begun.transaction))
     step("another group's key in it", caller.write("append", "ledger-2/x", {"item": 1}, transaction=begun.transaction))
@@ -73,36 +73,36 @@
     step("a statement that the endpoint refuses", caller.write("fly", key))
     step("an accepted age on a write", caller.write("append", key, {"item": 1}, acceptedAgeMs=5))
     step("an unknown field", caller.read("get", key, colour="red"))
-    step("a window of nothing", caller.read("get", key, windowMs=0))
+    step("a window of zero", caller.read("get", key, windowMs=0))
     caller.session = "c1!ledger-1=1.1/1!00000000"
     step("a damaged session token", caller.read("get", key))
     caller.session = ""
     caller.service = "unheard"
     step("an unknown service", caller.read("get", key))
     for title, method, path, body in [
-        ("no JSON", "POST", "/v1/services/ledger/statements", "{"),
+        ("a body that is not JSON", "POST", "/v1/services/ledger/statements", "{"),
         ("another interface version", "POST", "/v9/services/ledger/statements", {}),
         ("no such path", "GET", "/v1/elsewhere", None),
     ]:
         status, answer = ask(cluster.proxies[0].callers, method, path, body)
-        transcript.note(title, f"status {status}", json.dumps(answer, sort_keys=True))
+        transcript.add_step(title, f"status {status}", json.dumps(answer, sort_keys=True))
     caller.close()
     return transcript.text()
 
 
 def operator_session(cluster, folder):
-    """An operator applies, reads, compares and deletes records, and makes each sort of mistake."""
+    """Runs an operator's commands: applies, reads, compares and deletes records, and causes each kind of error."""
     transcript = Transcript()
     program = os.path.join(cluster.build, "cardamomstep")
     environment = {**os.environ, "CARDAMOMSTEP_ADDRESS": cluster.proxies[0].operators, "CARDAMOMSTEP_TOKEN": OPERATOR_TOKEN}
 
-    def run(*arguments, stdin="", **more):
+    def run_command(*arguments, stdin="", **more):
         done = subprocess.run(
             [program, *arguments], input=stdin, capture_output=True, text=True, timeout=60, env={**environment, **more}
         )
         shown = " ".join(arguments).replace(folder + os.sep, "")
         output = [part.replace(folder + os.sep, "") for part in (done.stdout.rstrip(), done.stderr.rstrip())]
-        transcript.note(f"cardamomstep {shown}", output[0], output[1], f"exit {done.returncode}")
+        transcript.add_step(f"cardamomstep {shown}", output[0], output[1], f"exit {done.returncode}")
 
     def record(name, content):
         path = os.path.join(folder, name)
@@ -112,22 +112,22 @@
 
     spec = {"service": "archive", "groups": ["ledger-1", "ledger-2"]}
     intent = record("intent.json", {"kind": "RoutingIntent", "name": "archive", "schema": "v1", "spec": spec, "team": "north"})
-    run("apply", "-f", intent, "--dry-run")
-    run("apply", "-f", intent)
-    run("apply", "-f", intent)
-    run("get", "RoutingIntent", "archive", "-o", "json")
+    run_command("apply", "-f", intent, "--dry-run")
+    run_command("apply", "-f", intent)
+    run_command("apply", "-f", intent)
+    run_command("get", "RoutingIntent", "archive", "-o", "json")
     newer = {"service": "archive", "keys": {"groups": spec["groups"]}, "share": {"guaranteedPercent": 20}}
     changed = record("changed.json", {"kind": "RoutingIntent", "name": "archive", "schema": "v2", "spec": newer})
-    run("diff", "-f", changed)
-    run("apply", "-f", changed, "--expect", "1")
-    run("apply", "-f", record("bad.json", '{"kind": "RoutingIntent", "name": "b c", "schema": "v1",\n "spec": {"groups": []}}'))
-    run("get", "RoutingIntent", "unheard")
-    run("get", "Colour")
-    run("delete", "DatabaseGroup", "ledger-1")
-    run("delete", "RoutingIntent", "archive")
-    run("aply", "-f", intent)
-    run("apply", "--fil", intent)
-    run("get", "RoutingIntent", CARDAMOMSTEP_TOKEN="wrong-token-wrong-token")
-    run("get", "RoutingIntent", CARDAMOMSTEP_ADDRESS="127.0.0.1:1")
-    run("check-settings", record("settings.json", '{"instance": "p", "callers": {"listen": "nowhere"},\n "limits": {"threads": 0}}'))
+    run_command("diff", "-f", changed)
+    run_command("apply", "-f", changed, "--expect", "1")
+    run_command("apply", "-f", record("bad.json", '{"kind": "RoutingIntent", "name": "b c", "schema": "v1",\n "spec": {"groups": []}}'))
+    run_command("get", "RoutingIntent", "unheard")
+    run_command("get", "Colour")
+    run_command("delete", "DatabaseGroup", "ledger-1")
+    run_command("delete", "RoutingIntent", "archive")
+    run_command("aply", "-f", intent)
+    run_command("apply", "--fil", intent)
+    run_command("get", "RoutingIntent", CARDAMOMSTEP_TOKEN="wrong-token-wrong-token")
+    run_command("get", "RoutingIntent", CARDAMOMSTEP_ADDRESS="127.0.0.1:1")
+    run_command("check-settings", record("settings.json", '{"instance": "p", "callers": {"listen": "nowhere"},\n "limits": {"threads": 0}}'))
     return transcript.text()
--- a/tests/system/standins.py
+++ b/tests/system/standins.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and gives orders to them."""
+"""Starts stand-ins and controls them over HTTP."""
 
 import itertools
 import os
@@ -7,7 +7,7 @@
 
 
 class Standin:
-    """A process with a control address."""
+    """A stand-in process with a control address."""
 
     def __init__(self, build, role, address, folder, name, options):
         self.name = name
@@ -26,7 +26,7 @@
         self.process.kill()
 
     def faults(self, **changes):
-        """Merges fault orders."""
+        """Merges `changes` into the active faults; returns the reply."""
         status, answer = ask(self.control, "POST", "/control/faults", changes)
         assert status == 200, answer
         return answer
@@ -48,7 +48,7 @@
         return ask(self.address, "GET", "/v1/report")[1]
 
     def order(self, what, **body):
-        """Sends adopt, lead or follow; returns whether it was accepted."""
+        """Sends the order adopt, lead or follow; returns whether the member accepted it."""
         return ask(self.address, "POST", f"/v1/{what}", body)[1]["accepted"]
 
     def follow(self, term, primary):
@@ -73,7 +73,7 @@
 
 
 class Relay(Standin):
-    """A stand-in TCP relay; its control address is one of its own."""
+    """A stand-in TCP relay; its control address differs from the relayed address."""
 
     def __init__(self, build, address, control, target, folder, name):
         super().__init__(build, "relay", address, folder, name, ["--target", target, "--control", control])
@@ -81,7 +81,7 @@
 
 
 class DatabaseConnection:
-    """A database connection to a member, as a proxy holds it."""
+    """A database connection to a member, as a proxy opens it."""
 
     exchanges = itertools.count(1)
 
@@ -90,7 +90,7 @@
         self.status, _, _ = self.connection.ask("POST", "/v1/open", {"client": sender})
 
     def call(self, path, term, operation="", key="", arguments=None, **more):
-        """Sends one call and returns the reply."""
+        """Sends one call under a new exchange id and returns the reply."""
         body = {"exchange": f"x{next(self.exchanges)}", "term": term, "operation": operation, "key": key}
         body.update({"arguments": arguments or {}, **more})
         _, reply, _ = self.connection.ask("POST", f"/v1/{path}", body)
@@ -107,7 +107,7 @@
 
 
 def make_leader(leader, others, term):
-    """Lets `leader` lead at `term` and the others follow."""
+    """Makes `leader` the primary at `term` and the others its followers."""
     for member in [leader, *others]:
         assert member.order("adopt", term=term)
     assert leader.order("lead", term=term)
@@ -115,5 +115,5 @@
         assert member.follow(term, leader)
 
 
-def wait_for_mark(member, mark):
-    wait_until(lambda: member.report()["log"] == mark, f"{member.name} reaches {mark}")
+def wait_for_position(member, position):
+    wait_until(lambda: member.report()["log"] == position, f"{member.name} reaches {position}")
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -1,4 +1,4 @@
-"""Proves that the checker passes true histories and catches each planted fault."""
+"""Tests that the checker accepts correct histories and detects each kind of planted violation."""
 
 import random
 import sys
@@ -30,38 +30,38 @@
     return {violation.kind for violation in check_history(events, final)}
 
 
-def true_history(seed):
-    """A history of one correct store with several sessions, refusals and lost answers; returns (events, final rows)."""
-    draw = random.Random(seed)
+def correct_history(seed):
+    """Generates a correct history of several sessions with refusals and lost answers; returns (events, final rows)."""
+    rng = random.Random(seed)
     rows = {key: [] for key in ("a", "b", "c")}
     events = []
     for number in range(60):
-        session, key, start = f"s{draw.randrange(4)}", draw.choice("abc"), 2.0 * number
-        what = draw.choice(["append", "append", "read", "list", "transaction"])
-        ran = draw.choice(["yes", "yes", "yes", "no", "unknown"])
-        took_effect = ran == "yes" or (ran == "unknown" and draw.random() < 0.5)
-        if what == "read":
+        session, key, start = f"s{rng.randrange(4)}", rng.choice("abc"), 2.0 * number
+        operation = rng.choice(["append", "append", "read", "list", "transaction"])
+        ran = rng.choice(["yes", "yes", "yes", "no", "unknown"])
+        took_effect = ran == "yes" or (ran == "unknown" and rng.random() < 0.5)
+        if operation == "read":
             events.append(read(session, start, list(rows[key]), key))
             continue
-        if what == "list":
+        if operation == "list":
             seen = {name: list(items) for name, items in rows.items()}
             events.append(Event(session, "read", start, start + 1, ran="yes", key="", seen=seen))
             continue
         event = write(session, start, f"i{number}", key, ran)
-        if what == "transaction":
+        if operation == "transaction":
             event = transaction(session, start, f"t{number}", ["a", "b"], ran)
         events.append(event)
         if took_effect:
             for name, item in event.effects:
                 rows[name].append(item)
-        if ran == "unknown" and draw.random() < 0.5:
+        if ran == "unknown" and rng.random() < 0.5:
             events.append(outcome(session, start + 1, event.request_id, "yes" if took_effect else "no"))
     return events, rows
 
 
-def passes_true_histories():
+def accepts_correct_histories():
     for seed in SEEDS:
-        events, final = true_history(seed)
+        events, final = correct_history(seed)
         check_equal(check_history(events, final), [], f"violations at seed {seed}")
 
 
@@ -101,9 +101,9 @@
         check(checker.MIXED_TRANSACTION in found, f"partial transaction that ran {ran}")
 
 
-def catches_partial_view():
-    view = Event("other", "read", 2, 3, ran="yes", key="", seen={"a": ["t1/a"], "b": []})
-    events = [transaction("s", 0, "t1", ["a", "b"]), view]
+def catches_partial_read():
+    partial = Event("other", "read", 2, 3, ran="yes", key="", seen={"a": ["t1/a"], "b": []})
+    events = [transaction("s", 0, "t1", ["a", "b"]), partial]
     check_equal(kinds(events, {"a": ["t1/a"], "b": ["t1/b"]}), {checker.MIXED_TRANSACTION}, "violations")
 
 
@@ -111,11 +111,11 @@
     never_committed = transaction("s", 0, "t1", ["k"], "no")
     never_committed.sent = False
     events = [never_committed, read("other", 2, ["t1/k"], inside="t2")]
-    check_equal(kinds(events, {"k": []}), {checker.MIXED_TRANSACTION}, "seen inside another transaction")
+    check_equal(kinds(events, {"k": []}), {checker.MIXED_TRANSACTION}, "seen by a read in another transaction")
     events = [never_committed, read("other", 2, ["t1/k"])]
-    check(checker.MIXED_TRANSACTION in kinds(events, {"k": []}), "seen by a read on its own")
+    check(checker.MIXED_TRANSACTION in kinds(events, {"k": []}), "seen by a read outside a transaction")
     events = [never_committed, read("s", 2, ["t1/k"], inside="t1")]
-    check_equal(kinds(events, {"k": []}), set(), "seen inside itself")
+    check_equal(kinds(events, {"k": []}), set(), "seen by a read in the same transaction")
 
 
 def catches_false_not_run():
@@ -151,10 +151,10 @@
     check_equal(kinds([event], {}), {checker.WRONG_ANSWER}, "key")
 
 
-def catches_faults_planted_in_true_histories():
+def catches_violations_planted_in_correct_histories():
     planted = 0
     for seed in SEEDS:
-        events, final = true_history(seed)
+        events, final = correct_history(seed)
         acknowledged = [event for event in events if event.kind == "append" and event.ran == "yes"]
         if not acknowledged:
             continue
@@ -164,11 +164,11 @@
         doubled = {**final, key: [*final[key], item]}
         check(checker.DOUBLED_EFFECT in kinds(events, doubled), f"doubling at seed {seed}")
         planted += 1
-    check(planted > 0, "faults were planted")
+    check(planted > 0, "violations were planted")
 
 
 CASES = [
-    passes_true_histories,
+    accepts_correct_histories,
     catches_stale_own_read,
     allows_reads_of_other_sessions_and_earlier_reads,
     catches_stale_read_after_transaction,
@@ -176,14 +176,14 @@
     catches_lost_write_after_outcome,
     catches_doubled_effect,
     catches_partial_transaction,
-    catches_partial_view,
+    catches_partial_read,
     catches_foreign_statement_in_transaction,
     catches_false_not_run,
     catches_vanished_reads,
     catches_false_outcome,
     allows_a_resend_after_not_run,
     catches_wrong_answers,
-    catches_faults_planted_in_true_histories,
+    catches_violations_planted_in_correct_histories,
 ]
 
 if __name__ == "__main__":
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -1,4 +1,4 @@
-"""Operators' commands, records and their spread, with and without the store.
+"""Operators' commands, and records and their distribution to the proxies, with and without the store.
 
 Usage: test_control.py BUILD_FOLDER [SEED [CASE]...]
 """
@@ -27,14 +27,14 @@
 
 @contextlib.contextmanager
 def start(deployment=NORTESOFT):
-    """A cluster whose proxies have each accepted a change, and know as seeds each other's addresses."""
+    """Runs a cluster whose proxies have each accepted a change and have each other's addresses as seeds."""
     seeds = [
         {"name": f"proxy-{number + 1}", "failureDomain": deployment.domains[number], "address": f"127.0.0.1:{BASE + 30 + number}"}
         for number in range(PROXIES)
     ]
     with Cluster(BUILD, BASE, deployment, proxies=PROXIES, settings={"seeds": seeds}) as cluster:
         for proxy in cluster.proxies:
-            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows what all proxies read")
+            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the forms that each proxy reads")
             spec = {"service": f"warm-{proxy.name}", "groups": list(deployment.groups)}
             intent = {"kind": "RoutingIntent", "name": f"warm-{proxy.name}", "schema": "v1", "spec": spec}
             wait_until(lambda proxy=proxy, intent=intent: put(proxy, intent, who="warm")[0] == 200, f"{proxy.name} accepts")
@@ -42,12 +42,12 @@
 
 
 def knows_all_forms(proxy):
-    _, status = operate(proxy, "GET", "/v1/status")
+    _, status = operator_request(proxy, "GET", "/v1/status")
     return len(status["proxies"]) == PROXIES and all(known["forms"] for known in status["proxies"])
 
 
-def operate(proxy, method, path, body=None, token=OPERATOR_TOKEN, who="maire", **headers):
-    """One request on the operators' address; returns (status, JSON body)."""
+def operator_request(proxy, method, path, body=None, token=OPERATOR_TOKEN, who="maire", **headers):
+    """Sends one request to the operators' address; returns (status, JSON body)."""
     fields = {"authorization": f"Bearer {token}", "x-operator": who}
     fields.update({name.replace("_", "-"): str(value) for name, value in headers.items()})
     connection = Connection(proxy.operators)
@@ -59,30 +59,30 @@
 
 
 def get(proxy, kind, name):
-    return operate(proxy, "GET", f"/v1/records/{kind}/{name}")
+    return operator_request(proxy, "GET", f"/v1/records/{kind}/{name}")
 
 
 def put(proxy, record, **headers):
-    return operate(proxy, "PUT", f"/v1/records/{record['kind']}/{record['name']}", record, **headers)
+    return operator_request(proxy, "PUT", f"/v1/records/{record['kind']}/{record['name']}", record, **headers)
 
 
 def in_force(proxy, kind, name):
-    """The record that is in force at the proxy, from its own list; None when there is none."""
-    _, page = operate(proxy, "GET", f"/v1/records/{kind}")
+    """Returns the record that is in force at the proxy, from the proxy's own list; None when there is none."""
+    _, page = operator_request(proxy, "GET", f"/v1/records/{kind}")
     return next((item["record"] for item in page["records"] if item["record"]["name"] == name), None)
 
 
 def revision(proxy):
-    return operate(proxy, "GET", "/v1/status")[1]["revision"]
+    return operator_request(proxy, "GET", "/v1/status")[1]["revision"]
 
 
 def stored(cluster, kind, name):
-    """The object as the store holds it: (status, body)."""
+    """Returns the object in the store as (status, body)."""
     return ask(cluster.store.address, "GET", f"/v1/objects/{kind}/{name}")
 
 
 def run_command(cluster, proxy, *arguments, who="maire"):
-    """Runs a command of the program; returns (exit code, output, errors)."""
+    """Runs a command of the program; returns (exit code, standard output, standard error)."""
     program = os.path.join(cluster.build, "cardamomstep")
     access = ["--address", proxy.operators, "--token", OPERATOR_TOKEN, "--operator", who]
     done = subprocess.run([program, *arguments, *access], capture_output=True, text=True, timeout=60, check=False)
@@ -97,7 +97,7 @@
 
 
 def first_group(cluster, **changes):
-    """The v1 record of the first group with changed fields of its spec."""
+    """Returns the v1 record of the first group with `changes` applied to its spec."""
     record = cluster.records()[0]
     record["spec"].update(changes)
     return record
@@ -144,7 +144,7 @@
             winner = [result[0] for result in results].index(0)
             _, now = stored(cluster, "DatabaseGroup", cluster.deployment.groups[0])
             check_equal(now["value"]["spec"]["connections"], 20 + 2 * round_number + winner, "the winner's record")
-            check(str(now["version"]) in results[1 - winner][2], f"the loser is told {now['version']}: {results[1 - winner]}")
+            check(str(now["version"]) in results[1 - winner][2], f"the loser's error states version {now['version']}: {results[1 - winner]}")
 
 
 def lost_store_answer_is_no_failure():
@@ -156,9 +156,9 @@
             check_equal(code, 0, f"exit code: {output} {errors}")
             _, now = stored(cluster, "DatabaseGroup", cluster.deployment.groups[0])
             check_equal(now["value"]["spec"]["connections"], connections, "the stored record")
-            check(f"version {now['version']} " in output, f"told version {now['version']}: {output}")
+            check(f"version {now['version']} " in output, f"the output states version {now['version']}: {output}")
         cluster.store.faults(loseAnswers=0)
-        _, history = operate(cluster.proxies[0], "GET", "/v1/history?who=lost")
+        _, history = operator_request(cluster.proxies[0], "GET", "/v1/history?who=lost")
         versions = [entry["toVersion"] for entry in history["entries"]]
         check_equal((len(versions), len(set(versions))), (ROUNDS, ROUNDS), "each record was written once")
 
@@ -178,15 +178,15 @@
             victim.process.kill()
             caller = Caller(cluster, 2)
             key = f"{cluster.deployment.prefix(group)}control"
-            wait_until(lambda: caller.write("put", key, {"value": mode}).ok, "writes come back without the store")
+            wait_until(lambda: caller.write("put", key, {"value": mode}).ok, "writes succeed again without the store")
             check_equal(caller.read("get", key, windowMs=5000).value, mode, "the session's own write")
             victim.start()
             cluster.store.faults(outage="")
-            wait_until(lambda: put(cluster.proxies[0], first_group(cluster, connections=30))[0] == 200, "the store is back")
-            wait_until(lambda: len(cluster.replicas(group)) == 2, "the member is back")
+            wait_until(lambda: put(cluster.proxies[0], first_group(cluster, connections=30))[0] == 200, "the store accepts changes again")
+            wait_until(lambda: len(cluster.replicas(group)) == 2, "the member has rejoined")
             wait_in_force(cluster, group, 30)
             for proxy in cluster.proxies:
-                wait_until(lambda proxy=proxy: revision(proxy) >= answer["version"], f"{proxy.name} is complete again")
+                wait_until(lambda proxy=proxy: revision(proxy) >= answer["version"], f"{proxy.name} has all revisions again")
 
 
 def proxy_starts_without_the_store():
@@ -199,23 +199,23 @@
         cluster.store.faults(outage="silent")
         cluster.proxies[2].start()
         cluster.proxies[2].wait_until_ready()
-        check_equal(in_force(cluster.proxies[2], "DatabaseGroup", group)["spec"]["connections"], 23, "its record")
-        check_equal(write_all(cluster, 1, 2), [], "failed statements at the new proxy")
+        check_equal(in_force(cluster.proxies[2], "DatabaseGroup", group)["spec"]["connections"], 23, "record of the restarted proxy")
+        check_equal(write_all(cluster, 1, 2), [], "failed statements at the restarted proxy")
 
 
 def configuration_never_goes_back():
-    """A proxy is killed and starts again, the store answers late; neither brings back what was replaced or deleted."""
+    """A proxy that restarts while the store is slow or unavailable must not bring back replaced or deleted records."""
     with start() as cluster:
         group = cluster.deployment.groups[0]
         stopping = threading.Event()
-        faults = []
-        newest = {"connections": 16, "deleted": False}
+        regressions = []
+        expected_state = {"connections": 16, "deleted": False}
 
         def watch(proxy):
-            highest = 0
+            highest_seen = 0
             while not stopping.is_set():
                 try:
-                    floor, gone, ready = newest["connections"], newest["deleted"], proxy.is_ready()
+                    lowest_allowed, spare_deleted, ready = expected_state["connections"], expected_state["deleted"], proxy.is_ready()
                     seen = revision(proxy)
                     record = in_force(proxy, "DatabaseGroup", group)
                     spare = in_force(proxy, "DatabaseGroup", "spare")
@@ -223,11 +223,11 @@
                         continue
                 except (OSError, http.client.HTTPException, KeyError):
                     continue
-                if seen < highest:
-                    faults.append(f"{proxy.name}: revision {seen} after {highest}")
-                if record["spec"]["connections"] < floor or (gone and spare):
-                    faults.append(f"{proxy.name}: {record['spec']['connections']} after {floor}, spare {spare}")
-                highest = max(highest, seen)
+                if seen < highest_seen:
+                    regressions.append(f"{proxy.name}: revision {seen} after {highest_seen}")
+                if record["spec"]["connections"] < lowest_allowed or (spare_deleted and spare):
+                    regressions.append(f"{proxy.name}: {record['spec']['connections']} after {lowest_allowed}, spare {spare}")
+                highest_seen = max(highest_seen, seen)
 
         watchers = [threading.Thread(target=watch, args=(proxy,)) for proxy in cluster.proxies]
         spare = {**first_group(cluster), "name": "spare"}
@@ -239,11 +239,11 @@
             for connections in (17, 18, 19):
                 check_equal(put(cluster.proxies[0], first_group(cluster, connections=connections))[0], 200, "a newer record")
                 wait_in_force(cluster, group, connections)
-                newest["connections"] = connections
-            check_equal(operate(cluster.proxies[1], "DELETE", "/v1/records/DatabaseGroup/spare")[0], 200, "the deletion")
+                expected_state["connections"] = connections
+            check_equal(operator_request(cluster.proxies[1], "DELETE", "/v1/records/DatabaseGroup/spare")[0], 200, "the deletion")
             for proxy in cluster.proxies:
-                wait_until(lambda proxy=proxy: in_force(proxy, "DatabaseGroup", "spare") is None, f"{proxy.name} has it deleted")
-            newest["deleted"] = True
+                wait_until(lambda proxy=proxy: in_force(proxy, "DatabaseGroup", "spare") is None, f"{proxy.name} applied the deletion")
+            expected_state["deleted"] = True
             for mode in ("", "503"):
                 cluster.store.faults(slowMs=300, outage=mode)
                 victim = cluster.proxies[2]
@@ -256,7 +256,7 @@
             stopping.set()
             for watcher in watchers:
                 watcher.join()
-        check_equal(faults[:3], [], "steps back")
+        check_equal(regressions[:3], [], "regressions of the configuration")
 
 
 def both_schemas_and_unknown_fields():
@@ -290,12 +290,12 @@
         check_equal(write_all(cluster, 1), [], "failed statements with both schemas in force")
 
 
-def history_tells_who_changed_what():
+def history_records_who_changed_what():
     with start() as cluster:
         group = cluster.deployment.groups[0]
         status, answer = put(cluster.proxies[0], first_group(cluster, connections=27), who="ander")
         check_equal(status, 200, answer)
-        _, history = operate(cluster.proxies[1], "GET", f"/v1/history?kind=DatabaseGroup&name={group}")
+        _, history = operator_request(cluster.proxies[1], "GET", f"/v1/history?kind=DatabaseGroup&name={group}")
         entry = history["entries"][0]
         check_equal((entry["who"], entry["toVersion"]), ("ander", answer["version"]), "who and version")
         fields = [change["field"] for change in entry["changes"]]
@@ -303,17 +303,17 @@
         check_equal([entry["changes"][0][side] for side in ("before", "after")], [16, 27], "values")
         victim = cluster.primary(group)
         victim.process.kill()
-        wait_until(lambda: not write_all(cluster, 1), "writes come back")
+        wait_until(lambda: not write_all(cluster, 1), "writes succeed again")
         found = wait_until(lambda: promotion_entry(cluster, group, victim), "the promotion is in the history")
-        check(found["who"].startswith("system:proxy-"), f"by whom: {found}")
+        check(found["who"].startswith("system:proxy-"), f"author of the change: {found}")
         primary = cluster.primary(group).name
-        status = wait_until(lambda: group_status(cluster, group, primary), f"GroupStatus tells {primary}")
+        status = wait_until(lambda: group_status(cluster, group, primary), f"GroupStatus names {primary}")
         check(status["schema"] in ("v1", "v2"), status)
 
 
 def promotion_entry(cluster, group, previous):
-    """The entry of the promotion that replaced `previous`; None when there is none yet."""
-    _, history = operate(cluster.proxies[0], "GET", f"/v1/history?kind=GroupStatus&name={group}")
+    """Returns the history entry of the promotion that replaced `previous`; None when there is none yet."""
+    _, history = operator_request(cluster.proxies[0], "GET", f"/v1/history?kind=GroupStatus&name={group}")
     for entry in history["entries"]:
         fields = {change["field"]: change for change in entry["changes"]}
         if fields.get("spec.primary", {}).get("before") in (previous.name, f'"{previous.name}"'):
@@ -326,19 +326,19 @@
     return answer["record"] if status == 200 and primary in json.dumps(answer["record"]["spec"]) else None
 
 
-def refusals_write_nothing():
+def refused_changes_write_nothing():
     with start() as cluster:
         proxy = cluster.proxies[0]
         record = first_group(cluster, connections=28)
         path = f"/v1/records/DatabaseGroup/{record['name']}"
         before = stored(cluster, "DatabaseGroup", record["name"])
         wrong = [
-            ("unauthorized", operate(proxy, "PUT", path, record, token="wrong-token-of-the-tests")),
-            ("not-found", operate(proxy, "PUT", "/v1/records/Unheard/x", record)),
-            ("too-large", operate(proxy, "PUT", path, {**record, "spec": {"padding": "x" * (2 << 20)}})),
+            ("unauthorized", operator_request(proxy, "PUT", path, record, token="wrong-token-of-the-tests")),
+            ("not-found", operator_request(proxy, "PUT", "/v1/records/Unheard/x", record)),
+            ("too-large", operator_request(proxy, "PUT", path, {**record, "spec": {"padding": "x" * (2 << 20)}})),
             ("invalid-record", put(proxy, first_group(cluster, slots=-1))),
-            ("invalid-record", operate(proxy, "PUT", path, "{not json")),
-            ("malformed-request", operate(proxy, "PUT", "/v1/records/DatabaseGroup/other", record)),
+            ("invalid-record", operator_request(proxy, "PUT", path, "{not json")),
+            ("malformed-request", operator_request(proxy, "PUT", "/v1/records/DatabaseGroup/other", record)),
             ("unsupported-version", put(proxy, {**record, "schema": "v9"})),
         ]
         for expected, (status, answer) in wrong:
@@ -346,16 +346,16 @@
         check_equal(stored(cluster, "DatabaseGroup", record["name"]), before, "the stored record")
         for kind, name in (("Unheard", "x"), ("DatabaseGroup", "other")):
             check_equal(stored(cluster, kind, name)[0], 404, f"{kind}/{name} in the store")
-        _, history = operate(proxy, "GET", "/v1/history?who=maire")
+        _, history = operator_request(proxy, "GET", "/v1/history?who=maire")
         check_equal(history["entries"], [], "entries of refused changes")
 
 
-def proxy_that_starts_is_not_taken_for_an_old_release():
-    """A change while a proxy starts is accepted, or refused with a time to come back."""
+def starting_proxy_is_not_mistaken_for_an_old_release():
+    """A change while a proxy starts is accepted, or refused with a retry-after."""
     with Cluster(BUILD, BASE, NORTESOFT, proxies=PROXIES) as cluster:
         for connections in range(18, 18 + ROUNDS):
             status, answer = put(cluster.proxies[0], first_group(cluster, connections=connections))
-            check(status == 200 or "retryAfterMs" in answer, f"told as passing: {status} {answer}")
+            check(status == 200 or "retryAfterMs" in answer, f"accepted or refused as temporary: {status} {answer}")
 
 
 CASES = [
@@ -365,9 +365,9 @@
     proxy_starts_without_the_store,
     configuration_never_goes_back,
     both_schemas_and_unknown_fields,
-    history_tells_who_changed_what,
-    refusals_write_nothing,
-    proxy_that_starts_is_not_taken_for_an_old_release,
+    history_records_who_changed_what,
+    refused_changes_write_nothing,
+    starting_proxy_is_not_mistaken_for_an_old_release,
 ]
 
 if __name__ == "__main__":
--- a/tests/system/test_failover.py
+++ b/tests/system/test_failover.py
@@ -1,4 +1,4 @@
-"""Failovers one after the other under load: the first write after each kill is acknowledged within its window.
+"""Successive failovers under load: the first write after each kill of a primary is acknowledged within its window.
 
 Usage: test_failover.py BUILD_FOLDER [SEED [CASE]...]
 """
@@ -24,7 +24,7 @@
 
 
 class Writer(threading.Thread):
-    """Writes to one group without a pause, so that some write is in flight whenever a primary is killed."""
+    """Writes to one group continuously, so that some write is in flight whenever a primary is killed."""
 
     def __init__(self, cluster, group, number):
         super().__init__(daemon=True)
@@ -41,7 +41,7 @@
 
 
 def with_writers(cluster, group, action):
-    """Runs `action` while writers are busy; every one of their writes must be acknowledged."""
+    """Runs `action` while writers write to the group; each of their writes must be acknowledged. Returns the result of `action`."""
     writers = [Writer(cluster, group, number) for number in range(WRITERS)]
     for writer in writers:
         writer.start()
@@ -55,12 +55,12 @@
 
 
 def fail_over(cluster, number):
-    """Kills a primary and writes; returns the time until the write was acknowledged, in ms."""
+    """Kills a primary and sends a write; returns the time in ms until the write was acknowledged."""
     group = cluster.deployment.groups[number % len(cluster.deployment.groups)]
     primary = wait_until(lambda: cluster.primary(group), f"{group} has a primary")
     caller = Caller(cluster, number)
     key = f"{cluster.deployment.prefix(group)}gap"
-    wait_until(lambda: caller.write("put", key, {"value": number}).ok, f"{group} takes writes")
+    wait_until(lambda: caller.write("put", key, {"value": number}).ok, f"{group} accepts writes")
     return with_writers(cluster, group, lambda: kill_and_write(cluster, primary, caller, key, number))
 
 
@@ -73,11 +73,11 @@
     check_equal((answer.ran, answer.error), ("yes", None), f"first write after the kill of {primary.name}")
     primary.start()
     cluster.set_delays()
-    wait_until(lambda: primary.report()["adopted"] != "0.0", f"{primary.name} is back")
+    wait_until(lambda: primary.report()["adopted"] != "0.0", f"{primary.name} has adopted a term again")
     return gap
 
 
-def kills_in_turn(deployment):
+def successive_kills(deployment):
     with Cluster(BUILD, BASE, deployment, relays=True) as cluster:
         with Workload(cluster, SEED, sessions=4, client_ms=deployment.to_clients_ms) as workload:
             gaps = [fail_over(cluster, number) for number in range(FAILOVERS)]
@@ -85,15 +85,15 @@
         print(f"# {deployment.name}: gaps in ms {[round(gap) for gap in gaps]}", flush=True)
 
 
-def kills_in_turn_nortesoft():
-    kills_in_turn(NORTESOFT)
+def successive_kills_nortesoft():
+    successive_kills(NORTESOFT)
 
 
-def kills_in_turn_kaheksa():
-    kills_in_turn(KAHEKSA)
+def successive_kills_kaheksa():
+    successive_kills(KAHEKSA)
 
 
 if __name__ == "__main__":
     chosen = sys.argv[3:]
-    cases = [kills_in_turn_nortesoft, kills_in_turn_kaheksa]
+    cases = [successive_kills_nortesoft, successive_kills_kaheksa]
     sys.exit(run_cases([case for case in cases if not chosen or case.__name__ in chosen]))
--- a/tests/system/test_golden.py
+++ b/tests/system/test_golden.py
@@ -1,6 +1,6 @@
 """Whole sessions compared with their golden files in tests/system/golden.
 
-Usage: test_golden.py BUILD_FOLDER; with --update it writes the files anew and shows the differences (scripts/golden).
+Usage: test_golden.py BUILD_FOLDER; with --update it rewrites the files and prints the differences (scripts/golden).
 """
 
 import difflib
@@ -17,15 +17,15 @@
 BUILD = sys.argv[1] if len(sys.argv) > 1 else "build"
 UPDATE = "--update" in sys.argv[2:]
 BASE = 27000
-# Waiting leaves the proxies their store calls for the session itself.
+# Leaves the proxies enough of their store call budget for the session itself.
 PAUSE_SECONDS = 1
 GOLDEN = os.path.join(os.path.dirname(os.path.abspath(__file__)), "golden")
 
 
 def compare(name, text):
     path = os.path.join(GOLDEN, name)
-    stated = open(path).read() if os.path.exists(path) else ""
-    lines = difflib.unified_diff(stated.splitlines(), text.splitlines(), f"golden/{name}", "now", lineterm="")
+    expected = open(path).read() if os.path.exists(path) else ""
+    lines = difflib.unified_diff(expected.splitlines(), text.splitlines(), f"golden/{name}", "now", lineterm="")
     difference = "\n".join(lines)
     if UPDATE:
         print(difference)
@@ -46,15 +46,15 @@
 
 def operator():
     def session(cluster):
-        wait_until(lambda: takes_changes(cluster), "the proxies take changes")
+        wait_until(lambda: accept_changes(cluster), "the proxies accept changes")
         time.sleep(PAUSE_SECONDS)
         return operator_session(cluster, cluster.folder)
 
     compare("operator.txt", with_cluster(session))
 
 
-def takes_changes(cluster):
-    """True once each proxy accepts changes."""
+def accept_changes(cluster):
+    """Returns true once each proxy has accepted a change and a deletion."""
     spec = {"service": "probe", "groups": ["ledger-1"]}
     record = {"kind": "RoutingIntent", "name": "probe", "schema": "v1", "spec": spec}
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
--- a/tests/system/test_history.py
+++ b/tests/system/test_history.py
@@ -1,4 +1,4 @@
-"""Whole histories of many sessions under faults, judged by the checker.
+"""Histories of many sessions under faults, verified by the checker.
 
 Usage: test_history.py BUILD_FOLDER [SEED [CASE]...]
 """
@@ -20,13 +20,13 @@
 
 
 def run_with(deployment, *faults):
-    """Runs a workload during which the faults happen one after the other, and judges it."""
+    """Runs a workload, injects the faults one after the other, and verifies the history."""
     with Cluster(BUILD, BASE, deployment, relays=True) as cluster:
-        draw = random.Random(SEED)
+        rng = random.Random(SEED)
         with Workload(cluster, SEED, client_ms=deployment.to_clients_ms) as workload:
             for fault in faults:
                 time.sleep(CALM_SECONDS)
-                fault(cluster, workload, draw)
+                fault(cluster, workload, rng)
             time.sleep(CALM_SECONDS)
         workload.verify()
         mixed = sum(member.state()["mixedStatements"] for member in cluster.all_members())
@@ -38,49 +38,49 @@
     return ", ".join(f"{name} {count}" for name, count in sorted(workload.answers().items()))
 
 
-# Faults: each one begins, lasts and ends
+# Faults: each one starts, lasts FAULT_SECONDS and ends
 
 
-def any_group(cluster, draw):
-    return draw.choice(list(cluster.members))
+def any_group(cluster, rng):
+    return rng.choice(list(cluster.members))
 
 
-def kill_primary(cluster, workload, draw):
-    victim = cluster.primary(any_group(cluster, draw))
+def kill_primary(cluster, workload, rng):
+    victim = cluster.primary(any_group(cluster, rng))
     victim.process.kill()
     time.sleep(FAULT_SECONDS)
     victim.start()
     cluster.set_delays()
 
 
-def kill_replica(cluster, workload, draw):
-    victim = draw.choice(cluster.replicas(any_group(cluster, draw)))
+def kill_replica(cluster, workload, rng):
+    victim = rng.choice(cluster.replicas(any_group(cluster, rng)))
     victim.process.kill()
     time.sleep(FAULT_SECONDS)
     victim.start()
     cluster.set_delays()
 
 
-def pause_primary(cluster, workload, draw):
-    victim = cluster.primary(any_group(cluster, draw))
+def pause_primary(cluster, workload, rng):
+    victim = cluster.primary(any_group(cluster, rng))
     victim.process.pause()
     time.sleep(FAULT_SECONDS)
     victim.process.resume()
 
 
-def cut_off_primary(cluster, workload, draw):
-    """The primary keeps the proxies of its own failure domain, but loses its replicas and all other proxies."""
-    group = any_group(cluster, draw)
+def cut_off_primary(cluster, workload, rng):
+    """Cuts the primary off from its replicas and from all proxies except those of its own failure domain."""
+    group = any_group(cluster, rng)
     victim = cluster.primary(group)
-    lost = [proxy.name for proxy in cluster.proxies if proxy.domain != victim.domain]
-    lost += [member.name for member in cluster.replicas(group)]
-    victim.faults(cut=lost, cutSilently=True)
+    unreachable = [proxy.name for proxy in cluster.proxies if proxy.domain != victim.domain]
+    unreachable += [member.name for member in cluster.replicas(group)]
+    victim.faults(cut=unreachable, cutSilently=True)
     time.sleep(FAULT_SECONDS)
     victim.faults(cut=[], cutSilently=False)
 
 
-def hold_back_replicas(cluster, workload, draw):
-    replicas = cluster.replicas(any_group(cluster, draw))
+def lag_and_stall_replicas(cluster, workload, rng):
+    replicas = cluster.replicas(any_group(cluster, rng))
     replicas[0].faults(lagMs=300)
     replicas[1].faults(stuck=True)
     time.sleep(FAULT_SECONDS)
@@ -88,19 +88,19 @@
     replicas[1].faults(stuck=False)
 
 
-def silence_connections(cluster, workload, draw):
+def silence_connections(cluster, workload, rng):
     for member in cluster.all_members():
         member.faults(silentOpen=True)
     time.sleep(FAULT_SECONDS)
 
 
-def silence_peers(cluster, workload, draw):
+def silence_peers(cluster, workload, rng):
     for relay in cluster.relays.values():
         relay.faults(silentOpen=True)
     time.sleep(FAULT_SECONDS)
 
 
-def cut_peers(cluster, workload, draw):
+def cut_peers(cluster, workload, rng):
     for relay in cluster.relays.values():
         relay.faults(cut=True)
     time.sleep(FAULT_SECONDS)
@@ -108,20 +108,20 @@
         relay.faults(cut=False)
 
 
-def damage_answers(cluster, workload, draw):
+def damage_answers(cluster, workload, rng):
     for member in cluster.all_members():
         member.faults(loseAnswers=3, truncateAnswers=2, swapAnswers=2, duplicateAnswers=2, dropRows=2)
     time.sleep(FAULT_SECONDS)
 
 
-def store_outage(cluster, workload, draw):
-    cluster.store.faults(outage=draw.choice(["503", "silent"]))
-    kill_primary(cluster, workload, draw)
+def store_outage(cluster, workload, rng):
+    cluster.store.faults(outage=rng.choice(["503", "silent"]))
+    kill_primary(cluster, workload, rng)
     cluster.store.faults(outage="")
 
 
-def kill_proxy(cluster, workload, draw):
-    number = draw.randrange(len(cluster.proxies))
+def kill_proxy(cluster, workload, rng):
+    number = rng.randrange(len(cluster.proxies))
     victim = cluster.proxies[number]
     victim.process.kill()
     time.sleep(FAULT_SECONDS)
@@ -129,8 +129,8 @@
     victim.wait_until_ready()
 
 
-def pause_proxy(cluster, workload, draw):
-    victim = draw.choice(cluster.proxies)
+def pause_proxy(cluster, workload, rng):
+    victim = rng.choice(cluster.proxies)
     victim.process.pause()
     time.sleep(FAULT_SECONDS)
     victim.process.resume()
@@ -141,7 +141,7 @@
     kill_replica,
     pause_primary,
     cut_off_primary,
-    hold_back_replicas,
+    lag_and_stall_replicas,
     silence_connections,
     silence_peers,
     cut_peers,
@@ -168,8 +168,8 @@
 
 
 def faults_in_random_order():
-    draw = random.Random(SEED)
-    run_with(KAHEKSA, *draw.sample(ALL_FAULTS, len(ALL_FAULTS)))
+    rng = random.Random(SEED)
+    run_with(KAHEKSA, *rng.sample(ALL_FAULTS, len(ALL_FAULTS)))
 
 
 CASES = [no_fault, *[case_of(fault) for fault in ALL_FAULTS], faults_in_random_order]
--- a/tests/system/test_promises.py
+++ b/tests/system/test_promises.py
@@ -1,4 +1,4 @@
-"""Single promises, each under the failure that threatens it, on one whole deployment."""
+"""Single guarantees, each tested on a whole deployment under the failure that could break it."""
 
 import contextlib
 import dataclasses
@@ -16,11 +16,11 @@
 BASE = 24000
 GROUP = KAHEKSA.groups[0]
 KEY = f"{GROUP}/h/0"
-SECONDS_OF_READS = 1.0
+READ_SECONDS = 1.0
 UNCONFIRMED_WINDOW_MS = 3000
-# One for each owner of a group.
-SCARCE_CONNECTIONS = 3
-PATIENT_WINDOW_MS = 5000
+# One connection for each owner of a group.
+ONE_CONNECTION_PER_OWNER = 3
+LONG_WINDOW_MS = 5000
 SHORT_WINDOW_MS = 1000
 
 
@@ -29,8 +29,8 @@
 
 
 @contextlib.contextmanager
-def replication_held(cluster):
-    """No replica of the group takes an entry."""
+def replication_stopped(cluster):
+    """Stops replication to all replicas of the group during the block."""
     replicas = cluster.replicas(GROUP)
     for replica in replicas:
         replica.faults(stuck=True)
@@ -40,7 +40,7 @@
 
 
 def final_items(cluster):
-    wait_until(lambda: cluster.probe(GROUP), "the group takes writes")
+    wait_until(lambda: cluster.probe(GROUP), "the group accepts writes")
     return cluster.final_rows(GROUP).get(KEY, [])
 
 
@@ -50,10 +50,10 @@
             replica.faults(lagMs=100)
         caller = Caller(cluster)
         for number in range(len(cluster.proxies)):
-            caller.roam(number)
+            caller.switch_proxy(number)
             item = f"i{number}"
             check(caller.write("append", KEY, {"item": item}, requestId=item).ok, f"write of {item}")
-            caller.roam(number + 1)
+            caller.switch_proxy(number + 1)
             answer = caller.read("get", KEY)
             check(answer.ok and item in answer.value, f"read of {item} through another proxy: {answer}")
 
@@ -64,13 +64,13 @@
         caller = Caller(cluster)
         first = caller.write("append", KEY, {"item": "i1"}, requestId="i1")
         check(first.ran in ("yes", "unknown"), f"answer: {first}")
-        caller.roam(1)
-        again = wait_until(lambda: sent_again(caller), "the request is answered when sent again")
+        caller.switch_proxy(1)
+        again = wait_until(lambda: send_again(caller), "the request is answered when sent again")
         check_equal(again.body["requestId"], "i1", "request id")
         check_equal(final_items(cluster), ["i1"], "items")
 
 
-def sent_again(caller):
+def send_again(caller):
     answer = caller.write("append", KEY, {"item": "i1"}, requestId="i1")
     return answer if answer.ok else None
 
@@ -79,7 +79,7 @@
     with deployment() as cluster:
         caller = Caller(cluster)
         check(caller.write("append", KEY, {"item": "i1"}, requestId="r").ok, "first write")
-        caller.roam(1)
+        caller.switch_proxy(1)
         other = caller.write("append", KEY, {"item": "i2"}, requestId="r")
         check_equal((other.status, other.error, other.ran), (409, "request-id-reused", "no"), "other body")
         check_equal(final_items(cluster), ["i1"], "items")
@@ -100,10 +100,10 @@
         check(writer.write("append", KEY, {"item": "i0"}, requestId="i0").ok, "first write")
         primary = cluster.primary(GROUP)
         seen = set()
-        with replication_held(cluster):
+        with replication_stopped(cluster):
             writing = threading.Thread(target=writer.write, args=("append", KEY, {"item": "i1"}), kwargs={"requestId": "i1", "windowMs": 300})
             writing.start()
-            end = time.monotonic() + SECONDS_OF_READS
+            end = time.monotonic() + READ_SECONDS
             while time.monotonic() < end:
                 answer = reader.read("get", KEY, windowMs=200)
                 seen.update(answer.value or [] if answer.ok else [])
@@ -119,7 +119,7 @@
         check(caller.write("append", KEY, {"item": "i0"}, requestId="i0").ok, "first write")
         primary = cluster.primary(GROUP)
         answers = []
-        with replication_held(cluster) as replicas:
+        with replication_stopped(cluster) as replicas:
             more = {"requestId": "i1", "windowMs": UNCONFIRMED_WINDOW_MS}
             writing = threading.Thread(target=lambda: answers.append(caller.write("append", KEY, {"item": "i1"}, **more)))
             writing.start()
@@ -132,18 +132,18 @@
         writing.join()
         items = final_items(cluster)
         check(answers[0].ran != "yes" or "i1" in items, f"acknowledged, but missing at the end: {answers[0]}")
-        check(answers[0].ran != "no" or "i1" not in items, f"said not to have run, but there: {answers[0]}")
+        check(answers[0].ran != "no" or "i1" not in items, f"reported as not run, but present: {answers[0]}")
 
 
 @contextlib.contextmanager
 def transaction_and_waiting_write():
-    """A transaction that holds its owner's only connection to the primary, and a write that waits for it."""
-    with Cluster(BUILD, BASE, dataclasses.replace(KAHEKSA, connections=SCARCE_CONNECTIONS)) as cluster:
+    """Opens a transaction on its owner's only connection to the primary, and sends a write that waits for that connection."""
+    with Cluster(BUILD, BASE, dataclasses.replace(KAHEKSA, connections=ONE_CONNECTION_PER_OWNER)) as cluster:
         caller, other = Caller(cluster), Caller(cluster)
-        begun = caller.begin(KEY, windowMs=PATIENT_WINDOW_MS)
+        begun = caller.begin(KEY, windowMs=LONG_WINDOW_MS)
         check(begun.ok, f"begin: {begun}")
         answers = []
-        more = {"requestId": "waiting", "windowMs": PATIENT_WINDOW_MS}
+        more = {"requestId": "waiting", "windowMs": LONG_WINDOW_MS}
         writing = threading.Thread(target=lambda: answers.append(other.write("append", f"{GROUP}/h/1", {"item": "waiting"}, **more)))
         writing.start()
         time.sleep(0.3)
@@ -155,7 +155,7 @@
 def transaction_goes_on_while_a_write_waits_for_its_connection():
     with transaction_and_waiting_write() as (caller, transaction):
         inside = caller.write("append", KEY, {"item": "i1"}, transaction=transaction, windowMs=SHORT_WINDOW_MS)
-        check(inside.ok, f"statement inside: {inside}")
+        check(inside.ok, f"statement in the transaction: {inside}")
         check(caller.commit(transaction, "c1", windowMs=SHORT_WINDOW_MS).ok, "commit")
 
 
--- a/tests/system/test_standins.py
+++ b/tests/system/test_standins.py
@@ -1,4 +1,4 @@
-"""Proves that the stand-ins keep the rules of docs/design/member.md and docs/design/store-interface.md."""
+"""Tests that the stand-ins follow docs/design/member.md and docs/design/store-interface.md."""
 
 import contextlib
 import http.client
@@ -7,12 +7,12 @@
 import threading
 
 from processes import Connection, ask, wait_until
-from standins import DatabaseConnection, Member, Relay, Store, make_leader, wait_for_mark
+from standins import DatabaseConnection, Member, Relay, Store, make_leader, wait_for_position
 from verdicts import check, check_equal, run_cases
 
 BUILD = sys.argv[1] if len(sys.argv) > 1 else "build"
 BASE = 21000
-LOST = (OSError, http.client.HTTPException)
+CONNECTION_ERRORS = (OSError, http.client.HTTPException)
 
 
 def address(number):
@@ -21,7 +21,7 @@
 
 @contextlib.contextmanager
 def group(**options):
-    """Three members that run."""
+    """Runs three members."""
     with tempfile.TemporaryDirectory() as folder:
         members = [Member(BUILD, address(n), folder, f"group-{n}", f"domain-{n}", **options) for n in (1, 2, 3)]
         try:
@@ -54,21 +54,21 @@
         for count in range(20):
             connection.write("1.a", "append", "list", {"item": count}, f"r{count}")
         for member in (a, b, c):
-            wait_for_mark(member, "1.a/21")
+            wait_for_position(member, "1.a/21")
             check_equal(member.rows(), {"list": list(range(20))}, member.name)
 
 
-def lag_and_stuck_hold_replicas_back():
+def lagging_and_stuck_replicas_fall_behind():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
-        wait_for_mark(b, "1.a/1")
-        wait_for_mark(c, "1.a/1")
+        wait_for_position(b, "1.a/1")
+        wait_for_position(c, "1.a/1")
         b.faults(stuck=True)
         DatabaseConnection(a).write("1.a", "put", "k", {"value": 1}, "r1")
-        wait_for_mark(c, "1.a/2")
+        wait_for_position(c, "1.a/2")
         check_equal(b.report()["log"], "1.a/1", "stuck replica")
         b.faults(stuck=False)
-        wait_for_mark(b, "1.a/2")
+        wait_for_position(b, "1.a/2")
 
 
 def refuses_lower_terms():
@@ -91,7 +91,7 @@
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         check(b.order("adopt", term="2.b"), "adopt at b")
-        wait_until(lambda: a.report()["adopted"] == "2.b", "a hears of the term from b's pull")
+        wait_until(lambda: a.report()["adopted"] == "2.b", "a learns the term from b's pull")
         check_equal(a.report()["role"], "replica", "role of a")
 
 
@@ -105,30 +105,30 @@
         check_equal((second["rows"], second["mark"]), (first["rows"], first["mark"]), "stored result")
         check_equal(connection.write("1.a", "add", "n", {"by": 6}, "r1", "8")["refusal"], "request-id-reused", "other body")
         check_equal(a.rows(), {"n": 5}, "rows")
-        wait_for_mark(b, "1.a/2")
+        wait_for_position(b, "1.a/2")
         make_leader(b, [a, c], "2.b")
-        check(DatabaseConnection(b).write("2.b", "add", "n", {"by": 5}, "r1", "7")["repeated"], "known after a promotion")
+        check(DatabaseConnection(b).write("2.b", "add", "n", {"by": 5}, "r1", "7")["repeated"], "request id known after a promotion")
         outcome = b.outcome("r1")
         check_equal((outcome["found"], outcome["fingerprint"], outcome["mark"]), (True, "7", "1.a/2"), "outcome")
         check(not b.outcome("r2")["found"], "outcome of an unknown id")
 
 
-def none_closes_a_request_id():
+def operation_none_closes_a_request_id():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         connection = DatabaseConnection(a)
         check_equal(connection.write("1.a", "none", "k", {}, "r1", "9")["mark"], "1.a/2", "entry without effect")
-        check_equal(connection.write("1.a", "put", "k", {"value": 1}, "r1", "7")["refusal"], "request-id-reused", "late write")
+        check_equal(connection.write("1.a", "put", "k", {"value": 1}, "r1", "7")["refusal"], "request-id-reused", "write after the id was closed")
         check_equal(a.rows(), {}, "rows")
 
 
-def forked_tail_is_dropped():
+def diverged_tail_is_dropped():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         connection = DatabaseConnection(a)
         connection.write("1.a", "put", "kept", {"value": 1}, "r1")
-        wait_for_mark(b, "1.a/2")
-        wait_for_mark(c, "1.a/2")
+        wait_for_position(b, "1.a/2")
+        wait_for_position(c, "1.a/2")
         for member in (b, c):
             member.faults(cut=[a.name])
         for count in range(5):
@@ -141,7 +141,7 @@
         for member in (b, c):
             member.faults(cut=[])
         check(a.follow("2.b", b), "a follows")
-        wait_for_mark(a, "2.b/4")
+        wait_for_position(a, "2.b/4")
         check_equal(a.rows(), {"kept": 1, "new": 2}, "rows of a")
         check(not a.outcome("lost-0")["found"], "request id of a dropped entry")
 
@@ -154,15 +154,15 @@
         connection.write("1.a", "put", "x", {"value": 1}, transaction=transaction)
         connection.write("1.a", "add", "y", {"by": 2}, transaction=transaction)
         seen = connection.read("x", transaction=transaction)
-        check_equal(seen["rows"], [{"key": "x", "value": 1}], "own write inside")
+        check_equal(seen["rows"], [{"key": "x", "value": 1}], "own write in the transaction")
         other = DatabaseConnection(a)
-        check_equal(other.read("x")["rows"], [], "seen outside before the commit")
+        check_equal(other.read("x")["rows"], [], "rows seen outside before the commit")
         check_equal(other.read("x", transaction=transaction)["refusal"], "transaction-unknown", "another connection")
         check_equal(connection.read("x")["refusal"], "transaction-unknown", "statement outside on the same connection")
         committed = connection.call("commit", "1.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
         check_equal(committed["mark"], "1.a/2", "mark of the commit")
         again = other.call("commit", "1.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
-        check(again["repeated"], "commit asked again")
+        check(again["repeated"], "commit sent again")
         check_equal(a.rows(), {"x": 1, "y": 2}, "rows")
 
 
@@ -177,8 +177,8 @@
         connection = DatabaseConnection(a)
         transaction = connection.call("begin", "1.a", needsPrimary=True)["transaction"]
         check(a.order("adopt", term="2.a") and a.order("lead", term="2.a"), "new term")
-        late = connection.call("commit", "2.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
-        check_equal(late["refusal"], "transaction-unknown", "commit after a new term")
+        refused = connection.call("commit", "2.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
+        check_equal(refused["refusal"], "transaction-unknown", "commit after a new term")
         check_equal(a.rows(), {}, "rows")
 
 
@@ -190,8 +190,8 @@
         connection.read("n", transaction=transaction)
         connection.write("1.a", "put", "n", {"value": 1}, transaction=transaction)
         DatabaseConnection(a).write("1.a", "put", "n", {"value": 2}, "r1")
-        late = connection.call("commit", "1.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
-        check_equal(late["refusal"], "statement-failed", "commit")
+        refused = connection.call("commit", "1.a", write=True, transaction=transaction, requestId="t1", fingerprint="3")
+        check_equal(refused["refusal"], "statement-failed", "commit")
         check_equal(a.rows(), {"n": 2}, "rows")
 
 
@@ -202,7 +202,7 @@
         first.close()
         wait_until(lambda: a.state()["connections"] == 1, "release")
         check_equal(DatabaseConnection(a).status, 200, "open after a release")
-        check_equal(a.state()["mostConnections"], 2, "most connections")
+        check_equal(a.state()["mostConnections"], 2, "highest number of connections")
 
 
 def slots_are_limited():
@@ -215,8 +215,8 @@
         for thread in threads:
             thread.join()
         state = a.state()
-        check_equal(state["mostSlots"], 2, "most slots")
-        check(state["mostWaitingForSlots"] > 0, "waiting was counted")
+        check_equal(state["mostSlots"], 2, "highest number of slots in use")
+        check(state["mostWaitingForSlots"] > 0, "waiting statements were counted")
 
 
 def silent_connections_stay_silent():
@@ -232,20 +232,20 @@
         check_equal(DatabaseConnection(a).read("k")["rowCount"], 0, "read on a new connection")
 
 
-def answers_are_damaged_on_order():
+def answer_faults_are_injected():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         a.faults(loseAnswers=1)
         try:
             DatabaseConnection(a).write("1.a", "put", "k", {"value": [1]}, "r1")
             check(False, "an answer that should be lost")
-        except LOST:
+        except CONNECTION_ERRORS:
             check_equal(a.rows(), {"k": [1]}, "the lost change took effect")
         a.faults(truncateAnswers=1)
         try:
             DatabaseConnection(a).read("k")
             check(False, "a whole answer that should be truncated")
-        except LOST:
+        except CONNECTION_ERRORS:
             pass
         a.faults(swapAnswers=1)
         check(DatabaseConnection(a).read("k")["exchange"].startswith("another-"), "swapped exchange")
@@ -262,7 +262,7 @@
         try:
             ask(a.address, "GET", "/v1/report", sender="proxy-1/domain-1")
             check(False, "an answer to a cut instance")
-        except LOST:
+        except CONNECTION_ERRORS:
             pass
         check_equal(ask(a.address, "GET", "/v1/report", sender="proxy-2/domain-1")[0], 200, "another instance")
         a.faults(freeze=True)
@@ -279,17 +279,17 @@
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         DatabaseConnection(a).write("1.a", "add", "n", {"by": 5}, "r1", "7")
-        wait_for_mark(b, "1.a/2")
+        wait_for_position(b, "1.a/2")
         a.process.kill()
         a.start()
         check_equal(a.report(), {"member": a.name, "role": "replica", "adopted": "1.a", "log": "1.a/2", "leaving": False}, "report")
         check(a.outcome("r1")["found"], "request id")
         check_equal(a.rows(), {"n": 5}, "rows")
         make_leader(a, [b, c], "2.a")
-        wait_for_mark(b, "2.a/3")
+        wait_for_position(b, "2.a/3")
 
 
-def report_waits_for_a_difference():
+def report_waits_for_a_change():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         seen = {}
@@ -323,7 +323,7 @@
         check_equal(ask(address(10), "PUT", "/v1/objects/Thing/big", '"' + "x" * (1 << 20) + '"')[0], 413, "large value")
 
 
-def store_watch_waits_and_forgets():
+def store_watch_waits_and_drops_history():
     with store() as _:
         seen = {}
 
@@ -349,7 +349,7 @@
         try:
             put_object("a", {"n": 1}, 0)
             check(False, "an answer that should be lost")
-        except LOST:
+        except CONNECTION_ERRORS:
             check_equal(put_object("a", {"n": 1}, 0), (412, 1), "the lost change took effect")
         running.faults(outage="503")
         check_equal(ask(address(10), "GET", "/v1/objects")[0], 503, "refusing outage")
@@ -377,7 +377,7 @@
         running.set_instances([{"name": "p1", "domain": "d", "address": "127.0.0.1:1", "state": "live"}])
         running.faults(lagMs=600000)
         running.set_instances([])
-        check_equal(len(ask(address(10), "GET", "/v1/instances")[1]["instances"]), 1, "old list")
+        check_equal(len(ask(address(10), "GET", "/v1/instances")[1]["instances"]), 1, "length of the outdated list")
 
 
 def relay_forwards_cuts_and_silences():
@@ -399,7 +399,7 @@
             try:
                 ask(relay.address, "GET", "/v1/objects")
                 check(False, "an answer through a cut relay")
-            except LOST:
+            except CONNECTION_ERRORS:
                 pass
             relay.faults(cut=False)
             check_equal(ask(relay.address, "GET", "/v1/objects")[0], 200, "after the cut")
@@ -409,24 +409,24 @@
 
 CASES = [
     replicates_to_followers,
-    lag_and_stuck_hold_replicas_back,
+    lagging_and_stuck_replicas_fall_behind,
     refuses_lower_terms,
     pull_of_higher_term_ends_leadership,
     request_id_runs_once,
-    none_closes_a_request_id,
-    forked_tail_is_dropped,
+    operation_none_closes_a_request_id,
+    diverged_tail_is_dropped,
     transaction_is_one_entry,
     transaction_ends_with_connection_and_term,
     conflicting_commit_is_refused,
     connections_are_limited,
     slots_are_limited,
     silent_connections_stay_silent,
-    answers_are_damaged_on_order,
+    answer_faults_are_injected,
     cut_and_freeze,
     state_survives_a_kill,
-    report_waits_for_a_difference,
+    report_waits_for_a_change,
     store_updates_on_condition,
-    store_watch_waits_and_forgets,
+    store_watch_waits_and_drops_history,
     store_loses_answers_and_has_outages,
     store_limits_rates_and_counts,
     instance_list_lags,
--- a/tests/system/test_stops.py
+++ b/tests/system/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops of endpoints and proxies, which lose nothing.
+"""Planned stops of endpoints and proxies under load: no request fails and no acknowledged write is lost.
 
 Usage: test_stops.py BUILD_FOLDER [SEED [CASE]...]
 """
@@ -28,19 +28,19 @@
 
 @contextlib.contextmanager
 def start(deployment=NORTESOFT):
-    """A cluster whose proxies know each other's readable forms, and as seeds each other's addresses."""
+    """Runs a cluster whose proxies know the forms that each of them reads and have each other's addresses as seeds."""
     seeds = [
         {"name": f"proxy-{number + 1}", "failureDomain": deployment.domains[number], "address": f"127.0.0.1:{BASE + 30 + number}"}
         for number in range(PROXIES)
     ]
     with Cluster(BUILD, BASE, deployment, proxies=PROXIES, settings={"seeds": seeds}) as cluster:
         for proxy in cluster.proxies:
-            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows what all proxies read")
+            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the forms that each proxy reads")
         yield cluster
 
 
-def operate(proxy, method, path, body=None):
-    """One request on the operators' address; returns (status, JSON body)."""
+def operator_request(proxy, method, path, body=None):
+    """Sends one request to the operators' address; returns (status, JSON body)."""
     connection = Connection(proxy.operators)
     try:
         status, answer, _ = connection.ask(method, path, body, {"authorization": f"Bearer {OPERATOR_TOKEN}", "x-operator": "maire"})
@@ -50,24 +50,24 @@
 
 
 def knows_all_forms(proxy):
-    _, status = operate(proxy, "GET", "/v1/status")
+    _, status = operator_request(proxy, "GET", "/v1/status")
     return len(status["proxies"]) == PROXIES and all(known["forms"] for known in status["proxies"])
 
 
 def put_plan(cluster, name, group, member):
-    """Asks for a stop plan; goes on asking while the proxy says that it should come back."""
+    """Submits a stop plan and repeats it while the proxy answers with a retry-after; returns (status, JSON body)."""
     spec = {"endpoint": {"group": group, "member": member.name}}
     plan = {"kind": "StopPlan", "name": name, "schema": "v1", "spec": spec}
 
     def settled():
-        status, answer = operate(cluster.proxies[0], "PUT", f"/v1/records/StopPlan/{name}", plan)
+        status, answer = operator_request(cluster.proxies[0], "PUT", f"/v1/records/StopPlan/{name}", plan)
         return None if "retryAfterMs" in answer else (status, answer)
 
-    return wait_until(settled, f"an answer on the plan {name}")
+    return wait_until(settled, f"a final answer on the plan {name}")
 
 
 def progress(cluster, plan):
-    status, answer = operate(cluster.proxies[0], "GET", f"/v1/records/PlanStatus/{plan}")
+    status, answer = operator_request(cluster.proxies[0], "GET", f"/v1/records/PlanStatus/{plan}")
     return answer["record"]["spec"] if status == 200 else {}
 
 
@@ -76,47 +76,48 @@
 
 
 def statements_at(workload, member, since):
-    """Statements that began after `since` and that the member served."""
+    """Returns the statements that began at or after `since` and that the member served."""
     return [event for event in workload.events if event.served_by == member.name and event.start >= since]
 
 
 def check_no_new_work(cluster, workload, member, ordered):
-    """After a few seconds nothing new reaches the member, by what it served and by its slots."""
+    """Checks that LEAVING_SECONDS after the order the member serves no new statements and none of its slots is in use."""
     time.sleep(max(0.0, ordered + LEAVING_SECONDS - time.monotonic()))
     since = time.monotonic()
-    taken = 0
+    samples_in_use = 0
     while time.monotonic() < since + WATCHED_SECONDS:
-        taken += 1 if member.state()["slots"] else 0
+        samples_in_use += 1 if member.state()["slots"] else 0
         time.sleep(0.01)
-    late = statements_at(workload, member, since)
-    kinds = sorted({event.kind for event in late})
-    check_equal((len(late), taken), (0, 0), f"(statements, slots seen taken) at {member.name} after {LEAVING_SECONDS} s {kinds}")
-    check(any(event.start >= since and event.ran == "yes" for event in workload.events), "others serve on")
+    served = statements_at(workload, member, since)
+    kinds = sorted({event.kind for event in served})
+    check_equal((len(served), samples_in_use), (0, 0), f"(statements, samples with slots in use) at {member.name} after {LEAVING_SECONDS} s {kinds}")
+    check(any(event.start >= since and event.ran == "yes" for event in workload.events), "other members continue to serve")
 
 
-def failures(workload):
-    """Answers of the workload that are failures.
+def failed_answers(workload):
+    """Returns the number of answers of each kind that is a failure.
 
-    The workload's own sessions write the same rows, and the members roll one of two such transactions back, also in calm times.
+    Sessions of the workload write the same rows, and a member rolls one of two conflicting transactions back, also without
+    faults: these answers are no failures.
     """
     expected = ("transaction statement-failed", "transaction given up: ok", "read from primary", "read from replica")
     return {name: count for name, count in workload.answers().items() if not name.endswith(" ok") and name not in expected}
 
 
 def longest_write_gap_ms(workload, keys):
-    """Longest time without an acknowledged write on `keys`."""
+    """Returns the longest time in ms without an acknowledged write to `keys`."""
     ends = sorted(event.end for event in workload.events if event.kind == "append" and event.ran == "yes" and event.effects[0][0] in keys)
     return max((1000 * (after - before) for before, after in zip(ends, ends[1:])), default=0.0)
 
 
 def open_transaction(cluster, group):
-    """A transaction with one write on the group's primary."""
+    """Opens a transaction with one write at the group's primary; returns (caller, key, transaction)."""
     caller = Caller(cluster, 1)
     key = f"{cluster.deployment.prefix(group)}stop"
     begun = caller.begin(key, windowMs=STATEMENT_WINDOW_MS)
     check(begun.ok, f"begin: {begun}")
     written = caller.write("put", key, {"value": "kept"}, transaction=begun.transaction, windowMs=STATEMENT_WINDOW_MS)
-    check(written.ok, f"write inside: {written}")
+    check(written.ok, f"write in the transaction: {written}")
     return caller, key, begun.transaction
 
 
@@ -127,7 +128,7 @@
 
 
 def run_leaving_replica(order):
-    """A replica leaves as `order(cluster, group, member)` says, under load and with a transaction in flight."""
+    """Makes a replica leave by `order(cluster, group, member)`, under load and with an open transaction."""
     with start() as cluster:
         group = cluster.deployment.groups[0]
         member = cluster.replicas(group)[0]
@@ -138,9 +139,9 @@
             order(cluster, group, member)
             commit(caller, key, transaction)
             check_no_new_work(cluster, workload, member, ordered)
-            work = member.state()["lastWorkAfterLeavingMs"]
-        check_equal(failures(workload), {}, "failed requests")
-        check(work <= 1000 * LEAVING_SECONDS, f"last work came {work} ms after the member's own report")
+            last_work_ms = member.state()["lastWorkAfterLeavingMs"]
+        check_equal(failed_answers(workload), {}, "failed requests")
+        check(last_work_ms <= 1000 * LEAVING_SECONDS, f"the last work arrived {last_work_ms} ms after the member reported that it leaves")
         workload.verify()
 
 
@@ -169,7 +170,7 @@
             check(cluster.primary(group) is not member, f"{member.name} no longer leads")
             check_no_new_work(cluster, workload, member, ordered)
         print(f"# longest write gap of {group}: {longest_write_gap_ms(workload, workload.keys[group]):.1f} ms", flush=True)
-        check_equal(failures(workload), {}, "failed requests")
+        check_equal(failed_answers(workload), {}, "failed requests")
         workload.verify()
 
 
@@ -203,7 +204,7 @@
 
 
 class Client(threading.Thread):
-    """A caller as a balancer's clients are: it follows `connection: close` and asks /ready before it connects."""
+    """A caller that behaves as a client behind a load balancer: it obeys `connection: close` and checks /ready before it connects."""
 
     def __init__(self, cluster, number, stopping):
         super().__init__(daemon=True)
@@ -217,10 +218,10 @@
     def run(self):
         group = self.cluster.deployment.groups[self.number % len(self.cluster.deployment.groups)]
         key = f"{self.cluster.deployment.prefix(group)}client/{self.number}"
-        sent = 0
+        count_sent = 0
         while not self.stopping.is_set():
-            sent += 1
-            item = f"c{self.number}-{sent}"
+            count_sent += 1
+            item = f"c{self.number}-{count_sent}"
             answer = self.caller.write("append", key, {"item": item}, requestId=item, windowMs=STATEMENT_WINDOW_MS)
             (self.acknowledged if answer.ok else self.failed).append(item if answer.ok else repr(answer))
             if not answer.ok or answer.headers.get("connection", "").lower() == "close":
@@ -230,12 +231,12 @@
         self.key = key
 
     def change_proxy(self):
-        """Goes to the next proxy that says it is ready."""
+        """Connects to the next proxy whose /ready succeeds."""
         for step in range(1, len(self.cluster.proxies) + 1):
             number = (self.caller.proxy + step) % len(self.cluster.proxies)
             try:
                 if self.cluster.proxies[number].is_ready():
-                    self.caller.roam(number)
+                    self.caller.switch_proxy(number)
                     return
             except (OSError, http.client.HTTPException):
                 continue
@@ -243,7 +244,7 @@
 
 @contextlib.contextmanager
 def clients(cluster, count=9):
-    """Clients that write during the block; afterwards nothing may have failed and nothing be lost or doubled."""
+    """Runs clients that write during the block; then checks that no write failed, was lost or was applied twice."""
     stopping = threading.Event()
     threads = [Client(cluster, number, stopping) for number in range(count)]
     for thread in threads:
--- a/tests/system/workload.py
+++ b/tests/system/workload.py
@@ -1,4 +1,4 @@
-"""Sessions that write, read and run transactions while faults happen, and the history they leave."""
+"""Sessions that write, read and run transactions while faults occur, and record their history for the checker."""
 
 import random
 import threading
@@ -11,53 +11,53 @@
 
 KEYS_PER_GROUP = 4
 WINDOW_MS = 1000
-OUTCOME_PATIENCE = 60
+OUTCOME_TIMEOUT_SECONDS = 60
 
 
 def history_keys(deployment):
-    """The keys of the workload, by group."""
+    """Returns the keys of the workload by group."""
     return {group: [f"{deployment.prefix(group)}h/{n}" for n in range(KEYS_PER_GROUP)] for group in deployment.groups}
 
 
 class Session(threading.Thread):
-    """One session that sends random requests until it is told to stop."""
+    """One session that sends random requests until the workload stops."""
 
     def __init__(self, workload, number):
         super().__init__(daemon=True)
         self.workload = workload
         self.name = f"s{number}"
-        self.draw = random.Random(workload.seed * 1000 + number)
+        self.rng = random.Random(workload.seed * 1000 + number)
         self.caller = Caller(workload.cluster, number, client_ms=workload.client_ms)
         self.events = []
         self.unknown = []
         self.answers = Counter()
         self.sent = 0
-        self.fault = None
+        self.failure = None
 
     def run(self):
         try:
             while not self.workload.stopping.is_set():
                 self.step()
-                time.sleep(self.draw.random() * self.workload.pause_seconds)
-        except Exception as fault:  # told by the workload at the end
-            self.fault = fault
+                time.sleep(self.rng.random() * self.workload.pause_seconds)
+        except Exception as failure:  # raised again by Workload.verify()
+            self.failure = failure
         finally:
             self.caller.close()
 
     def step(self):
-        if self.draw.random() < 0.2 or not self.workload.may_use(self.caller.proxy):
-            self.caller.roam(self.workload.choose_proxy(self.draw))
-        group = self.draw.choice(list(self.workload.keys))
+        if self.rng.random() < 0.2 or not self.workload.may_use(self.caller.proxy):
+            self.caller.switch_proxy(self.workload.choose_proxy(self.rng))
+        group = self.rng.choice(list(self.workload.keys))
         choices = [(self.append, 35), (self.read, 40), (self.read_all, 10), (self.transaction, 15)]
         actions, weights = zip(*choices)
-        self.draw.choices(actions, weights)[0](group)
+        self.rng.choices(actions, weights)[0](group)
 
     def next_request_id(self):
         self.sent += 1
         return f"{self.workload.seed}-{self.name}-{self.sent}"
 
-    def note(self, event, answer):
-        """Keeps `event` with what `answer` says on it."""
+    def record(self, event, answer):
+        """Records `event` with the result in `answer`."""
         event.end = time.monotonic()
         event.ran = answer.ran
         if answer.ok:
@@ -76,12 +76,12 @@
             time.sleep(min(answer.body.get("retryAfterMs", 20), 200) / 1000)
 
     def append(self, group):
-        key = self.draw.choice(self.workload.keys[group])
+        key = self.rng.choice(self.workload.keys[group])
         request_id = self.next_request_id()
         for _ in range(2):
             event = Event(self.name, "append", time.monotonic(), 0, request_id, [(key, request_id)])
             answer = self.caller.write("append", key, {"item": request_id}, requestId=request_id, windowMs=WINDOW_MS)
-            self.note(event, answer)
+            self.record(event, answer)
             self.back_off(answer)
             if answer.ran != "no":
                 break
@@ -89,20 +89,20 @@
             self.unknown.append((request_id, key))
 
     def read(self, group):
-        key = self.draw.choice(self.workload.keys[group])
+        key = self.rng.choice(self.workload.keys[group])
         event = Event(self.name, "read", time.monotonic(), 0, key=key)
-        more = {"acceptedAgeMs": 1000} if self.draw.random() < 0.2 else {}
+        more = {"acceptedAgeMs": 1000} if self.rng.random() < 0.2 else {}
         answer = self.caller.read("get", key, windowMs=WINDOW_MS, **more)
-        self.note_read(event, answer, [key])
+        self.record_read(event, answer, [key])
 
     def read_all(self, group):
         prefix = f"{self.workload.cluster.deployment.prefix(group)}h/"
         event = Event(self.name, "read", time.monotonic(), 0, key=prefix)
         answer = self.caller.read("list", prefix, windowMs=WINDOW_MS)
-        self.note_read(event, answer, self.workload.keys[group])
+        self.record_read(event, answer, self.workload.keys[group])
 
-    def note_read(self, event, answer, keys):
-        self.note(event, answer)
+    def record_read(self, event, answer, keys):
+        self.record(event, answer)
         event.ran = "yes" if answer.ok else "no"
         if answer.ok:
             event.seen = {key: [] for key in keys}
@@ -110,7 +110,7 @@
         self.back_off(answer)
 
     def transaction(self, group):
-        keys = self.draw.sample(self.workload.keys[group], 2)
+        keys = self.rng.sample(self.workload.keys[group], 2)
         request_id = self.next_request_id()
         event = Event(self.name, "transaction", time.monotonic(), 0, request_id, [(key, f"{request_id}/{key}") for key in keys])
         begun = self.caller.begin(keys[0], windowMs=WINDOW_MS)
@@ -121,13 +121,13 @@
         for key, item in event.effects:
             answer = self.caller.write("append", key, {"item": item}, transaction=begun.transaction, windowMs=WINDOW_MS)
             if not answer.ok:
-                self.give_up(event, begun.transaction, answer)
+                self.abandon(event, begun.transaction, answer)
                 return
         self.read_inside(event, begun.transaction, keys[0])
-        if self.draw.random() < 0.2:
-            self.give_up(event, begun.transaction, self.caller.rollback(begun.transaction, windowMs=WINDOW_MS))
+        if self.rng.random() < 0.2:
+            self.abandon(event, begun.transaction, self.caller.rollback(begun.transaction, windowMs=WINDOW_MS))
             return
-        answer = self.note(event, self.caller.commit(begun.transaction, request_id, windowMs=WINDOW_MS))
+        answer = self.record(event, self.caller.commit(begun.transaction, request_id, windowMs=WINDOW_MS))
         if answer.ran == "unknown":
             self.unknown.append((request_id, keys[0]))
         self.back_off(answer)
@@ -135,10 +135,10 @@
     def read_inside(self, event, transaction, key):
         inside = Event(self.name, "read", time.monotonic(), 0, key=key, inside=event.request_id)
         answer = self.caller.read("get", key, transaction=transaction, windowMs=WINDOW_MS)
-        self.note_read(inside, answer, [key])
+        self.record_read(inside, answer, [key])
 
-    def give_up(self, event, transaction, answer):
-        """Ends a transaction whose commit was never sent, so it must not take effect."""
+    def abandon(self, event, transaction, answer):
+        """Rolls a transaction back whose commit was never sent, so that it must not take effect."""
         event.end = time.monotonic()
         event.ran, event.sent = "no", False
         self.events.append(event)
@@ -146,21 +146,21 @@
         self.caller.rollback(transaction, windowMs=WINDOW_MS)
 
     def resolve(self):
-        """Asks for the outcome of all requests that are unknown."""
+        """Queries the outcome of each request whose outcome is unknown until it is known."""
         for request_id, key in self.unknown:
-            wait_until(lambda: self.resolve_one(request_id, key), f"outcome of {request_id}", OUTCOME_PATIENCE)
+            wait_until(lambda: self.resolve_one(request_id, key), f"outcome of {request_id}", OUTCOME_TIMEOUT_SECONDS)
 
     def resolve_one(self, request_id, key):
-        self.caller.roam(self.workload.choose_proxy(self.draw))
+        self.caller.switch_proxy(self.workload.choose_proxy(self.rng))
         event = Event(self.name, "outcome", time.monotonic(), 0, request_id)
-        answer = self.note(event, self.caller.outcome(request_id, key))
+        answer = self.record(event, self.caller.outcome(request_id, key))
         return answer.ran in ("yes", "no")
 
 
 class Workload:
     """Runs sessions against a cluster until the block ends.
 
-    Use as a context manager around the faults; then call `verify()`.
+    Use it as a context manager around the faults, then call `verify()`.
     """
 
     def __init__(self, cluster, seed, sessions=12, pause_seconds=0.02, client_ms=0.0):
@@ -176,9 +176,9 @@
     def may_use(self, proxy):
         return proxy not in self.avoided
 
-    def choose_proxy(self, draw):
+    def choose_proxy(self, rng):
         usable = [number for number in range(len(self.cluster.proxies)) if self.may_use(number)]
-        return draw.choice(usable)
+        return rng.choice(usable)
 
     def __enter__(self):
         for session in self.sessions:
@@ -195,7 +195,7 @@
         return [event for session in self.sessions for event in session.events]
 
     def answers(self):
-        """How often each kind of answer came."""
+        """Returns the number of answers of each kind."""
         total = Counter()
         for session in self.sessions:
             total.update(session.answers)
@@ -208,10 +208,10 @@
         return {key: value for key, value in rows.items() if isinstance(value, list)}
 
     def verify(self):
-        """Resolves what is unknown, and fails on the first violation."""
+        """Resolves unknown outcomes, then fails if the history has violations or no write was acknowledged."""
         for session in self.sessions:
-            if session.fault:
-                raise session.fault
+            if session.failure:
+                raise session.failure
         self.cluster.wait_until_serving()
         for session in self.sessions:
             session.resolve()
