--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -15,6 +15,7 @@
 constexpr Milliseconds tickPeriod{200};
 constexpr Milliseconds exchangeTimeout{500};
 constexpr Milliseconds listTimeout{3'000};
+/// Longest sleep before the next store step is determined again: new input may change it meanwhile.
 constexpr Milliseconds maxStoreDelay{200};
 
 GossipOptions optionsFor(const LiveInstance &self, std::uint64_t seed)
--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -46,7 +46,7 @@
     /// Returns the records in force.
     [[nodiscard]] std::shared_ptr<const Catalog> catalog() const;
 
-    /// Returns whether this proxy can know that its configuration is current.
+    /// Returns how current this proxy's configuration is known to be.
     [[nodiscard]] ConfigurationFreshnessState configurationFreshness() const;
 
     /// Returns true if this proxy may write changes to the store: its configuration is current and it has contact with a majority
--- a/src/app/observationexchange.h
+++ b/src/app/observationexchange.h
@@ -35,7 +35,7 @@
     /// Returns the local observation, an empty one if this proxy does not own the group.
     [[nodiscard]] peer::GroupObservation onObservation(const peer::GroupObservation &received);
 
-    /// Sends the local observation to one other owner and returns that owner's; nothing if it does not reply. Blocks meanwhile.
+    /// Sends the local observation to one other owner and returns that owner's; nothing if it does not reply. Blocks until then.
     [[nodiscard]] std::optional<peer::GroupObservation>
     query(const LiveInstance &other, const GroupOwner &owner, const GroupName &group) const;
 
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -231,8 +231,8 @@
     ownerHandlers.queryPeers = [this](const GroupName &group) {
         addTask([this, group] { observations.publish(group, std::nullopt); });
     };
-    ownerHandlers.pausePeerWrites = [this](const GroupName &group, Milliseconds span) {
-        addTask([this, group, span] { observations.publish(group, span); });
+    ownerHandlers.pausePeerWrites = [this](const GroupName &group, Milliseconds writePause) {
+        addTask([this, group, writePause] { observations.publish(group, writePause); });
     };
     return ownerHandlers;
 }
--- a/src/evloop/httpclient.h
+++ b/src/evloop/httpclient.h
@@ -47,7 +47,7 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /// Queues \a call; \a done is called once, at most about \a timeout after the call was started.
+    /// Queues \a call; \a done is called once. \a timeout is measured from the start of the call, not from its queueing.
     void call(HttpCall call, Milliseconds timeout, Handler done);
 
     /// Ends the current call, if any, with ErrorKind::StoreOutcomeUnknown.
--- a/src/evloop/lineconnection.cpp
+++ b/src/evloop/lineconnection.cpp
@@ -21,6 +21,7 @@
 using KeepInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using KeepCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
 
+/// Time between two keep-alive probes, and the number of probes without a reply after which the peer counts as unreachable.
 constexpr int keepIntervalSeconds = 1;
 constexpr int keepCount = 2;
 
--- a/src/evloop/lineconnection.h
+++ b/src/evloop/lineconnection.h
@@ -98,7 +98,7 @@
     bool closed_ = false;
 };
 
-/// Sets the options of \a socket that detect an unreachable peer, also while nothing is sent, and disables Nagle's algorithm.
+/// Sets the options of \a socket that detect an unreachable peer within seconds, also while nothing is sent; disables Nagle's algorithm.
 void setPeerTimeouts(boost::asio::ip::tcp::socket &socket, Milliseconds peerTimeout, Seconds keepAliveIdle);
 
 /// Connects to \a address within \a timeout; \a done gets the socket, or null on failure.
--- a/src/fleet/server.h
+++ b/src/fleet/server.h
@@ -10,10 +10,10 @@
 
 namespace cardamomstep::fleet {
 
-/// Handlers of requests. They are called on gRPC's threads, so they post to the event loop; each must call `reply` exactly once.
+/// Handlers of requests. They are called on gRPC's threads, so they must post to the event loop; each must call `sendReply` exactly once.
 struct FleetHandlers {
-    std::function<void(RenewRequest request, std::function<void(RenewReply)> reply)> renew;
-    std::function<void(Announcement announcement, std::function<void(QuiesceReply)> reply)> announce;
+    std::function<void(RenewRequest request, std::function<void(RenewReply)> sendReply)> renew;
+    std::function<void(Announcement announcement, std::function<void(QuiesceReply)> sendReply)> announce;
 };
 
 /// Serves other proxies.
--- a/src/gateway/callerconnection.h
+++ b/src/gateway/callerconnection.h
@@ -16,7 +16,7 @@
 
 /// Callbacks of a CallerConnection.
 struct CallerConnectionHandlers {
-    /// Opens the session; an error ends it.
+    /// Opens the session in this process; on an error the caller is refused and the connection closed.
     std::function<Result<Success>(const relay::DatabaseName &database)> opened;
     std::function<void(const relay::SessionStatement &statement)> statement;
     /// The connection ended; not called after close().
@@ -84,9 +84,10 @@
         return upstream_ != nullptr;
     }
 
-    /// Makes a forwarded session end as soon as it is idle; true when it is idle already, which leaves it to the caller to close it.
+    /// Makes a forwarded session end as soon as it is idle.
     ///
-    /// After a statement that only sets the session up, the session stays open for up to `setupIdleTimeout`.
+    /// Returns true when it is idle already; the session is not ended then, and close() has to be called. After a statement that only
+    /// sets the session up, the session stays open for up to `setupIdleTimeout`.
     [[nodiscard]] bool endWhenIdle()
     {
         endsWhenIdle_ = true;
@@ -103,7 +104,7 @@
     static constexpr Milliseconds forwardConnectTimeout{300};
     /// Time allowed for the reply of the proxy that serves a session, beyond the statement's own timeout.
     static constexpr Milliseconds forwardReplyMargin{150};
-    /// Time that an ending session waits for the statement that it was just set up for.
+    /// Time that an ending session stays open after its setup, because the statement that needs the setup usually follows at once.
     static constexpr Milliseconds setupIdleTimeout{400};
 
     void onLine(std::string_view line)
@@ -233,7 +234,7 @@
         connection_->resume();
     }
 
-    /// Ends the session unless the statement that it was set up for arrives within `setupIdleTimeout`.
+    /// Ends the session unless the statement after the setup arrives within `setupIdleTimeout`.
     void startSetupIdleTimer()
     {
         timer_.expires_after(setupIdleTimeout);
--- a/src/gateway/leadershipcontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -24,14 +24,15 @@
     /// Time between two renewals of this proxy's primary table.
     Milliseconds renewInterval{150};
     Milliseconds renewTimeout{250};
-    /// Age at which a primary table is renewed from the store: first by the proxies that read it for others, then by the rest.
+    /// Age of this proxy's primary table from which it is renewed from the store: `readerRenewAfter` on the proxies that read the store
+    /// for others, `storeRenewAfter` on the rest.
     Milliseconds readerRenewAfter{350};
     Milliseconds storeRenewAfter{1200};
     Milliseconds storeRenewInterval{250};
     /// The stored lease is read after this time without a report of a valid lease.
     Milliseconds leaseReadAfter{600};
     Milliseconds leaseReadInterval{400};
-    /// Number of read intervals that pass on average before a proxy that does not read the store for others reads the lease.
+    /// A proxy that does not read the store for others reads the lease at random, on average once in this many read intervals.
     unsigned leaseReadOdds{8};
     Milliseconds storeTimeout{900};
     /// A store that did not reply for this long counts as unreachable from this process.
--- a/src/gateway/leadershipservice.h
+++ b/src/gateway/leadershipservice.h
@@ -77,7 +77,7 @@
         return Success{};
     }
 
-    /// True while the primary table is valid, and for 500 ms more.
+    /// True while the primary table is valid and for 500 ms more; for the readiness check.
     [[nodiscard]] bool primaryTableCurrent(TimePoint now) const noexcept
     {
         return now < context_.primaryTable.validUntil() + Milliseconds{500};
@@ -300,7 +300,7 @@
         auto &primaryTable = context_.primaryTable;
         primaryTable.renew(primaryTable.all(), std::min(now, lease.validUntil() - leadership::primaryTableLease));
         primaryTableChanged(now);
-        // By then, all primary tables that an earlier lease holder granted or that a removed proxy still used have expired.
+        // True once all primary tables that an earlier lease holder granted, or that a removed proxy still used, have expired.
         const bool tablesExpired = now - std::max(lease.acquiredAt(), registry_.removedAt()) >= leadership::primaryTableLease;
         const bool mayChange = tablesExpired && now - context_.startedAt >= context_.limits.membersSettleTime;
         for (const auto &[group, config] : context_.host.engine.routes().groups()) {
@@ -319,7 +319,9 @@
         registry_.removeExpired(now);
     }
 
-    /// Creates the first record of a group; its primary is the only member that registered as such. No member was ever promoted before.
+    /// Creates the first record of a group, in which no member was ever promoted before.
+    ///
+    /// The primary is the one member that registered as primary; while none or several did, nothing is created.
     void bootstrap(const GroupName &group, TimePoint now)
     {
         auto &triedAt = bootstrapTriedAt_[group];
--- a/src/gateway/leasemanager.h
+++ b/src/gateway/leasemanager.h
@@ -137,7 +137,7 @@
                           {{"fence", static_cast<std::int64_t>(relinquishedToken_)}, {"store_answers", request.instance.text()}});
     }
 
-    /// Releases the lease, also in the store so that others need not wait for its end, and does not acquire it again.
+    /// Releases the lease, also in the store so that others need not wait until it expires, and does not acquire it again.
     ///
     /// This proxy's entry in the store stays: a stopped instance usually starts again.
     void leave()
--- a/src/gateway/membercontrolconnection.h
+++ b/src/gateway/membercontrolconnection.h
@@ -15,7 +15,7 @@
 
 /// A member's reply to an order or a query.
 struct ControlReply {
-    /// False when no reply came in time; true also when the member refused the connection because it has too many.
+    /// False when the connection failed or was closed before a reply; true also when the member refused it because it has too many.
     bool received = false;
     /// std::nullopt when the reply holds no status, as when the member was too busy.
     std::optional<relay::MemberStatusReply> status;
@@ -51,7 +51,7 @@
         return pending_.size();
     }
 
-    /// Sends \a request; \a done is called once, at the latest when expire() closes the connection.
+    /// Sends \a request; \a done is called once, without a reply when the connection closes first, as by expire().
     void send(relay::MemberRequest request, Handler done)
     {
         pending_.push_back({evloop::bootTimeNow(), std::move(done)});
@@ -121,7 +121,7 @@
     {
         open_ = false;
         unsent_.clear();
-        for (auto &[since, done] : std::exchange(pending_, {})) {
+        for (auto &[requestedAt, done] : std::exchange(pending_, {})) {
             done(ControlReply{alive, std::nullopt});
         }
     }
@@ -130,7 +130,9 @@
     relay::MemberEntry member_;
     std::shared_ptr<MemberConnection<Wire>> connection_;
     bool open_ = false;
+    /// Requests to be sent when the connection is open.
     std::vector<relay::MemberRequest> unsent_;
+    /// The time and the handler of each request without a reply yet, oldest first.
     std::deque<std::pair<TimePoint, Handler>> pending_;
 };
 
--- a/src/gateway/primarychanges.h
+++ b/src/gateway/primarychanges.h
@@ -102,11 +102,11 @@
     void step(const GroupName &group, leadership::PrimaryChange &change, TimePoint now)
     {
         for (auto &action : change.next(now)) {
-            std::visit([this, &group](const auto &what) { perform(group, what); }, action);
+            std::visit([this, &group](const auto &dueAction) { perform(group, dueAction); }, action);
         }
     }
 
-    /// The group's primary change; null when none is in progress any more, and replies are ignored then.
+    /// The group's primary change; null when none is in progress, for example when a reply arrives after the end of the change.
     leadership::PrimaryChange *changeOf(const GroupName &group)
     {
         const auto found = changes_.find(group);
--- a/src/gateway/primarytablesync.h
+++ b/src/gateway/primarytablesync.h
@@ -40,7 +40,7 @@
     {
     }
 
-    /// Renews the primary table when that is due; from the store only once it has listed the fleet.
+    /// Renews the primary table when that is due; from the store only if \a fleetListed, that is, once this process has listed the fleet.
     void renew(TimePoint now, bool fleetListed)
     {
         if (!renewPending_ && now - renewedAt_ >= context_.limits.renewInterval) {
@@ -85,8 +85,8 @@
             && registry_.find(request.instance) != nullptr;
         reply.leaseHolderSinceStoreReply = wholeMilliseconds(now - context_.lastStoreReplyAt);
         registry_.onContact(request.instance, now);
-        for (const auto &client : request.downstreamProxies) {
-            registry_.onContact(client, now);
+        for (const auto &downstreamProxy : request.downstreamProxies) {
+            registry_.onContact(downstreamProxy, now);
         }
         reply.records = context_.primaryTable.all();
         return reply;
@@ -100,7 +100,7 @@
         quiesceThenReply(announcement.record, evloop::bootTimeNow() + announcement.drainTimeout, sendReply);
     }
 
-    /// Replies once nothing with durable effects is in flight at the group's primary, at the latest at \a until.
+    /// Replies once nothing with durable effects is in flight at the group's primary, or when \a until is reached.
     ///
     /// Fences the primary before the reply. Without a primary change in progress, replies at once and fences nothing.
     void quiesceThenReply(const leadership::GroupRecord &record, TimePoint until, const std::function<void(fleet::QuiesceReply)> &sendReply)
--- a/src/gateway/proxymetrics.h
+++ b/src/gateway/proxymetrics.h
@@ -18,6 +18,7 @@
     InstanceName leaseHolder;
     /// Time until the primary table expires; negative when it has expired.
     Milliseconds primaryTableTimeLeft{0};
+    /// The number of registered proxies.
     std::uint32_t proxies = 0;
 };
 
@@ -45,7 +46,7 @@
         metrics_.count("store_failures_total{of=\"" + std::string(dependency) + "\"}");
     }
 
-    /// Counts a session that was resumed locally after its proxy was lost, or redirected to another proxy; \a how tells which.
+    /// Counts a session that was resumed locally after its proxy was lost (\a how is "taken_over"), or redirected to another ("sent_on").
     void sessionMoved(std::string_view how)
     {
         metrics_.count("sessions_moved_total{how=\"" + std::string(how) + "\"}");
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -143,13 +143,14 @@
         liveness_.restart(now);
     }
 
-    /// Removes proxies from the store that had no contact for the removal timeout.
+    /// Removes the entries of proxies without contact for the removal timeout from the store.
     void removeExpired(TimePoint now)
     {
         for (const auto &[instance, proxy] : proxies_) {
             if (instance == context_.settings.instance || !liveness_.isExpired(instance, now)) {
                 continue;
             }
+            // Restarts the timeout: a removal that fails is repeated only after it, not in every tick.
             liveness_.onContact(instance, now);
             removedAt_ = now;
             context_.store.remove(
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -293,7 +293,7 @@
         performing_ = true;
         for (auto actions = engine_.takeActions(); !actions.empty(); actions = engine_.takeActions()) {
             for (auto &action : actions) {
-                std::visit([this](auto &what) { perform(what); }, action);
+                std::visit([this](auto &dueAction) { perform(dueAction); }, action);
             }
         }
         performing_ = false;
--- a/src/gateway/statuspage.h
+++ b/src/gateway/statuspage.h
@@ -24,7 +24,7 @@
             {"connectionsLent", group.connectionsInUse}};
 }
 
-/// Returns the whole page.
+/// Returns the page: the proxy's state and that of each group.
 [[nodiscard]] inline std::string
 statusPage(const InstanceName &instance, const relay::Engine &engine, const LeadershipGauges &leadership, TimePoint now)
 {
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -22,7 +22,7 @@
 struct StoreWatcherHandlers {
     std::function<void(const StoreListing &listing)> listed;
     std::function<void(const StoreChanges &changes)> changed;
-    /// A call failed; not called for replies from an outdated state of the store, which are repeated after a delay.
+    /// A call failed; not called when the store replied from an outdated state, after which the call is repeated with a delay.
     std::function<void(const Error &error)> failed;
 };
 
@@ -99,7 +99,7 @@
 
 private:
     static constexpr Milliseconds listTimeout{1000};
-    /// A watch that does not bring a change within this time after another process reported it counts as silent.
+    /// A watch that does not deliver a change within this time after another process reported it is restarted.
     static constexpr Milliseconds changeGrace{500};
 
     bool restartWatch()
--- a/src/peer/server.cpp
+++ b/src/peer/server.cpp
@@ -58,8 +58,6 @@
         return grpc::Status::OK;
     }
 
-    // NOLINTEND(readability-identifier-naming)
-
 private:
     Handlers handlers_;
 };
--- a/tests/platform/test_callerconnection.cpp
+++ b/tests/platform/test_callerconnection.cpp
@@ -110,8 +110,8 @@
     cr_assert(forwarding.openedLocally == 0);
 }
 
-// Guards against refused sessions (convenio-cantabrico-grown trouble-1): the proxy with the member connections was isolated from the store
-// and refused a newly added database that the other proxies already had in their configuration.
+// Guards against refused sessions (scenario convenio-cantabrico-grown trouble-1): the proxy with the member connections was isolated from
+// the store and refused a newly added database that the other proxies already had in their configuration.
 Test(platform, servesASessionLocallyWhenTheOtherProxyRefusesIt)
 {
     Forwarding forwarding;
@@ -135,8 +135,8 @@
     cr_assert(forwarding.openedLocally == 1);
 }
 
-// Guards against reads that time out (convenio-cantabrico-grown trouble-3): the proxy with the member connections was isolated, and callers
-// waited for its answers until their own deadlines passed.
+// Guards against reads that time out (scenario convenio-cantabrico-grown trouble-3): the proxy with the member connections was isolated,
+// and callers waited for its answers until their own deadlines passed.
 Test(platform, runsAReadLocallyWhenTheOtherProxyIsSilent)
 {
     Forwarding forwarding;
@@ -164,8 +164,8 @@
     cr_assert(forwarding.runLocally.empty() && forwarding.adopted);
 }
 
-// Guards against sessions that stay on the wrong proxy (convenio-cantabrico-grown trouble-3): while the proxy with the member connections
-// was isolated, other proxies served its sessions, and kept them after it had recovered.
+// Guards against sessions that stay on the wrong proxy (scenario convenio-cantabrico-grown trouble-3): while the proxy with the member
+// connections was isolated, other proxies served its sessions, and kept them after it had recovered.
 Test(platform, redirectsALocalSessionWhenItIsIdle)
 {
     Forwarding forwarding;
@@ -186,8 +186,8 @@
     cr_assert(forwarding.redirections == 1);
 }
 
-// Guards against lost statements (convenio-cantabrico trouble-3): sessions were redirected right after their setup, and the statement that
-// the caller had already sent after it was lost.
+// Guards against lost statements (scenario convenio-cantabrico trouble-3): sessions were redirected right after their setup, and the
+// statement that the caller had already sent after it was lost.
 Test(platform, doesNotRedirectASessionBetweenSetupAndStatement)
 {
     Forwarding forwarding;
