--- a/src/gateway/membercontrolconnection.h
+++ b/src/gateway/membercontrolconnection.h
@@ -112,7 +112,7 @@
         pending_.pop_front();
         ControlReply controlReply{true, std::nullopt};
         if (!reply.fault && !reply.rows.empty()) {
-            controlReply.status = Wire::parseAccount(reply.rows.front());
+            controlReply.status = Wire::parseStatusReply(reply.rows.front());
         }
         done(controlReply);
     }
--- a/src/relay/wire.h
+++ b/src/relay/wire.h
@@ -65,7 +65,7 @@
         Codec::parseMember(line)
         } -> std::same_as<MemberLine>;
     {
-        Codec::parseAccount(line)
+        Codec::parseStatusReply(line)
         } -> std::same_as<std::optional<MemberStatusReply>>;
     Codec::appendReply(out, reply);
     Codec::appendSessionReady(out);
--- a/tests/platform/test_platform.cpp
+++ b/tests/platform/test_platform.cpp
@@ -48,9 +48,9 @@
     cr_assert(std::get<MemberError>(LineProtocol::parseMember("ERROR NEWCODE x")).fault == MemberFault::Unknown);
     const auto ready = std::get<MemberReady>(LineProtocol::parseMember("READY E 3.1209"));
     cr_assert(ready.state == SessionState::Failed && ready.position == (LogPosition{Term{3, 0}, 1209}));
-    const auto status = LineProtocol::parseAccount("replica 3 3.1209 0 12 2 17");
+    const auto status = LineProtocol::parseStatusReply("replica 3 3.1209 0 12 2 17");
     cr_assert(status && !status->primary && status->term == 3 && status->received.index == 1209);
-    cr_assert(!LineProtocol::parseAccount("replica x"));
+    cr_assert(!LineProtocol::parseStatusReply("replica x"));
 }
 
 Test(platform, formatsMemberRequests)
