--- a/tests/leadership/test_promotion.cpp
+++ b/tests/leadership/test_primarychange.cpp
@@ -55,7 +55,7 @@
 
 } // namespace
 
-Test(promotion, theReplicaWithTheLongestLogIsPromotedOnceBothAreStopped)
+Test(primarychange, theReplicaWithTheLongestLogIsPromotedOnceBothAreStopped)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     cr_assert(actionsOf<ListProxies>(change.next(at(5))).size() == 1);
@@ -78,7 +78,7 @@
 
 // A proxy acknowledged entry 22 and was killed; its successor process does not know of it. Only r2, which is unreachable for now, holds
 // that entry.
-Test(promotion, aMemberWithWritesAcknowledgedBeforeAProxyRestartIsAwaited)
+Test(primarychange, aMemberWithWritesAcknowledgedBeforeAProxyRestartIsAwaited)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     change.onAcknowledged(LogPosition{Term{1, 0}, 22});
@@ -98,7 +98,7 @@
     cr_assert(promotions.size() == 1 && promotions.front().member.text() == "r2");
 }
 
-Test(promotion, overdueRepliesOfProxiesRepeatNoRequest)
+Test(primarychange, overdueRepliesOfProxiesRepeatNoRequest)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
@@ -129,7 +129,7 @@
     cr_assert(records == 1, "%zu writes of the record", records);
 }
 
-Test(promotion, thePrimaryTableOfASilentProxyExpiresBeforeAnyPromotion)
+Test(primarychange, thePrimaryTableOfASilentProxyExpiresBeforeAnyPromotion)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
@@ -146,7 +146,7 @@
     cr_assert(actionsOf<PromoteMember>(change.next(at(760))).size() == 1);
 }
 
-Test(promotion, aMemberThatLacksAcknowledgedCommitsIsNotPromotedWhileAnotherMayHoldThem)
+Test(primarychange, aMemberThatLacksAcknowledgedCommitsIsNotPromotedWhileAnotherMayHoldThem)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
@@ -163,7 +163,7 @@
     cr_assert(promotions.size() == 1 && promotions.front().member.text() == "r2");
 }
 
-Test(promotion, aDrainingMemberIsNotPromotedWhereAnotherHoldsAllAcknowledged)
+Test(primarychange, aDrainingMemberIsNotPromotedWhereAnotherHoldsAllAcknowledged)
 {
     auto change = startChange(PrimaryChangeReason::Leaving, {member("p", true), member("r1", true), member("r2")});
     (void)change.next(at(5));
@@ -180,7 +180,7 @@
     cr_assert(promotions.size() == 1 && promotions.front().member.text() == "r2");
 }
 
-Test(promotion, theNewPrimaryIsRecordedOnlyOnceItReportsThatItLeads)
+Test(primarychange, theNewPrimaryIsRecordedOnlyOnceItReportsThatItLeads)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
@@ -207,7 +207,7 @@
     cr_assert(change.finished());
 }
 
-Test(promotion, aPromotionRequestedByAnEarlierLeaseHolderIsRecorded)
+Test(primarychange, aPromotionRequestedByAnEarlierLeaseHolderIsRecorded)
 {
     PrimaryChange change({GroupName{"g"}, MemberName{"p"}, 1, true, Revision{10}}, PrimaryChangeReason::Resumed, at(0));
     change.setMembers(threeMembers);
@@ -227,7 +227,7 @@
     cr_assert(actionsOf<ResumeReplication>(actions).size() == 2, "the replicas that this change stopped are resumed");
 }
 
-Test(promotion, theOnlyRegisteredReplicaIsNotPromotedWhenItLacksAcknowledgedCommits)
+Test(primarychange, theOnlyRegisteredReplicaIsNotPromotedWhenItLacksAcknowledgedCommits)
 {
     auto change = startChange(PrimaryChangeReason::Stalled, {member("p"), member("r1")});
     (void)change.next(at(5));
@@ -246,7 +246,7 @@
     cr_assert(actionsOf<ResumeReplication>(actions).size() == 1);
 }
 
-Test(promotion, aMemberThatDoesNotRunIsReplacedByTheNext)
+Test(primarychange, aMemberThatDoesNotRunIsReplacedByTheNext)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
@@ -262,7 +262,7 @@
     cr_assert(promotions.size() == 1 && promotions.front().member.text() == "r2");
 }
 
-Test(promotion, aPromotionWithoutAReplyOfThePlatformIsRequestedAgain)
+Test(primarychange, aPromotionWithoutAReplyOfThePlatformIsRequestedAgain)
 {
     auto change = startChange(PrimaryChangeReason::Silent, threeMembers);
     (void)change.next(at(5));
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -93,7 +93,7 @@
     }
 }
 
-Test(relay, nothingIsSentToAPrimaryWhoseViewHasEnded)
+Test(relay, noStatementIsSentToAPrimaryWhoseCacheEntryHasExpired)
 {
     DriverOptions options;
     options.consistency = Consistency::Current;
@@ -158,7 +158,7 @@
     cr_assert(!driver.lastReply(1)->error);
 }
 
-Test(relay, aTransactionStaysOnOneLinkAndEndsThere)
+Test(relay, allStatementsOfATransactionUseOneConnection)
 {
     RelayDriver driver;
     driver.open(1);
@@ -288,7 +288,7 @@
     cr_assert(driver.lastReply(1)->error->kind == ErrorKind::OutcomeUnknown);
 }
 
-Test(relay, stoppingEndsIdleSessionsAndLetsTransactionsEnd)
+Test(relay, drainingClosesIdleSessionsAndLetsTransactionsFinish)
 {
     RelayDriver driver;
     driver.open(1);
@@ -307,7 +307,7 @@
 
 // A session that was closed between its setup and the statement that follows lost that statement, which was already on its way
 // (convenio-cantabrico trouble-3).
-Test(relay, stoppingEndsNoSessionBetweenItsSetUpAndTheStatementThatFollows)
+Test(relay, drainingKeepsASessionBetweenItsSetupAndTheNextStatement)
 {
     RelayDriver driver;
     driver.open(1);
@@ -338,7 +338,7 @@
 
 // A session that was opened while draining stayed idle, began a transaction shortly before the end of the process, and the transaction
 // was aborted (kpv-swapdesk trouble-2).
-Test(relay, stoppingTakesNoTransactionThatItWouldCut)
+Test(relay, drainingRefusesATransactionThatCannotFinish)
 {
     RelayDriver driver;
     driver.engine.drain(driver.now + Milliseconds{3000}, driver.now);
@@ -352,7 +352,7 @@
     cr_assert(driver.lastReply(2)->error->ran == Ran::No);
 }
 
-Test(relay, connectionsAreSharedBetweenProxies)
+Test(relay, aProxyOpensAtMostTwiceItsFairShareOfConnections)
 {
     DriverOptions options;
     options.memberConnections = 16;
@@ -370,7 +370,7 @@
 
 // With 62 proxies and 40 connections per member, proxies that kept one connection each left none for the others
 // (convenio-cantabrico-grown).
-Test(relay, moreProxiesThanConnectionsBorrowThemForAMoment)
+Test(relay, withMoreProxiesThanConnectionsIdleConnectionsAreClosed)
 {
     DriverOptions options;
     options.memberConnections = 40;
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -11,7 +11,7 @@
 using namespace cardamomstep;
 using namespace cardamomstep::relay;
 
-Test(relay, onlyWhatIsHarmlessIsSentAgain)
+Test(relay, onlyReadsAndStatementsThatDidNotRunAreSentAgain)
 {
     cr_assert(classifyFailure(RetryClass::Read, ExchangeEnd::Broken, std::nullopt).mayResend);
     cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Broken, std::nullopt).mayResend);
@@ -21,7 +21,7 @@
     cr_assert(!classifyFailure(RetryClass::Write, ExchangeEnd::Refused, MemberFault::Failed).mayResend);
 }
 
-Test(relay, aLostWriteIsNeverToldAsNotRun)
+Test(relay, aWriteWithoutAReplyIsNeverReportedAsNotRun)
 {
     for (const auto retryClass : {RetryClass::Write, RetryClass::CommitOfWrites}) {
         for (const auto end : {ExchangeEnd::Broken, ExchangeEnd::Silent}) {
@@ -32,7 +32,7 @@
     cr_assert(classifyFailure(RetryClass::CommitOfReads, ExchangeEnd::Silent, std::nullopt).error.ran == Ran::No);
 }
 
-Test(relay, theConfigurationNeverGoesBack)
+Test(relay, anOlderConfigurationIsRejected)
 {
     RoutingTable table;
     Configuration newer;
@@ -88,7 +88,7 @@
 
 // With 62 proxies and 40 connections per member, an idle transaction blocks all other statements of a proxy whose pool has one connection
 // (convenio-cantabrico-grown).
-Test(relay, fewConnectionsAreHeldByFewProxiesOfEachDomain)
+Test(relay, withFewConnectionsOnlySomeProxiesOfEachDomainHavePools)
 {
     const auto fleet = fleetOf(62, 3);
     const auto placement = placePools(fleet, 38);
--- a/tests/requests/test_requests.cpp
+++ b/tests/requests/test_requests.cpp
@@ -182,7 +182,7 @@
 }
 
 // Under random operations, a statement runs only on the connection on which its transaction began, and one at a time.
-Test(requests, statementsOfTransactionsNeverMix)
+Test(requests, statementsRunOneAtATimeOnTheConnectionOfTheirTransaction)
 {
     const bool holds = rc::check("no mixing", []() {
         TransactionRegistry registry{InstanceName{"p"}, 3};
