--- a/src/connections/pool.h
+++ b/src/connections/pool.h
@@ -30,7 +30,7 @@
     [[nodiscard]] bool operator==(const OpenConnection &) const = default;
 };
 
-/// Call acquire() again when a connection is released or closed, at the latest at `until`.
+/// Call acquire() again when a connection is released or closed, or at `until`.
 struct AwaitConnection {
     TimePoint until;
 
--- a/src/connections/quota.h
+++ b/src/connections/quota.h
@@ -19,8 +19,10 @@
 /// One proxy's quota of a member's connections: it shrinks at once and grows only by what other proxies have released.
 ///
 /// No coordinator assigns quotas. Each owner computes its quota from the list of owners and leaves unused what any other proxy may
-/// still have open: that proxy's quota by the current list and, until the proxy reports a smaller allocation or the expiry time has
-/// passed, its quota by earlier lists and the allocation that it last reported.
+/// still have open: the greater of that proxy's quota by the current list and its earlier allocation. The earlier allocation is the
+/// greatest of what the proxy last reported and its quotas by the lists replaced since then; it expires when the expiry time has passed
+/// since the last report or list.
+///
 /// The connections of all proxies stay within the limit as long as every present or former owner receives each list, and closes the
 /// connections beyond its new quota, within the expiry time. Where that does not hold, for example for an owner that has just started
 /// and never received the earlier list, the member's own limit is the last safeguard: it refuses the connection, and the pool backs off.
@@ -45,7 +47,7 @@
     /// The number of connections that this proxy may have open now.
     [[nodiscard]] std::uint32_t allowed(TimePoint now) const;
 
-    /// The time at which the first allocation from earlier expires, if any.
+    /// The time at which the first earlier allocation that exceeds its proxy's quota expires, if any.
     [[nodiscard]] std::optional<TimePoint> nextWake(TimePoint now) const noexcept;
 
 private:
@@ -54,7 +56,7 @@
         InstanceName owner;
         /// Quota by the current list; 0 for a former owner.
         std::uint32_t quota = 0;
-        /// Connections that it may have open from earlier, until `earlierExpiresAt`.
+        /// Connections that it may still have open from earlier lists or by its last report, until `earlierExpiresAt`.
         std::uint32_t earlierAllocation = 0;
         TimePoint earlierExpiresAt;
     };
--- a/src/connections/silence.cpp
+++ b/src/connections/silence.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Interval between probes of a suspected member, in multiples of overdueAfter().
-constexpr int probeInterval = 2;
+constexpr int probeIntervalFactor = 2;
 
 } // namespace
 
@@ -65,7 +65,7 @@
         return actions;
     }
     probeStartedAt_.reset();
-    nextProbeAt_ = now + probeInterval * overdueAfter();
+    nextProbeAt_ = now + probeIntervalFactor * overdueAfter();
     if (!memberSuspect_) {
         memberSuspect_ = true;
         actions.emplace_back(MemberSuspected{});
--- a/src/leadership/fleetlease.cpp
+++ b/src/leadership/fleetlease.cpp
@@ -40,7 +40,7 @@
     const bool same = report.fencingToken == report_.fencingToken && report.renewals == report_.renewals;
     const auto end = now + report.remaining;
     report_ = report;
-    // A repeated report of the same renewal must not extend the lease by the time that it was under way.
+    // A report of the same renewal that arrives later, through other proxies, must not extend the lease by its transfer time.
     reportedEnd_ = same ? std::min<TimePoint>(reportedEnd_, end) : end;
 }
 
--- a/src/leadership/fleetlease.h
+++ b/src/leadership/fleetlease.h
@@ -13,7 +13,7 @@
 
 /// Settings of the lease.
 struct LeaseLimits {
-    /// Time without contact to the holder after which the lease expires. Longer than the store outages that the service should survive.
+    /// Time after its last renewal at which the lease expires. Longer than the store outages that the service should survive.
     Milliseconds duration{7000};
     /// Time between two renewals.
     Milliseconds renewalInterval{1500};
@@ -27,7 +27,7 @@
 
 /// The lease as stored.
 struct LeaseState {
-    /// Empty when the lease was released.
+    /// Empty when the holder relinquished the lease and recorded that in the store.
     InstanceName holder;
     /// Revision at which the holder took the lease: its fencing token.
     std::uint64_t fencingToken = 0;
@@ -50,7 +50,7 @@
 /// Write the lease with this process as holder if the stored one is still at `expected`; 0 means that none may exist.
 struct LeaseWrite {
     Revision expected;
-    /// The fencing token to write; 0 stands for the revision of this write.
+    /// The fencing token to write; 0 means the revision of this write.
     std::uint64_t fencingToken = 0;
     /// Different in each write.
     std::uint64_t renewals = 0;
@@ -157,7 +157,7 @@
     bool held_ = false;
     bool writePending_ = false;
     bool conflicted_ = false;
-    /// Takes no lease until the stored one no longer names this instance, and never while leaving_.
+    /// No lease is taken or renewed until the stored one no longer names this instance; with leaving_, never again.
     bool resigned_ = false;
     bool leaving_ = false;
     std::uint64_t fencingToken_ = 0;
--- a/src/leadership/primarychange.cpp
+++ b/src/leadership/primarychange.cpp
@@ -329,7 +329,7 @@
     ++record.generation;
     actions.emplace_back(StoreRecord{record});
     if (!promotionRequested_ || chosenMember_ == record_.primary) {
-        // Stopped replicas resume by themselves only after a promotion.
+        // A promotion also resumes the stopped replicas; without one, they are resumed explicitly.
         for (const auto &name : stoppedReplicas_) {
             actions.emplace_back(ResumeReplication{name});
         }
--- a/src/leadership/primarychange.h
+++ b/src/leadership/primarychange.h
@@ -69,7 +69,7 @@
     Milliseconds maxGatheringTime{25'000};
     /// Margin on the lease of primary tables, for timers that fire early.
     Milliseconds primaryTableMargin{50};
-    /// Uptime of a proxy below which it may not know all that its instance acknowledged, also before the restart.
+    /// Uptime below which a proxy may not know all that its instance acknowledged before a restart.
     Milliseconds minHistoryUptime{6000};
     /// Time after which a promoted member that does not lead is replaced by another candidate.
     Milliseconds confirmTimeout{3000};
--- a/src/leadership/proxyliveness.h
+++ b/src/leadership/proxyliveness.h
@@ -10,7 +10,7 @@
 
 /// Settings of the proxies' liveness.
 struct ProxyLivenessLimits {
-    /// Time without contact after which a proxy counts as ended for good.
+    /// Time without contact after which a proxy counts as ended, and its entry is removed from the store.
     Milliseconds removalTimeout{20'000};
 };
 
--- a/src/leadership/recordjson.h
+++ b/src/leadership/recordjson.h
@@ -34,7 +34,7 @@
 [[nodiscard]] ObjectKey proxyKey(const InstanceName &instance);
 
 [[nodiscard]] std::string encode(const GroupRecord &record);
-/// Returns the lease as written by \a holder; a \a fencingToken of 0 stands for the revision of the write itself.
+/// Returns the lease as written by \a holder; a \a fencingToken of 0 means the revision of the write itself.
 [[nodiscard]] std::string encodeLease(const InstanceName &holder, std::uint64_t fencingToken, std::uint64_t renewals);
 [[nodiscard]] std::string encode(const ProxyEntry &entry);
 
--- a/src/leadership/renewaltree.h
+++ b/src/leadership/renewaltree.h
@@ -19,7 +19,7 @@
     static constexpr std::size_t fanOut = 12;
     /// The number of proxies that read the store for all while there is no lease holder.
     static constexpr std::size_t storeReaders = 3;
-    /// The number of proxies that watch the catalog closely, besides the lease holder.
+    /// The number of proxies, besides the lease holder, that watch the catalog with short waits on behalf of all.
     static constexpr std::size_t catalogWatchers = 2;
 
     /// Sets the registered proxies.
@@ -31,7 +31,8 @@
     /// True when \a self reads the store for others while there is no lease holder.
     [[nodiscard]] bool readsStore(const InstanceName &self) const;
 
-    /// True when \a self watches the operators' configuration and the members closely and notifies the other proxies of changes.
+    /// True when \a self watches the operators' configuration and the members with short waits, and notifies the other proxies of
+    /// changes.
     [[nodiscard]] bool watchesCatalog(const InstanceName &self) const;
 
     [[nodiscard]] std::size_t size() const noexcept
--- a/src/relay/cachedprimary.h
+++ b/src/relay/cachedprimary.h
@@ -14,7 +14,7 @@
 struct CachedPrimary {
     /// Empty while the primary is unknown.
     MemberName member;
-    /// Number of the promotion that made it primary; increases with each promotion.
+    /// Number of the primary change that ended with this primary; increases with each change.
     std::uint64_t generation = 0;
     TimePoint validUntil;
     /// A primary change is in progress: no new statements are sent to the primary.
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -36,7 +36,8 @@
     std::uint32_t maxOpeningPerMember = 2;
     /// The maximum number of statements waiting in one group.
     std::size_t maxWaiting = 400;
-    /// The longest wait for a connection while the group can be served; after it, another proxy may have a free connection.
+    /// The longest wait for a connection while the group can be served. The statement is then refused, since another proxy may have a
+    /// free connection.
     Milliseconds connectionTimeout{400};
     /// The maximum number of times that one statement is sent to members.
     std::uint32_t maxAttempts = 4;
@@ -164,11 +165,11 @@
         std::string transactionId;
         /// Id of the first session setup statement before this one; empty if there was none.
         std::string setupStatementId;
-        /// The next statement outside a transaction starts another operation.
+        /// The last statement outside a transaction was not session setup, so the next one begins another operation.
         bool setupComplete = false;
 
-        /// Returns true if the session was set up for a statement that has not arrived yet.
-        [[nodiscard]] bool beginsOperation() const noexcept
+        /// Returns true if session setup is to be followed by a statement that has not arrived yet.
+        [[nodiscard]] bool awaitsStatementAfterSetup() const noexcept
         {
             return !setupStatementId.empty() && !setupComplete;
         }
@@ -207,7 +208,7 @@
         LogPosition acknowledged;
         /// When the primary's position was last probed.
         TimePoint probedAt;
-        /// When a read last needed evidence of the primary's position.
+        /// When a read last needed a recent position of the primary.
         TimePoint evidenceUsedAt;
         std::optional<TimePoint> writesStalledFrom;
     };
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -97,7 +97,7 @@
     return begins && drainUntil_ && now + limits_.minDrainTimeForBegin >= *drainUntil_;
 }
 
-/// Sends a statement of an open transaction on its connection; looks up the route of others and enqueues them.
+/// Sends a statement of an open transaction on the transaction's connection; for any other statement, looks up the route and enqueues it.
 void Engine::admit(CallerKey key, Caller &caller, TimePoint now)
 {
     if (caller.session.phase() == TransactionPhase::Open) {
@@ -178,7 +178,7 @@
 /// Closes an idle session while draining; waits for drainIdleTimeout if its next statement is expected.
 void Engine::endWhenIdle(CallerKey key, Caller &caller, TimePoint now)
 {
-    if (caller.beginsOperation()) {
+    if (caller.awaitsStatementAfterSetup()) {
         setTimer(key, caller, now + limits_.drainIdleTimeout);
         return;
     }
@@ -332,7 +332,8 @@
     return needed && !group.primary.usable(now);
 }
 
-/// Returns the retry-after time of a refusal; it is random, so that callers that are refused together do not return together.
+/// Returns the retry-after time of a refusal: 1 ms per waiting statement, within its bounds, and up to as much again at random, so that
+/// callers that are refused together do not return together.
 Milliseconds Engine::retryAfterOf(const Group &group)
 {
     const auto waitingCount = Milliseconds{static_cast<std::int64_t>(group.waiting.size())};
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Greater than every real term; stands for the term at which a request was sent when that term is not known.
+/// Greater than every real term; used when the term at which a request was sent is not known.
 constexpr Term anyTerm{std::numeric_limits<std::uint64_t>::max(), std::numeric_limits<std::uint64_t>::max()};
 
 } // namespace
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -152,7 +152,7 @@
     /// The time at which the attempt answers without further input; nothing once it has answered.
     [[nodiscard]] std::optional<TimePoint> nextWake() const noexcept;
 
-    /// The number of times that the request was to be sent.
+    /// The number of SendWrite steps so far.
     [[nodiscard]] std::uint32_t sends() const noexcept
     {
         return sends_;
--- a/src/sessions/readrouter.cpp
+++ b/src/sessions/readrouter.cpp
@@ -13,7 +13,9 @@
 constexpr Milliseconds maxAcceptedAge = std::chrono::hours{24};
 /// The retry-after of reads for which no member was fresh enough or no primary was known.
 constexpr Milliseconds retryAfterNotFresh{50};
+/// The shortest wait for a replica before the read is routed again.
 constexpr Microseconds minReplicaWait{1'000};
+/// Deviations above a member's mean lag after which it is expected to have a log position.
 constexpr double lagMargin = 2;
 /// A stale reply raises the lag estimate to the lag that it proves plus this fraction (1/N) of it.
 constexpr int staleLagRaiseDivisor = 4;
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -45,7 +45,7 @@
     [[nodiscard]] bool operator==(const ReadFromMember &) const = default;
 };
 
-/// Route again when a report arrives, at the latest at `until`: a replica is expected to be fresh enough by then.
+/// Route again when a report arrives, or at `until`: a replica is expected to be fresh enough by then.
 struct AwaitReplica {
     TimePoint until;
 
@@ -87,7 +87,7 @@
 
     ReadRequirements requirements_;
     std::optional<LogPosition> required_;
-    /// Members that failed this read, and members whose reply was stale; bit N stands for the member at index N of the router's members.
+    /// Members that failed this read, and members whose reply was stale; bit N is for the member at index N of the router.
     std::uint32_t failedMembers_ = 0;
     std::uint32_t staleMembers_ = 0;
     /// The end of the wait for a replica; set at the first wait.
@@ -173,7 +173,7 @@
 
     /// Returns when \a position, which the primary has, is expected to be held and reported by a majority.
     ///
-    /// Returns nothing when too few replicas are usable to make up a majority. The result is an input of
+    /// Returns nothing when too few replicas are usable to form a majority. The result is an input of
     /// WriteAttempt::replicationExpected().
     [[nodiscard]] std::optional<TimePoint> replicationExpected(const LogPosition &position, TimePoint now) const;
 
--- a/tests/requests/test_attempt.cpp
+++ b/tests/requests/test_attempt.cpp
@@ -1,4 +1,4 @@
-// Tests of the at-most-once state machine: each rule by itself, then random interleavings against a small model of a group.
+// Tests of the at-most-once state machine: each rule alone, then random interleavings against a small model of a group.
 #include "requests/attempt.h"
 
 #include <criterion/criterion.h>
