--- a/src/base/result.h
+++ b/src/base/result.h
@@ -22,12 +22,12 @@
 class [[nodiscard]] Result
 {
 public:
-    Result(T value) // NOLINT(google-explicit-constructor): a function returns its value as it is
+    Result(T value) // NOLINT(google-explicit-constructor): lets a function return a plain value
         : state_(std::in_place_index<0>, std::move(value))
     {
     }
 
-    Result(Error error) // NOLINT(google-explicit-constructor): a function returns its error as it is
+    Result(Error error) // NOLINT(google-explicit-constructor): lets a function return a plain error
         : state_(std::in_place_index<1>, std::move(error))
     {
     }
--- a/src/groups/impl/membertracker.h
+++ b/src/groups/impl/membertracker.h
@@ -48,7 +48,7 @@
 
     /// True when the process is known to be down: it refused two connections within GroupPolicy::refusalWindow, without contact since.
     [[nodiscard]] bool isDown() const noexcept;
-    /// When the first of the counted refusals came.
+    /// Time of the first of the counted refusals.
     [[nodiscard]] TimePoint refusedAt() const noexcept;
     /// True when the time without contact has reached GroupPolicy::suspectAfter().
     [[nodiscard]] bool silent(const GroupPolicy &policy, bool primary, TimePoint now) const noexcept;
@@ -88,9 +88,11 @@
     TimePoint lastContactAt_;
     TimePoint logAdvancedAt_;
     bool everContacted_ = false;
+    /// Since when the log has been behind the primary's; none when it is not behind.
     std::optional<TimePoint> behindSince_;
     /// First contact after the last failure.
     TimePoint recoveredAt_;
+    /// Term of the last accepted follow order; none after a failed exchange.
     std::optional<Term> followedTerm_;
 
     /// Refusals since the last contact, at most 2 are counted.
@@ -98,6 +100,7 @@
     TimePoint refusedAt_;
 
     bool reportOutstanding_ = false;
+    /// True when an exchange has failed since the last contact, and until the first contact.
     bool failedSinceContact_ = true;
     TimePoint reportAllowedAt_;
     std::optional<OutstandingOrder> order_;
--- a/src/groups/impl/peerobservations.h
+++ b/src/groups/impl/peerobservations.h
@@ -1,4 +1,4 @@
-// Other owners' observations as evidence for or against a dead primary.
+// Other owners' observations of a primary, counted as votes on whether it is alive.
 #pragma once
 
 #include "base/ids.h"
--- a/src/groups/monitor.cpp
+++ b/src/groups/monitor.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// Lateness of an input beyond which this process itself counts as paused.
+/// An input that arrives later than its due time by more than this indicates that this process itself was paused.
 constexpr Milliseconds localPauseThreshold{20};
 /// Time allowed, after a pause of this process, for handling the replies received meanwhile.
 constexpr Milliseconds localPauseGrace{10};
-/// Pauses of this process from this length on are recorded as events.
+/// Pauses of this process of at least this length are recorded as events.
 constexpr Milliseconds recordedLocalPause{100};
 
 std::vector<MemberTracker> trackersFor(const std::vector<GroupMember> &members, TimePoint now)
@@ -53,7 +53,7 @@
 {
     beginInput(now);
     if (auto *tracker = find(member)) {
-        const bool premature = now - sentAt < policy_.reportWait(isPrimary(member)) && !tracker->reportAtOnce();
+        const bool premature = now - sentAt < policy_.reportWait(mayBePrimary(member)) && !tracker->reportAtOnce();
         const bool unchanged = tracker->report() == report;
         tracker->reportEnded(premature && unchanged ? now + policy_.idleReportGap : now);
         applyReport(*tracker, report, sentAt, now);
@@ -298,14 +298,14 @@
     return majorityOf(trackers_.size());
 }
 
-bool GroupMonitor::isPrimary(const MemberName &member) const noexcept
+bool GroupMonitor::mayBePrimary(const MemberName &member) const noexcept
 {
     return !primary_ || primary_->member == member;
 }
 
 bool GroupMonitor::silent(const MemberTracker &tracker, TimePoint now) const noexcept
 {
-    return tracker.silent(policy_, isPrimary(tracker.name()), now);
+    return tracker.silent(policy_, mayBePrimary(tracker.name()), now);
 }
 
 bool GroupMonitor::reachable(const MemberTracker &tracker, TimePoint now) const noexcept
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -23,8 +23,8 @@
 
 /// The state machine by which one owner decides about one group.
 ///
-/// Up to three owners run it for the same group and need not agree on anything: safety depends on the members'
-/// terms alone. Every input returns the resulting actions, in order. Inputs must not be concurrent, and their
+/// Up to three owners run it for the same group and need not agree on anything: safety depends only on the members'
+/// terms. Every input returns the resulting actions, in order. Inputs must not be concurrent, and their
 /// `now` must not decrease.
 ///
 /// Example of an I/O layer's loop:
@@ -117,7 +117,8 @@
     [[nodiscard]] MemberTracker *find(const MemberName &member) noexcept;
     [[nodiscard]] const MemberTracker *find(const MemberName &member) const noexcept;
     [[nodiscard]] std::size_t majority() const noexcept;
-    [[nodiscard]] bool isPrimary(const MemberName &member) const noexcept;
+    /// True for the primary and, while no primary is known, for every member.
+    [[nodiscard]] bool mayBePrimary(const MemberName &member) const noexcept;
     [[nodiscard]] bool silent(const MemberTracker &tracker, TimePoint now) const noexcept;
     [[nodiscard]] bool reachable(const MemberTracker &tracker, TimePoint now) const noexcept;
 
@@ -184,9 +185,11 @@
     PeerObservations peerObservations_;
     /// Consecutive promotions for stalled replication without a confirmed primary since.
     unsigned stalledPromotions_ = 0;
+    /// Time of the last QueryPeers.
     TimePoint peersQueriedAt_;
     /// True once SuspicionOverruled was recorded for the primary's current silence.
     bool overrulingRecorded_ = false;
+    /// When a pause of this process was last discounted.
     TimePoint lastDiscountedAt_;
 
     std::optional<PromotionTrigger> trigger_;
@@ -194,6 +197,7 @@
     TimePoint attemptAllowedAt_;
     /// End of the delay after a failed attempt.
     TimePoint backOffUntil_;
+    /// Consecutive abandoned attempts without a confirmed primary since.
     unsigned failedAttempts_ = 0;
     std::optional<Promotion> promotion_;
     Switchover switchover_;
@@ -206,6 +210,7 @@
     /// True when the primary was leaving at the last check, by its own report or by request.
     bool primaryWasLeaving_ = false;
 
+    /// When the next tick is due; an input later than this indicates a pause of this process.
     TimePoint wake_;
 };
 
--- a/src/groups/monitorattempt.cpp
+++ b/src/groups/monitorattempt.cpp
@@ -97,8 +97,8 @@
 {
     recordEvent(AuditEventKind::PromotionAbandoned, promotion_->candidate(), promotion_->term(), promotion_->plan().reason);
     promotion_.reset();
-    constexpr unsigned maxShift = 10;
-    const Microseconds maxBackOff = std::min(policy_.backOffMin * (1U << std::min(failedAttempts_, maxShift)), policy_.backOffMax);
+    constexpr unsigned maxDoublings = 10;
+    const Microseconds maxBackOff = std::min(policy_.backOffMin * (1U << std::min(failedAttempts_, maxDoublings)), policy_.backOffMax);
     ++failedAttempts_;
     const auto half = maxBackOff.count() / 2;
     const Microseconds backOff{half + static_cast<Microseconds::rep>(random_.below(static_cast<std::uint64_t>(half) + 1))};
--- a/src/groups/monitormaintenance.cpp
+++ b/src/groups/monitormaintenance.cpp
@@ -56,7 +56,7 @@
             continue;
         }
         tracker.reportSent();
-        const auto wait = tracker.reportAtOnce() ? Milliseconds{0} : policy_.reportWait(isPrimary(tracker.name()));
+        const auto wait = tracker.reportAtOnce() ? Milliseconds{0} : policy_.reportWait(mayBePrimary(tracker.name()));
         actions_.emplace_back(SendReport{tracker.name(), wait, policy_.probeTimeout});
     }
 }
@@ -133,8 +133,8 @@
         actions_.emplace_back(ResumeWrites{});
         return;
     }
-    constexpr unsigned maxShift = 3;
-    switchoverAllowedAt_ = now + policy_.switchoverRetry * (1U << std::min(abandonedSwitchovers_, maxShift));
+    constexpr unsigned maxDoublings = 3;
+    switchoverAllowedAt_ = now + policy_.switchoverRetry * (1U << std::min(abandonedSwitchovers_, maxDoublings));
     ++abandonedSwitchovers_;
     actions_.emplace_back(ResumeWrites{});
 }
@@ -143,7 +143,7 @@
 {
     wake_ = now + policy_.heartbeatInterval;
     for (const auto &tracker : trackers_) {
-        wakeAt(tracker.lastContactAt() + policy_.suspectAfter(isPrimary(tracker.name())), now);
+        wakeAt(tracker.lastContactAt() + policy_.suspectAfter(mayBePrimary(tracker.name())), now);
         if (const auto reportAt = tracker.nextReportAt()) {
             wakeAt(*reportAt, now);
         }
--- a/src/groups/monitorprimary.cpp
+++ b/src/groups/monitorprimary.cpp
@@ -1,4 +1,4 @@
-// The group monitor's cached primary, derived from members' reports alone.
+// Determines the group's primary, only from members' reports.
 #include "groups/monitor.h"
 
 #include <algorithm>
--- a/src/groups/monitortrigger.cpp
+++ b/src/groups/monitortrigger.cpp
@@ -27,8 +27,8 @@
     if (now < allowedAt) {
         return;
     }
-    const bool withoutPrimary = *reason == PromotionReason::PrimaryStalled;
-    if (reachableMembers(withoutPrimary ? primary_->member : MemberName{}, now) < majority()) {
+    const bool excludePrimary = *reason == PromotionReason::PrimaryStalled;
+    if (reachableMembers(excludePrimary ? primary_->member : MemberName{}, now) < majority()) {
         return;
     }
     startPromotion(*reason, trigger_->since, now);
@@ -140,8 +140,8 @@
 
 Microseconds GroupMonitor::replicationBound() const noexcept
 {
-    constexpr unsigned largestShift = 16;
-    const auto doubled = policy_.stallBound() * (1U << std::min(stalledPromotions_, largestShift));
+    constexpr unsigned maxDoublings = 16;
+    const auto doubled = policy_.stallBound() * (1U << std::min(stalledPromotions_, maxDoublings));
     return std::min(doubled, std::max(policy_.replicationBoundLimit, policy_.stallBound()));
 }
 
--- a/src/groups/policy.h
+++ b/src/groups/policy.h
@@ -33,9 +33,9 @@
     /// Upper limit of that bound, which doubles with each promotion that did not restore replication.
     Milliseconds replicationBoundLimit{30'000};
 
-    /// How long an owner waits for each owner of a lower rank.
+    /// Delay of an owner's attempt for each owner of a lower rank, which may act first.
     Milliseconds rankStagger{40};
-    /// Upper limit of the random addition to that wait, from rank 1 on.
+    /// Upper limit of the random addition to that delay, from rank 1 on.
     Milliseconds jitter{15};
     /// How long an attempt of another owner may take, from its observation, before it counts as abandoned.
     Milliseconds attemptPatience{60};
@@ -55,7 +55,8 @@
     Milliseconds holdLimit{1000};
     /// How long the primary's log must be stable while writes are paused, before a replica is promoted.
     Milliseconds quietTime{20};
-    /// Delay between two attempts at one switchover.
+    /// Delay before another switchover after an abandoned one, doubled with each further one up to eight times this value. Also the
+    /// delay after another owner's write pause.
     Milliseconds switchoverRetry{2000};
 
     /// The time without contact after which a member is suspected.
--- a/src/members/httpconnection.h
+++ b/src/members/httpconnection.h
@@ -35,10 +35,10 @@
     /// Orders the member to adopt \a term.
     [[nodiscard]] ConnectionResult<TermReply> adopt(Term term, Milliseconds timeout);
 
-    /// Orders the member to lead in \a term, which it must have adopted.
+    /// Orders the member to lead at \a term, which it must have adopted.
     [[nodiscard]] ConnectionResult<TermReply> lead(Term term, Milliseconds timeout);
 
-    /// Orders the member to replicate from \a primary at \a address in \a term.
+    /// Orders the member to follow \a primary, which listens at \a address, at \a term.
     [[nodiscard]] ConnectionResult<TermReply> follow(Term term, const MemberName &primary, const Address &address, Milliseconds timeout);
 
     /// Queries whether the request \a id is in the member's log.
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -11,7 +11,7 @@
 
 /// With more rumors than this, the next snapshot is fetched earlier, because it is cheaper and faster than the rumors.
 constexpr std::size_t rumorsForEarlySnapshot = 100;
-/// Random draws of a proxy before giving up.
+/// Number of random draws after which the search for a suitable proxy is given up until the next call.
 constexpr int maxDraws = 16;
 
 bool ownsGroups(ProxyState state)
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -1,6 +1,6 @@
-// Which proxies are alive, after SWIM: each pings another one per period, and updates travel on pings and their replies.
+// Which proxies are alive, by the SWIM protocol: each pings another one per period; pings and their replies carry the updates.
 //
-// Does no I/O: the I/O layer sends the returned messages and passes in the received ones, with the time.
+// Does no I/O: the I/O layer sends the returned messages and passes in the received ones with the current time.
 #pragma once
 
 #include "base/random.h"
@@ -54,7 +54,7 @@
 /// Update as it is disseminated: immutable, never null.
 using SharedUpdate = std::shared_ptr<const MemberUpdate>;
 
-/// What this proxy knows about a proxy.
+/// What this proxy knows about another proxy, or about itself.
 struct KnownProxy {
     SharedUpdate update;
     /// Revision up to which it is known to have all of the configuration; 0 when nothing is known.
@@ -218,9 +218,11 @@
         return name == options_.self.name;
     }
     [[nodiscard]] SharedUpdate ownUpdate() const;
+    /// Applies a received update; returns false if it is no newer than the known one or cannot be stored.
     bool applyUpdate(const SharedUpdate &update, TimePoint now);
     void applyMessage(const MembershipMessage &message, TimePoint now);
     void refute(const MemberUpdate &update, TimePoint now);
+    /// Replaces the known update of its proxy; returns false if the proxy is unknown and `options_.maxProxies` are tracked already.
     bool set(SharedUpdate update, TimePoint now);
     void disseminate(const InstanceName &name);
     void setState(const KnownProxy &proxy, ProxyState state, TimePoint now);
--- a/src/owner/controlworker.h
+++ b/src/owner/controlworker.h
@@ -29,6 +29,7 @@
     [[nodiscard]] bool add(Job job);
 
 private:
+    /// Upper limit of the waiting jobs.
     static constexpr std::size_t maxJobs = 256;
 
     void run();
--- a/src/owner/impl/groupcore.cpp
+++ b/src/owner/impl/groupcore.cpp
@@ -10,9 +10,13 @@
 
 namespace {
 
-constexpr Milliseconds checkTimeout{150};
+/// Timeout of the reports that a read index round requests.
+constexpr Milliseconds roundReportTimeout{150};
+/// How long another owner's earlier quota still counts as in use; see ConnectionQuota.
 constexpr Milliseconds quotaExpiry{5'000};
+/// Longest time between two iterations of the ticker.
 constexpr Milliseconds maxTickInterval{100};
+/// Number of rounds whose results are kept for threads that have yet to read them.
 constexpr std::size_t maxRoundResults = 64;
 
 std::vector<MemberName> namesOf(const std::vector<GroupMember> &members)
@@ -271,7 +275,7 @@
     startDueRounds();
 }
 
-// Read checks
+// Read index rounds
 
 void GroupCore::startDueRounds()
 {
@@ -289,16 +293,16 @@
     }
     if (const auto round = rounds.begin(now)) {
         roundStartedAt_[*round] = now;
-        sendChecks(*round);
+        requestRoundReports(*round);
     }
 }
 
-void GroupCore::sendChecks(RoundNumber /*round*/)
+void GroupCore::requestRoundReports(RoundNumber /*round*/)
 {
     for (auto &[name, member] : members) {
         (void)member->orderWorker.add([self = weak_from_this(), name = name](HttpControlConnection &connection) {
             const auto sentAt = steadyNow();
-            const auto result = connection.report(checkTimeout);
+            const auto result = connection.report(roundReportTimeout);
             const auto core = self.lock();
             const auto *report = std::get_if<MemberReport>(&result);
             if (!core || report == nullptr) {
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -49,7 +49,7 @@
         MemberConnections connections;
         /// Requests reports that wait for a change at the member.
         ControlWorker reportWorker;
-        /// Sends orders and read checks.
+        /// Sends orders and the report requests of read index rounds.
         ControlWorker orderWorker;
     };
 
@@ -69,7 +69,7 @@
     /// Applies a member's state from any reply to the trackers and wakes the threads that wait for it.
     void onState(const MemberName &member, const LogPosition &log, const Term &adopted, TimePoint sentAt);
 
-    /// Publishes the results of finished rounds of read checks and starts the next round if it is due.
+    /// Publishes the results of finished read index rounds and starts the next round if it is due.
     void startDueRounds();
 
     /// Performs the decisions of the admission queue.
@@ -99,7 +99,7 @@
     /// Waits until writes are no longer paused; returns false if \a deadline passes first.
     [[nodiscard]] bool waitForWrites(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
-    /// Waits for the result of the next round of read checks to begin; returns nothing if there is none by \a deadline.
+    /// Joins the next read index round and returns its result; nothing if there is none by \a deadline.
     [[nodiscard]] std::optional<RoundResult> confirmPrimary(std::unique_lock<std::mutex> &lock, TimePoint deadline);
 
     /// Returns the primary as an input for WriteAttempt; term 0 when there is none.
@@ -130,7 +130,8 @@
 
     /// Writes are paused until this time.
     TimePoint writesPausedUntil;
-    /// Threads that wait for a quorum; for another primary or the end of a write pause; for a report; for the result of a round.
+    /// Threads that wait, in the order of the lists: for a quorum; for another primary or the end of a write pause; for a report; for
+    /// the result of a round.
     WaitList quorumWaiters;
     WaitList primaryWaiters;
     WaitList reportWaiters;
@@ -151,7 +152,7 @@
     void updateRouter(const MemberReport &report);
     void sendReport(const SendReport &action);
     void sendOrder(const MemberName &member, OrderKind kind, const Term &term, const SendFollow *follow, Milliseconds timeout);
-    void sendChecks(RoundNumber round);
+    void requestRoundReports(RoundNumber round);
     void onPrimaryChanged(const PrimaryChanged &change);
     void refreshSlots();
     void runTicker();
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr Milliseconds queryTimeout{150};
+constexpr Milliseconds outcomeQueryTimeout{150};
+/// Longest wait for a change of the primary or for further replication before the next check.
 constexpr Milliseconds queryRetryInterval{40};
 
 Answer unknownOutcome(const std::string &reason)
@@ -82,7 +83,7 @@
     }
     HttpControlConnection connection(address, core_.options.identity);
     const auto sentAt = steadyNow();
-    const auto result = connection.outcome(statement_.requestId, queryTimeout);
+    const auto result = connection.outcome(statement_.requestId, outcomeQueryTimeout);
     const auto *reply = std::get_if<OutcomeReply>(&result);
     std::unique_lock lock(core_.mutex);
     if (reply == nullptr) {
--- a/src/owner/impl/writeflow.cpp
+++ b/src/owner/impl/writeflow.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Milliseconds outcomeTimeout{150};
+constexpr Milliseconds outcomeQueryTimeout{150};
 
 } // namespace
 
@@ -152,7 +152,7 @@
     const auto sentAt = steadyNow();
     lock_.unlock();
     const auto result = connection.outcome(statement_.requestId,
-                                           std::min(outcomeTimeout, std::max(Milliseconds{1}, wholeMilliseconds(deadline_ - sentAt))));
+                                           std::min(outcomeQueryTimeout, std::max(Milliseconds{1}, wholeMilliseconds(deadline_ - sentAt))));
     lock_.lock();
     const auto *reply = std::get_if<OutcomeReply>(&result);
     if (reply == nullptr) {
--- a/src/owner/memberconnections.cpp
+++ b/src/owner/memberconnections.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// Timeout of opening a connection to a member.
 constexpr Milliseconds openTimeout{250};
 
 } // namespace
--- a/src/trace/grouplines.h
+++ b/src/trace/grouplines.h
@@ -17,7 +17,7 @@
 
 namespace cardamomstep::trace {
 
-/// The version of the format, as it stands in the first line.
+/// The format version in the first line.
 inline constexpr std::string_view formatVersion = "cardamomstep/1";
 
 /// The arguments that a GroupMonitor was constructed with.
@@ -40,10 +40,10 @@
     std::optional<std::string> outcome;
 };
 
-/// \a action as JSON text; equal actions give equal texts.
+/// Returns \a action as JSON text; equal actions give equal texts.
 [[nodiscard]] std::string actionText(const GroupAction &action);
 
-/// \a primary as JSON text.
+/// Returns \a primary as JSON text, "null" if there is none.
 [[nodiscard]] std::string outcomeText(const std::optional<PrimaryInfo> &primary);
 
 /// Formats the first line.
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -251,7 +251,7 @@
     cr_assert((peerObservations.furthestLog(a, first) == LogPosition{first, 9}));
 }
 
-Test(groups, localPauseIsNotTakenForADeadPrimary)
+Test(groups, localPauseCausesNoSuspicion)
 {
     const GroupPolicy policy;
     const std::vector<GroupMember> members{{a, Address{"10.0.0.1:1"}}, {b, Address{"10.0.0.2:1"}}, {c, Address{"10.0.0.3:1"}}};
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -74,9 +74,9 @@
     cr_assert(holds);
 }
 
-Test(membership, rankIsThePlaceAmongTheOwners)
+Test(membership, rankIsTheIndexAmongTheOwners)
 {
-    const bool holds = rc::check("rank is the place among the owners", [] {
+    const bool holds = rc::check("rank is the index among the owners", [] {
         const InstanceSet set{fleetOf(*rc::gen::inRange<std::size_t>(1, 30))};
         std::vector<FailureDomain> domains{FailureDomain{"elsewhere"}};
         domains.insert(domains.end(), threeDomains.begin(), threeDomains.begin() + *rc::gen::inRange(0, 4));
--- a/tests/membership/test_view.cpp
+++ b/tests/membership/test_view.cpp
@@ -313,7 +313,7 @@
     cr_assert(fleet.views[4]->cannotRead({ObjectKind{"group"}, 1}).empty());
 }
 
-Test(view, leavingProxyOwnsNothingWithinSeconds)
+Test(view, leavingProxyOwnsNothingAfterFourSeconds)
 {
     SimulatedFleet fleet{7, 3};
     fleet.run(Seconds{5});
--- a/tests/trace/test_trace.cpp
+++ b/tests/trace/test_trace.cpp
@@ -240,7 +240,7 @@
     cr_assert(report->steps > 100);
 }
 
-Test(trace, firstDifferenceIsShownOnBothSides)
+Test(trace, replayReportsBothActionsOfTheFirstDifference)
 {
     const auto text = replaced(recordedSession(), "\"kind\":\"send-lead\",\"member\":\"m", "\"kind\":\"send-lead\",\"member\":\"x");
     std::istringstream in(text);
@@ -277,7 +277,7 @@
     cr_assert(report->difference->replayed.find("\"confirmed\":true") != std::string::npos);
 }
 
-Test(trace, otherVersionsAndBrokenLinesAreRefused)
+Test(trace, otherVersionsAndMalformedLinesAreRejected)
 {
     const auto text = recordedSession();
     cr_assert(replayText(replaced(text, "cardamomstep/1", "cardamomstep/2")).error().kind == ErrorKind::UnsupportedVersion);
