--- a/src/cli/impl/follow.cpp
+++ b/src/cli/impl/follow.cpp
@@ -35,7 +35,7 @@
                         cell(proxy, "revision"),
                         cell(proxy, "silenceMs") + " ms"});
     }
-    writeTable(out, {"INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "LAST CONTACT"}, rows);
+    writeTable(out, {"INSTANCE", "FAILURE DOMAIN", "STATE", "REVISION", "LAST HEARD"}, rows);
 }
 
 /// Writes the status of one session proxy and of its groups.
@@ -53,7 +53,7 @@
                         cell(group, "waiting"),
                         cell(group, "connectionsLent") + "/" + cell(group, "connections")});
     }
-    writeTable(out, {"GROUP", "PRIMARY", "GENERATION", "STATE", "WAITING", "CONNECTIONS IN USE"}, rows);
+    writeTable(out, {"GROUP", "PRIMARY", "GENERATION", "STATE", "WAITING", "CONNECTIONS LENT"}, rows);
 }
 
 /// Reads the status of a session proxy from its metrics \a address, which needs no token.
--- a/src/status/plans.cpp
+++ b/src/status/plans.cpp
@@ -61,12 +61,12 @@
 std::string_view planDetail(const PlanObservation &observation) noexcept
 {
     if (!observation.due) {
-        return "its start time has not come, or another plan of the group has precedence";
+        return "its time has not come, or another plan of the group goes first";
     }
     if (observation.isPrimary) {
         return "another member is being made primary";
     }
-    return observation.drained ? "the member may be stopped" : "waiting for statements in flight to finish";
+    return observation.drained ? "the member may be stopped" : "statements in flight finish";
 }
 
 } // namespace cardamomstep
