--- a/src/app/configurationservice.cpp
+++ b/src/app/configurationservice.cpp
@@ -115,7 +115,7 @@
 bool ConfigurationService::mayWriteToStore() const
 {
     const std::lock_guard lock(mutex_);
-    return gossip_.mayAccept(steadyNow());
+    return gossip_.mayAcceptChanges(steadyNow());
 }
 
 Revision ConfigurationService::revision() const
--- a/src/configuration/gossip.h
+++ b/src/configuration/gossip.h
@@ -19,7 +19,7 @@
 
 namespace cardamomstep {
 
-/// States that the store held nothing newer than `revision` at a time `age` ago.
+/// A confirmation by the store, `age` ago, that it held nothing newer than `revision`.
 struct StoreConfirmation {
     Revision revision;
     Milliseconds age{0};
@@ -72,7 +72,7 @@
 struct GossipOptions {
     InstanceName self;
     FailureDomain domain;
-    /// Time between two comparisons with a peer.
+    /// Time between two comparisons. A comparison exchanges digests with a peer, so that both learn which changes one of them lacks.
     Milliseconds comparisonInterval{1000};
     /// The number of proxies of each failure domain that watch the store.
     std::size_t watchersPerDomain = 6;
@@ -93,8 +93,9 @@
 /// One proxy's participation in the gossip of the configuration.
 ///
 /// In each failure domain a few proxies, chosen by rendezvous hashing, watch the store. Some more are intermediates: they compare with
-/// a watcher, and all others compare with an intermediate. New changes are pushed at once to random peers of the own failure domain;
-/// the proxy that received them from the store also pushes them to one watcher of other failure domains.
+/// a watcher, and all others compare with an intermediate; the watchers compare with watchers of other failure domains. New changes are
+/// pushed at once to random peers of the own failure domain. A proxy that received them from the store also pushes them to a watcher of
+/// one other failure domain, and its own writes to a watcher of each.
 class ConfigurationGossip
 {
 public:
@@ -132,7 +133,7 @@
     }
 
     /// Returns true when this proxy may write changes to the store: it is current and has contact with a majority of the failure domains.
-    [[nodiscard]] bool mayAccept(TimePoint now) const
+    [[nodiscard]] bool mayAcceptChanges(TimePoint now) const
     {
         return freshness_.state(now) == ConfigurationFreshnessState::Current && freshness_.hasMajorityContact(now);
     }
--- a/src/logging/boundedlog.h
+++ b/src/logging/boundedlog.h
@@ -13,7 +13,7 @@
 
 /// Bounds of a BoundedLog.
 struct BoundedLogLimits {
-    /// The buffer size from which on lines of every level are dropped and counted.
+    /// Once the buffer holds this many bytes, lines of every level are dropped and counted.
     std::size_t bufferBytes = std::size_t{192} << 10U;
     /// The most lines below LogLevel::Warning in one second; further ones are dropped and counted.
     std::uint32_t linesPerSecond = 400;
--- a/src/logging/impl/linetext.h
+++ b/src/logging/impl/linetext.h
@@ -10,7 +10,7 @@
 
 [[nodiscard]] std::string_view levelName(LogLevel level) noexcept;
 
-/// The current date and time in UTC with milliseconds, as "2026-01-31T08:05:09.123Z".
+/// Returns the current date and time in UTC with milliseconds, as "2026-01-31T08:05:09.123Z".
 [[nodiscard]] std::string timeNow();
 
 /// Appends \a value in the form of a key=value line: quoted as in JSON when it is empty or contains a space, an equals sign, a quote, a
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -23,7 +23,7 @@
 constexpr double percentile99 = 0.99;
 constexpr double microsecondsInMillisecond = 1000.0;
 
-/// \a name with \a suffix inserted before its labels.
+/// Returns \a name with \a suffix inserted before its labels.
 std::string withSuffix(const std::string &name, const std::string &suffix)
 {
     const auto brace = name.find('{');
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -32,10 +32,10 @@
     /// Adds one measured duration to a distribution.
     void observe(const std::string &name, Microseconds value);
 
-    /// The value of a counter; 0 when it doesn't exist.
+    /// Returns the value of a counter; 0 when it doesn't exist.
     [[nodiscard]] std::uint64_t counter(const std::string &name) const;
 
-    /// All values as text, one line each: counters, gauges, and for distributions count, mean, p50, p99 and max in milliseconds.
+    /// Returns all values as text, one line each: counters, gauges, and for distributions count, mean, p50, p99 and max in milliseconds.
     [[nodiscard]] std::string page() const;
 
 private:
--- a/src/operators/change.h
+++ b/src/operators/change.h
@@ -1,4 +1,4 @@
-// Checks proposed changes of records and defines the audit entries that they leave.
+// Checks proposed changes of records, creates their audit entries and selects entries for the history.
 #pragma once
 
 #include "operators/environment.h"
--- a/src/records/forms.cpp
+++ b/src/records/forms.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Time in which a proxy that has just started reports its forms.
+/// Retry-after while a proxy's forms are not known: one that has just started reports them within this time.
 constexpr Milliseconds defaultRetryAfter{500};
 
 } // namespace
--- a/src/records/impl/fieldreader.h
+++ b/src/records/impl/fieldreader.h
@@ -27,7 +27,7 @@
 class FieldReader
 {
 public:
-    /// True: this form reads, and checks its input.
+    /// True: FieldReader reads, and checks its input.
     static constexpr bool reads = true;
 
     /// Reads \a value at \a path; adds unknown fields to \a unknown, which must be an object.
@@ -44,7 +44,7 @@
         value = reader_.text(key, length);
     }
 
-    /// A text that is omitted when it is empty.
+    /// A text that is empty when it is missing; FieldWriter omits an empty one.
     void optionalText(const std::string &key, std::string &value, json::Length length)
     {
         value = reader_.optionalText(key, length).value_or(std::string());
--- a/src/records/impl/fieldwriter.h
+++ b/src/records/impl/fieldwriter.h
@@ -20,7 +20,7 @@
 class FieldWriter
 {
 public:
-    /// False: this form writes, and its input was checked before.
+    /// False: FieldWriter writes, and its input was checked before.
     static constexpr bool reads = false;
 
     /// Writes into \a target, which holds the unknown fields; a value that is not an object is replaced by an empty one.
--- a/src/records/record.h
+++ b/src/records/record.h
@@ -69,7 +69,7 @@
 /// ErrorKind::TooLarge; each holds line and key path. Unknown fields are not faults; the store client's field "writer" is skipped.
 [[nodiscard]] Checked<Record> readRecord(const std::string &fileName, std::string_view text);
 
-/// Reads a text that holds one record or an array of records; faults as of readRecord().
+/// Reads a text that holds one record or an array of records; faults as for readRecord().
 [[nodiscard]] Checked<std::vector<Record>> readRecords(const std::string &fileName, std::string_view text);
 
 /// Returns \a record as JSON text in its own schema version.
--- a/src/settings/sessionsettings.h
+++ b/src/settings/sessionsettings.h
@@ -41,7 +41,7 @@
     Milliseconds stopGrace{6000};
     /// Time between two heartbeats of a member in the store.
     Milliseconds memberHeartbeat{1200};
-    /// Time within which an accepted configuration is to be in force.
+    /// Time within which an accepted configuration must be in force.
     Milliseconds configurationDeadline{3000};
     LogLevel logLevel = LogLevel::Info;
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -72,6 +72,7 @@
     std::size_t bodyBytes = std::size_t{1} << 20U;
     /// The longest session token.
     std::size_t tokenBytes = 4096;
+    /// The most threads that handle callers' requests.
     unsigned threads = 200;
     /// The longest window that a request may specify.
     Milliseconds maxWindow{60'000};
@@ -81,7 +82,7 @@
 
 /// The conditions under which a primary counts as failed.
 struct FailoverSettings {
-    /// Time without contact after which a primary is replaced; a shorter pause never causes a promotion.
+    /// Time without contact after which a primary is replaced; a shorter silence never causes a promotion.
     Milliseconds silence{200};
     /// Time between two heartbeats.
     Milliseconds heartbeat{50};
--- a/src/store/impl/storejson.h
+++ b/src/store/impl/storejson.h
@@ -10,7 +10,7 @@
 
 namespace cardamomstep::impl {
 
-// Malformed replies are StoreUnavailable: the store gave no usable reply.
+// The error for a malformed reply is StoreUnavailable, as without any reply.
 
 /// Returns the version in the reply to a write, or nothing when there is none.
 [[nodiscard]] std::optional<Revision> parseVersion(std::string_view body);
--- a/src/store/object.h
+++ b/src/store/object.h
@@ -17,10 +17,10 @@
 using ObjectKind = StrongId<struct ObjectKindTag>;
 /// The name of an object, unique within its kind.
 using ObjectName = StrongId<struct ObjectNameTag>;
-/// Random identifier of one write, drawn anew by the writer for each write.
+/// Random identifier that the writer draws for each write.
 using WriterNonce = StrongId<struct WriterNonceTag>;
 
-/// A store-wide revision, which increases with each change of any object. 0 stands for "before all changes" or "absent".
+/// A store-wide revision, which increases with each change of any object. 0 means "before all changes" or "absent".
 struct Revision {
     std::uint64_t value = 0;
 
@@ -84,7 +84,7 @@
     Leaving,
 };
 
-/// An entry of the platform's instance list, which lags behind reality.
+/// An entry of the platform's instance list, which may be outdated.
 struct ListedInstance {
     /// Instance name; for endpoints, the member's name.
     std::string name;
--- a/src/store/storeclient.h
+++ b/src/store/storeclient.h
@@ -41,7 +41,8 @@
 /// Client of the store for the I/O layers.
 ///
 /// Each call blocks for at most its timeout. A call that the budget does not allow in that time is refused with StoreUnavailable and a
-/// retry-after. A read is sent again once when a kept connection turns out to be closed; WriteResolution determines the outcome of writes.
+/// retry-after. A read is sent again once when a reused connection turns out to be closed; WriteResolution determines the outcome of
+/// writes.
 ///
 /// Example:
 /// \code
--- a/tests/cli/test_cli.cpp
+++ b/tests/cli/test_cli.cpp
@@ -189,7 +189,7 @@
     cr_assert(run({"delete", "DatabaseGroup", "g", "--expect", "9"}).code == 3);
 }
 
-Test(cli, twoAppliesOfOneVersionHaveOneWinner)
+Test(cli, onlyOneOfTwoConcurrentAppliesOfOneVersionSucceeds)
 {
     Proxy proxy("127.0.0.1:18303");
     const Folder folder;
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -157,7 +157,7 @@
     ModelStore store;
     bool storeDown = false;
     std::shared_ptr<const InstanceSet> live;
-    /// Time of each change, and time at which it came into force on the latest proxy so far.
+    /// Time of each change, and the time at which it most recently came into force on a proxy.
     std::map<Revision, TimePoint> changedAt;
     std::map<Revision, TimePoint> lastInForceAt;
     std::map<std::int64_t, std::size_t> storeCallsBySecond;
--- a/tests/configuration/test_gossip.cpp
+++ b/tests/configuration/test_gossip.cpp
@@ -76,7 +76,7 @@
     fleet.run(Seconds{12});
     cr_assert(fleet.node(4).state().size() == 20);
     cr_assert(fleet.node(4).configurationFreshness(fleet.now()) == ConfigurationFreshnessState::StoreSilent);
-    cr_assert(!fleet.node(4).mayAccept(fleet.now()));
+    cr_assert(!fleet.node(4).mayAcceptChanges(fleet.now()));
 }
 
 Test(gossip, isolatedProxyStopsServingAndRecovers)
@@ -156,7 +156,7 @@
     std::size_t by = 0;
     std::string name;
     Revision revision;
-    /// Time since when a majority of the failure domains is known to hold it.
+    /// Time from which on a majority of the failure domains is known to hold it.
     std::optional<TimePoint> majorityHoldsSince;
 };
 
@@ -181,8 +181,8 @@
     return state == ConfigurationFreshnessState::Current || state == ConfigurationFreshnessState::StoreSilent;
 }
 
-/// Asserts that all serving proxies hold each change that a majority of the failure domains has held for the freshness limit plus the
-/// propagation time within a domain.
+/// Asserts that all serving proxies hold each change that a majority of the failure domains has held for at least `maxAge` plus
+/// `withinDomain`, the time that a change may take to reach all proxies of a failure domain.
 void assertServingProxiesHold(FleetModel &fleet, std::vector<AcceptedChange> &changes)
 {
     constexpr Seconds withinDomain{2};
@@ -206,10 +206,10 @@
 } // namespace
 
 // Failure domains are cut off from each other and from the store, and the store becomes unavailable, in any order.
-Test(gossip, servingProxiesHaveWhatAMajorityHeld)
+Test(gossip, servingProxiesHaveTheChangesHeldByAMajorityOfDomains)
 {
     setenv("RC_PARAMS", "max_success=300", 0);
-    const bool holds = rc::check("serving proxies have what a majority held", [] {
+    const bool holds = rc::check("serving proxies have the changes held by a majority of domains", [] {
         auto shape = smallFleet;
         shape.regions = 3;
         shape.valueBytes = 1;
@@ -220,7 +220,7 @@
         const auto steps = *rc::gen::inRange(0, 40);
         for (int step = 0; step < steps; ++step) {
             const auto by = *rc::gen::inRange<std::size_t>(0, fleet.size());
-            if (fleet.node(by).mayAccept(fleet.now()) && fleet.reachesStore(by)) {
+            if (fleet.node(by).mayAcceptChanges(fleet.now()) && fleet.reachesStore(by)) {
                 const auto name = "c" + std::to_string(step % 7);
                 changes.push_back({by, name, fleet.writeThrough(by, name), std::nullopt});
             }
@@ -313,7 +313,7 @@
     cr_assert(fleet.reverted == 0);
 }
 
-Test(gossip, regionCutOffForMinutesStopsServingAndCatchesUp)
+Test(gossip, regionPartitionedForMinutesStopsServingAndRecovers)
 {
     FleetModel fleet{largeFleet};
     warmUp(fleet, 5);
--- a/tests/configuration/test_state.cpp
+++ b/tests/configuration/test_state.cpp
@@ -82,7 +82,7 @@
     cr_assert(outdatedPeer.digest().sameContent(state.digest()));
 }
 
-Test(configuration, deltaAcrossAListingCarriesItsDeletions)
+Test(configuration, deltaAcrossAListingIncludesItsDeletions)
 {
     ConfigurationState state;
     ConfigurationState outdatedPeer;
--- a/tests/operators/test_operators.cpp
+++ b/tests/operators/test_operators.cpp
@@ -65,7 +65,7 @@
     cr_assert(fixture.send("GET", "/v1/status").status == 200);
 }
 
-Test(operators, acceptedRecordsCarryVersionAndChanges)
+Test(operators, answersToChangesHoldVersionsAndChangedFields)
 {
     Fixture fixture;
     const auto created = fixture.send("PUT", groupPath, groupText("g", 3), {{"x-operator", "ana"}});
@@ -81,7 +81,7 @@
     cr_assert(read["record"]["spec"]["slots"] == 4);
 }
 
-Test(operators, badRequestsHaveConstantErrorKinds)
+Test(operators, badRequestsAreAnsweredWithTheirErrorKind)
 {
     Fixture fixture;
     const std::string group = groupText("g", 3);
@@ -177,7 +177,7 @@
     }
 }
 
-Test(operators, everyChangeLeavesAnAuditEntry)
+Test(operators, everyChangeWritesAnAuditEntry)
 {
     Fixture fixture;
     fixture.send("PUT", groupPath, groupText("g", 1), {{"x-operator", "ana"}});
--- a/tests/records/test_catalog.cpp
+++ b/tests/records/test_catalog.cpp
@@ -149,7 +149,7 @@
     cr_assert(after->group(GroupName{"g"})->members.size() == 1);
 }
 
-Test(catalog, longestPrefixWins)
+Test(catalog, longestMatchingPrefixApplies)
 {
     auto intent = intentOf(1);
     intent.prefixes = {{"a", GroupName{"A"}}, {"a/b/c", GroupName{"ABC"}}, {"a/b", GroupName{"AB"}}, {"a/bz", GroupName{"ABZ"}}};
@@ -247,7 +247,7 @@
     cr_assert(checkRemoval(*catalog, {RecordKind::DatabaseGroup, RecordName{"g"}}).size() == 1);
 }
 
-Test(catalog, racingPlansTakeEffectInOrderOfVersion)
+Test(catalog, concurrentPlansTakeEffectInOrderOfVersion)
 {
     const auto catalog = Catalog::fromList({change("g", groupOf(3), 1), change("q", stop("m1"), 2), change("p", stop("m0"), 3)}, 3);
     cr_assert(leavingMembers(*catalog, GroupName{"g"}) == std::vector<MemberName>{MemberName{"m1"}});
--- a/tests/records/test_records.cpp
+++ b/tests/records/test_records.cpp
@@ -113,7 +113,7 @@
     cr_assert(contains(writeRecord(record), R"("capacity":{"connections":40,"serviceTimeMs":5,"slots":3})"));
 }
 
-Test(records, unknownFieldsSurviveARewrite)
+Test(records, unknownFieldsAreKeptWhenARecordIsRewritten)
 {
     auto record = *readRecord("f", groupV1);
     cr_assert(unknownFieldPaths(record) == (std::vector<std::string>{"owner", "spec.color", "spec.members[a].rack.row"}));
@@ -185,7 +185,7 @@
     cr_assert(readRecord("f", std::string(std::size_t{2} << 20U, ' ')).faults().at(0).kind == ErrorKind::TooLarge);
 }
 
-Test(records, arbitraryValuesNeverCrash)
+Test(records, readingArbitraryValuesNeverCrashes)
 {
     const bool holds = rc::check("mutated texts", [](std::uint64_t seed) {
         Random random{seed};
@@ -205,7 +205,7 @@
     cr_assert(holds);
 }
 
-Test(records, namesAreBounded)
+Test(records, namesAreLimitedInLengthAndCharacters)
 {
     for (const char *name : {"a", "A.b_c-9", "0"}) {
         cr_assert(isValidName(name));
--- a/tests/store/test_resolution.cpp
+++ b/tests/store/test_resolution.cpp
@@ -112,7 +112,7 @@
     cr_assert(outcome->version == Revision{2});
 }
 
-Test(resolution, lostRequestOvertakenByAnotherWriterIsAConflict)
+Test(resolution, lostRequestFollowedByAnotherWritersChangeIsAConflict)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
@@ -127,7 +127,7 @@
     cr_assert(outcome.error().currentVersion == 2);
 }
 
-Test(resolution, exactlyOneOfTwoRacingWritersWins)
+Test(resolution, exactlyOneOfTwoConcurrentWritersSucceeds)
 {
     ModelStore store;
     (void)store.apply(writeOver(store, "before"));
--- a/tests/store/test_storeclient.cpp
+++ b/tests/store/test_storeclient.cpp
@@ -140,7 +140,7 @@
     cr_assert(store.counts().resolved == 2);
 }
 
-Test(storeclient, exactlyOneOfRacingThreadsWins)
+Test(storeclient, exactlyOneOfConcurrentPutsSucceeds)
 {
     FakeStore fake{"127.0.0.1:18203"};
     StoreClient store{optionsFor("127.0.0.1:18203")};
