--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -79,6 +79,7 @@
     const auto pause = options.ratePerSecond > 0 ? Microseconds{static_cast<std::int64_t>(1e6 * options.callers / options.ratePerSecond)}
                                                  : Microseconds{0};
     auto due = steadyNow() + pause * index / options.callers;
+    // The prime stride makes each caller use all keys and prefixes.
     for (std::uint64_t number = index; steadyNow() < until; number += 7919) {
         if (pause.count() > 0) {
             std::this_thread::sleep_until(std::chrono::steady_clock::time_point(due.time_since_epoch()));
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -74,7 +74,7 @@
             replicas, primary = counts["read from replica"], counts["read from primary"]
             yield self.result(
                 seed=seed,
-                replica_share=share(replicas + load["reads_from_replicas"], replicas + primary + load["reads"]),
+                replica_share=fraction(replicas + load["reads_from_replicas"], replicas + primary + load["reads"]),
                 replica_share_possible=1.0,
                 replica_share_primary_only=0.0,
                 reads=replicas + primary + load["reads"],
@@ -120,7 +120,7 @@
                 completed[f"{factor}x"] = round(load["in_window_per_second"])
                 completed[f"{factor}x_answers"] = load["answers"]
         peak = max(completed[f"{factor}x"] for factor in (1, 2, 5))
-        yield self.result(capacity_per_second=round(capacity), completed=completed, least_of_peak=share(completed["5x"], peak))
+        yield self.result(capacity_per_second=round(capacity), completed=completed, least_of_peak=fraction(completed["5x"], peak))
 
     def overhead(self):
         """Latency of a write sent directly to a member and through each proxy, which may forward it to a second one; no emulated delays.
@@ -163,7 +163,7 @@
 
 
 def violations(workload):
-    """Checks the history of `workload`; returns the number of violations of each kind."""
+    """Checks the history of `workload`; returns the error text, if it has violations, and how often the text mentions each kind."""
     found = {"stale": 0, "lost": 0, "doubled": 0, "false_not_run": 0}
     try:
         workload.verify()
@@ -185,7 +185,7 @@
     raise SystemExit("bench: timed out while waiting")
 
 
-def share(part, whole):
+def fraction(part, whole):
     return round(part / whole, 4) if whole else None
 
 
@@ -208,14 +208,14 @@
     from processes import Connection
 
     connection = Connection(member.address, "bench/", 10)
-    connection.ask("POST", "/v1/open", {"client": "bench"}, {})
+    connection.send_request("POST", "/v1/open", {"client": "bench"}, {})
     term = member.report()["adopted"]
     latencies = []
     for number in range(count):
         call = {"exchange": str(number), "term": term, "write": True, "needsPrimary": True, "operation": "put", "key": key}
         call.update({"arguments": {"value": number}, "requestId": f"bench-{number}", "fingerprint": "1"})
         began = time.monotonic()
-        connection.ask("POST", "/v1/execute", call, {})
+        connection.send_request("POST", "/v1/execute", call, {})
         latencies.append((time.monotonic() - began) * 1000)
     return latencies
 
--- a/examples/quickstart/session.py
+++ b/examples/quickstart/session.py
@@ -13,7 +13,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 sys.path.insert(0, os.path.join(ROOT, "tests", "system"))
 
-from processes import Process, ask, wait_until  # noqa: E402
+from processes import Process, send_request, wait_until  # noqa: E402
 from standins import Member, Store  # noqa: E402
 
 EXAMPLES = os.path.join(ROOT, "examples")
@@ -53,16 +53,16 @@
         address = self.settings["peers"]["advertise"]
         return {"name": self.name, "domain": self.domain, "address": address, "role": "proxy", "state": "live"}
 
-    def ask(self, service, access, operation, key, arguments, session="", **more):
+    def send_statement(self, service, access, operation, key, arguments, session="", **more):
         """Sends one statement; returns (status, answer)."""
         body = {"access": access, "operation": operation, "key": key, "arguments": arguments, "windowMs": WINDOW_MS, **more}
         if session:
             body["session"] = session
-        return ask(self.callers, "POST", f"/v1/services/{service}/statements", body)
+        return send_request(self.callers, "POST", f"/v1/services/{service}/statements", body)
 
 
 class Quickstart:
-    """The processes of the quickstart; a context manager that stops them on exit."""
+    """The processes of the quickstart. Use it as a context manager: it stops them when the block ends."""
 
     def __init__(self, build):
         self.build = os.path.abspath(build)
@@ -100,7 +100,7 @@
             step(f"starting {proxy.name} in failure domain {proxy.domain}")
             proxy.process.start()
         for proxy in self.proxies:
-            wait_until(lambda: ask(proxy.callers, "GET", "/health", timeout=2)[0] == 200, f"{proxy.name} is healthy")
+            wait_until(lambda: send_request(proxy.callers, "GET", "/health", timeout=2)[0] == 200, f"{proxy.name} is healthy")
 
     def apply(self, folder, *options, **more):
         """Runs `cardamomstep apply` on a folder of records; returns its exit code."""
@@ -113,8 +113,8 @@
         self.wait_until_ready()
         step("waiting until the proxies have found each other and accept changes")
         first_record = os.path.join(RECORD_FOLDERS[0], "ledger-1.json")
-        quiet = {"stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL}
-        wait_until(lambda: self.apply(first_record, **quiet) == 0, "a record is applied", 20)
+        discard_output = {"stdout": subprocess.DEVNULL, "stderr": subprocess.DEVNULL}
+        wait_until(lambda: self.apply(first_record, **discard_output) == 0, "a record is applied", 20)
         for folder in RECORD_FOLDERS:
             step(f"cardamomstep apply -f {os.path.relpath(folder, ROOT)} --wait")
             if self.apply(folder, "--wait") != 0:
@@ -123,7 +123,7 @@
 
     def wait_until_ready(self):
         for proxy in self.proxies:
-            wait_until(lambda: ask(proxy.callers, "GET", "/ready", timeout=2)[0] == 200, f"{proxy.name} is ready")
+            wait_until(lambda: send_request(proxy.callers, "GET", "/ready", timeout=2)[0] == 200, f"{proxy.name} is ready")
 
     def primary(self, group):
         leading = [m for m in self.members[group] if m.process.is_running() and m.report()["role"] == "primary"]
@@ -137,11 +137,11 @@
         status, answer = send()
         return answer if status == 200 else None
 
-    return wait_until(attempt, what, patience=20)
+    return wait_until(attempt, what, max_wait_seconds=20)
 
 
 def write(proxy, service, key, item, session=""):
-    answer = until_ok(lambda: proxy.ask(service, "write", "append", key, {"item": item}, session, requestId=item), f"write of {item}")
+    answer = until_ok(lambda: proxy.send_statement(service, "write", "append", key, {"item": item}, session, requestId=item), f"write of {item}")
     step(f"wrote {item} to {service} through {proxy.name}: served by {answer['servedBy']} at {answer['mark']}")
     return answer["session"]
 
@@ -150,7 +150,7 @@
     """Reads until a replica serves the read; every answer must contain what the session wrote."""
 
     def attempt():
-        status, answer = proxy.ask(service, "read", "get", key, {}, session)
+        status, answer = proxy.send_statement(service, "read", "get", key, {}, session)
         if status != 200:
             return None
         value = answer["rows"][0]["value"] if answer["rows"] else []
@@ -158,7 +158,7 @@
             raise SystemExit(f"quickstart: FAILED: {proxy.name} read {value}, expected {expected}")
         return answer if answer["fromReplica"] else None
 
-    answer = wait_until(attempt, f"a replica of {service} answers", patience=20)
+    answer = wait_until(attempt, f"a replica of {service} answers", max_wait_seconds=20)
     step(f"read {expected} from {service} through {proxy.name}: served by replica {answer['servedBy']}")
 
 
--- a/standins/memberreplication.cpp
+++ b/standins/memberreplication.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+/// How long the primary may wait for new entries before it replies to a pull.
 constexpr Milliseconds pullWait{500};
 constexpr Milliseconds pullTimeout{2000};
 constexpr Milliseconds retryDelay{20};
--- a/standins/slotpool.h
+++ b/standins/slotpool.h
@@ -1,4 +1,4 @@
-// Counters of the slots and connections of a stand-in member.
+// Limits and counts the slots or connections of a stand-in member.
 #pragma once
 
 #include <algorithm>
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -34,6 +34,7 @@
         self.prepared = {}
         self.own_commit = None
         self.transaction = None
+        # Time just before the first statement of the open transaction.
         self.fresh_from = 0.0
         self.writes = []
 
@@ -43,12 +44,12 @@
     def close(self):
         self.wire.close()
 
-    async def ask(self, text, identifier=None):
+    async def send_statement(self, text, identifier=None):
         """Sends one statement; returns (rows, signature) or raises."""
         identifier = identifier or self.caller.next_id()
         sent_at = self.caller.clock()
         try:
-            return await self.wire.ask(identifier, text)
+            return await self.wire.send_statement(identifier, text)
         except SessionLost:
             self.caller.on_session_lost(self, identifier, sent_at)
             raise
@@ -67,7 +68,7 @@
         identifier = self.caller.next_id()
         self.record_sent_statement(identifier, text)
         try:
-            rows, signature = await self.ask(text, identifier)
+            rows, signature = await self.send_statement(text, identifier)
         except Refused as refusal:
             ids = [identifier] + (self.writes if self.transaction else [])
             known = [each for each in ids if each in self.caller.checker.sent]
@@ -95,8 +96,8 @@
         self.checker = checker
         self.clock = clock
         self.numbers = itertools.count(1)
-        self.served = []
-        self.failed = []
+        self.served_times = []
+        self.failed_times = []
 
     def next_id(self):
         return f"{self.name}-{next(self.numbers)}"
@@ -127,7 +128,7 @@
                     await self._operation(session)
                     await asyncio.sleep(self.random.uniform(0.0, 0.12))
             except (SessionLost, Refused):
-                self.failed.append(self.clock())
+                self.failed_times.append(self.clock())
                 await asyncio.sleep(self.random.uniform(0.02, 0.2))
             finally:
                 session.close()
@@ -146,31 +147,31 @@
                 session.acknowledged([await session.run(statements.write(self._item(), self._data()))])
             else:
                 await session.run(statements.read(self._item()))
-            self.served.append(self.clock())
+            self.served_times.append(self.clock())
         except Refused:
-            self.failed.append(self.clock())
+            self.failed_times.append(self.clock())
             await self._recover(session)
             await asyncio.sleep(self.random.uniform(0.02, 0.1))
 
     async def _recover(self, session):
-        """Brings the session back out of a failed transaction."""
+        """Ends a failed transaction, so that the session can be used again."""
         session.transaction, session.writes = None, []
         if not session.wire.is_idle():
-            await session.ask(statements.ROLLBACK)
+            await session.send_statement(statements.ROLLBACK)
 
     async def _set(self, session):
         name, value = self.random.choice(("tz", "who")), self._data()
-        await session.ask(statements.set_value(name, value))
+        await session.send_statement(statements.set_value(name, value))
         session.values[name] = value
 
     async def _prepared(self, session):
         access = self.random.choice((statements.READ, statements.WRITE))
         name = self.random.choice(("s1", "s2"))
         if name in session.prepared:
-            await session.ask(statements.deallocate(name))
+            await session.send_statement(statements.deallocate(name))
             del session.prepared[name]
         shape = f"q{self.random.randrange(4)}"
-        await session.ask(statements.prepare(name, access, shape))
+        await session.send_statement(statements.prepare(name, access, shape))
         session.prepared[name] = (access, shape)
         if access == statements.READ:
             await session.run(statements.execute(name, self._item()))
@@ -183,7 +184,7 @@
         session.fresh_from = self.clock()
         session.writes = []
         first = True
-        await session.ask(statements.begin(reads_only))
+        await session.send_statement(statements.begin(reads_only))
         for _ in range(self.random.randrange(1, 6)):
             if first:
                 session.fresh_from, first = self.clock(), False
@@ -196,7 +197,7 @@
         if ending < 0.06:
             raise SessionLost("abandons its transaction")
         if ending < 0.15:
-            await session.ask(statements.ROLLBACK)
+            await session.send_statement(statements.ROLLBACK)
             self.checker.record_refusal(session.writes, statements.ROLLED_BACK)
         else:
             await session.run(statements.COMMIT)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -141,23 +141,23 @@
     outage, for_s = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT)), world.random.uniform(1.0, 8.0)
     world.record_disturbance(for_s)
     world.store.outage = outage
-    world.store.writers_reach = world.random.random() < 0.5
+    world.store.members_reach_store = world.random.random() < 0.5
     await world.store.interrupt()
     await asyncio.sleep(for_s)
     world.store.outage = Outage.NONE
-    world.store.writers_reach = True
+    world.store.members_reach_store = True
 
 
 async def store_unavailable_for_some(world):
     """Makes the store unavailable for some proxies only."""
     for_s = world.random.uniform(1.0, 9.0)
     world.record_disturbance(for_s)
-    away = [proxy.name for proxy in world.fleet.proxies if world.random.random() < 0.4]
-    for name in away:
+    affected = [proxy.name for proxy in world.fleet.proxies if world.random.random() < 0.4]
+    for name in affected:
         world.store.caller_outages[name] = world.random.choice((Outage.BUSY, Outage.RESET, Outage.SILENT))
     await world.store.interrupt()
     await asyncio.sleep(for_s)
-    for name in away:
+    for name in affected:
         world.store.caller_outages.pop(name, None)
 
 
@@ -165,10 +165,10 @@
     """Makes the store apply some writes, at once or after a delay, without a reply."""
     for_s = world.random.uniform(1.0, 6.0)
     world.record_disturbance(for_s)
-    world.store.lost_writes = 0.35
-    world.store.late_write_delay_s = world.random.choice((0.0, 1.5, 5.0))
+    world.store.write_reply_loss_probability = 0.35
+    world.store.write_delay_s = world.random.choice((0.0, 1.5, 5.0))
     await asyncio.sleep(for_s)
-    world.store.lost_writes = 0.0
+    world.store.write_reply_loss_probability = 0.0
 
 
 async def store_slow(world):
@@ -206,18 +206,18 @@
     group, for_s = world.group(), world.random.uniform(1.0, 6.0)
     world.record_disturbance(for_s)
     replicas = [member for member in group.running() if member.role == "replica"]
-    deaf = world.random.sample(replicas, min(1, len(replicas)))
+    blocked = world.random.sample(replicas, min(1, len(replicas)))
     for replica in replicas:
         replica.lag_s = world.random.uniform(0.2, 1.5)
-    for replica in deaf:
-        replica.deaf = True
+    for replica in blocked:
+        replica.replication_blocked = True
     if world.random.random() < 0.4:
         await asyncio.sleep(for_s / 2)
         asyncio.ensure_future(member_crash(world))
     await asyncio.sleep(for_s / 2)
     for replica in replicas:
         replica.lag_s = group.lag_s
-        replica.deaf = False
+        replica.replication_blocked = False
 
 
 async def primary_cut_from_replicas(world):
@@ -236,9 +236,9 @@
     group, for_s = world.group(), world.random.uniform(1.0, 5.0)
     world.record_disturbance(for_s)
     member = world.random.choice(list(group.members.values()))
-    member.lost_answers = 0.05
+    member.reply_loss_probability = 0.05
     await asyncio.sleep(for_s)
-    member.lost_answers = 0.0
+    member.reply_loss_probability = 0.0
 
 
 async def replace_primary(world):
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -12,6 +12,7 @@
 FIRST_PORT = 12000
 PORTS_PER_PROXY = 8
 LISTENERS = ("callers", "readiness", "peers", "sessions", "metrics")
+# Interval and timeout of readiness probes.
 PROBE_S = 0.5
 STOP_GRACE_S = 6.0
 # A proxy counts as undisturbed this long after the last fault at any proxy or in the system.
--- a/tests/soak/guaranteechecker.py
+++ b/tests/soak/guaranteechecker.py
@@ -4,6 +4,7 @@
 
 from platform_standins import statements
 
+# Number of statements sent that are kept for comparison, to bound memory.
 RECENT_STATEMENTS = 200_000
 
 
@@ -48,7 +49,7 @@
     def add_violation(self, guarantee, description):
         self.violations.append(f"{guarantee}: {description}")
 
-    # Called for callers.
+    # Events at callers
 
     def record_sent(self, identifier, sent):
         self.sent[identifier] = sent
@@ -84,8 +85,9 @@
             if code in statements.NOTHING_KEPT and self.commits_of.get(identifier):
                 self.add_violation("false refusal", f"{identifier} was committed, but its caller got {code}")
 
-    # Called for members.
+    # Events at members
 
+    # Records a statement that a member ran, and compares it with what its caller sent.
     def ran(self, connection, identifier, text, access, signature, rows):
         member = connection.member
         sent = self.sent.get(identifier)
@@ -128,11 +130,13 @@
             if at < needed_before:
                 needed = commit
                 break
+        # Only the last 2000 commits are searched, to bound the cost.
         log = member.applied_commits()
         for commit, kind in ((needed, "acknowledged"), (sent.own_commit, "its session's own")):
             if commit is not None and commit not in self.waived and commit not in log[-2000:]:
                 self.add_violation("stale read", f"{identifier} at {member.name} ({member.role}) lacks {kind} commit {commit.position}")
 
+    # Records a commit that enough replicas received.
     def committed(self, member, commit):
         for identifier, _, _ in commit.writes:
             commits = self.commits_of.setdefault(identifier, [])
@@ -144,13 +148,14 @@
                 self.add_violation("false refusal", f"{identifier} was committed after its caller got {sent.result}")
 
     def ordered(self, holder, token):
-        """Records an order for a promotion and checks its fencing token."""
+        """Records a request for a promotion and checks its fencing token."""
         if token < self.last_token:
             self.add_violation("fencing token", f"{holder} ordered with {token} after {self.last_holder} with {self.last_token}")
         elif token == self.last_token and holder != self.last_holder:
             self.add_violation("fencing token", f"{holder} and {self.last_holder} share {token}")
         self.last_token, self.last_holder = token, holder
 
+    # Checks that a new primary has every acknowledged commit of its group.
     def promoted(self, group, member):
         self.counts["promotions"] += 1
         held_commits = set(member.log)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -153,7 +153,7 @@
         ]
         working = [asyncio.ensure_future(caller.work(lambda: self.faults_ended_at + RECOVERY_S)) for caller in callers]
         await asyncio.sleep(WARM_UP_S)
-        served_before = sum(len(caller.served) for caller in callers)
+        served_before = sum(len(caller.served_times) for caller in callers)
         if served_before == 0:
             self.checker.add_violation("start", "nothing was served before the first fault")
         world = faults.World(fleet, groups, store, promotions, self.checker, operator, self.clock, self.random)
@@ -168,15 +168,15 @@
 
     def _check_recovery(self, callers):
         since = self.faults_ended_at + RECOVERY_S - 3.0
-        served = sum(1 for caller in callers for at in caller.served if at >= since)
-        failed = sum(1 for caller in callers for at in caller.failed if at >= since)
+        served = sum(1 for caller in callers for at in caller.served_times if at >= since)
+        failed = sum(1 for caller in callers for at in caller.failed_times if at >= since)
         if served < 3 * failed or served == 0:
             self.checker.add_violation("recovery", f"{served} served and {failed} not in the last 3 s")
 
     def report(self, callers):
         """Prints the result of the run; returns the exit code."""
-        served = sum(len(caller.served) for caller in callers)
-        failed = sum(len(caller.failed) for caller in callers)
+        served = sum(len(caller.served_times) for caller in callers)
+        failed = sum(len(caller.failed_times) for caller in callers)
         violations = self.checker.violations
         print(f"seed {self.options.seed}: {served} operations served, {failed} not, {dict(self.checker.counts)}")
         calls = ", ".join(f"{count} {kind}" for kind, count in self.store.calls.most_common())
--- a/tests/system/callers.py
+++ b/tests/system/callers.py
@@ -33,7 +33,10 @@
 
 
 class Caller:
-    """One session of a service; it can continue through any proxy."""
+    """One session of a service; it can continue through any proxy.
+
+    `client_ms` is the emulated one-way delay between the caller and its proxy.
+    """
 
     def __init__(self, cluster, proxy=0, client_ms=0.0, timeout=60):
         self.cluster = cluster
@@ -85,7 +88,7 @@
         """Sends one request. A refused connection gives an answer with `ran` "no", a broken one an answer with `ran` "unknown"."""
         time.sleep(self.client_seconds)
         try:
-            status, answer, fields = self.connection.ask(method, f"/v1/services/{self.service}/{path}", body, headers)
+            status, answer, fields = self.connection.send_request(method, f"/v1/services/{self.service}/{path}", body, headers)
         except ConnectionRefusedError:
             self.connection.close()
             return Answer(0, {"ran": "no", "error": "caller-not-connected"}, {})
--- a/tests/system/checker.py
+++ b/tests/system/checker.py
@@ -149,7 +149,7 @@
 
 
 def uncommitted_items(read, uncommitted):
-    """Finds items that a read saw of another transaction than its own, although that one was never committed."""
+    """Finds items that a read saw although their transaction, not the read's own, was never committed."""
     seen = [item for items in read.seen.values() for item in items if item in uncommitted]
     foreign = [item for item in seen if uncommitted[item] != read.inside]
     text = f"session {read.session} saw at {read.start:.6f} an item that was never committed:"
--- a/tests/system/cluster.py
+++ b/tests/system/cluster.py
@@ -4,7 +4,7 @@
 import os
 import tempfile
 
-from processes import Process, ask, wait_until
+from processes import Process, send_request, wait_until
 from standins import Member, Relay, Store
 
 OPERATOR_TOKEN = "operator-token-of-the-tests"
@@ -27,7 +27,7 @@
         return self
 
     def is_ready(self):
-        return ask(self.callers, "GET", "/ready", timeout=2)[0] == 200
+        return send_request(self.callers, "GET", "/ready", timeout=2)[0] == 200
 
     def wait_until_ready(self):
         wait_until(lambda: self.is_ready() or not self.process.is_running(), f"{self.name} is ready", READY_TIMEOUT_SECONDS)
@@ -130,7 +130,7 @@
 
     def put_record(self, record):
         """Writes a record straight to the store, without the operators' interface; returns its version."""
-        status, answer = ask(self.store.address, "PUT", f"/v1/objects/{record['kind']}/{record['name']}", record)
+        status, answer = send_request(self.store.address, "PUT", f"/v1/objects/{record['kind']}/{record['name']}", record)
         assert status == 200, answer
         return answer["version"]
 
@@ -204,7 +204,7 @@
     def probe(self, group):
         path = f"/v1/services/{self.deployment.service}/statements"
         body = {"access": "write", "operation": "put", "key": f"{group}/probe", "arguments": {"value": 1}}
-        return ask(self.proxies[0].callers, "POST", path, body)[0] == 200
+        return send_request(self.proxies[0].callers, "POST", path, body)[0] == 200
 
     def stop(self):
         for process in [*self.proxies, *self.relays.values(), *self.all_members(), self.store]:
--- a/tests/system/deployments.py
+++ b/tests/system/deployments.py
@@ -5,7 +5,11 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """One deployment: failure domains, one service with its groups, and the network delays between domains."""
+    """One deployment: failure domains, one service with its groups, and the network delays between domains.
+
+    slots, connections, open_ms, service_ms: limits and times of each member, as in MemberOptions of standins/member.h.
+    between_domains_ms, to_clients_ms, store_ms: one-way network delays.
+    """
 
     name: str
     region: str
--- a/tests/system/processes.py
+++ b/tests/system/processes.py
@@ -68,7 +68,7 @@
         self.connection = http.client.HTTPConnection(address, timeout=timeout)
         self.sender = sender
 
-    def ask(self, method, path, body=None, headers=None):
+    def send_request(self, method, path, body=None, headers=None):
         """Sends one request; returns (status, JSON body, headers with names in lower case)."""
         fields = {"x-from": self.sender, "content-type": "application/json", **(headers or {})}
         text = body if body is None or isinstance(body, (str, bytes)) else json.dumps(body)
@@ -89,19 +89,19 @@
         return content.decode(errors="replace")
 
 
-def ask(address, method, path, body=None, headers=None, sender="test/", timeout=DEFAULT_TIMEOUT_SECONDS):
+def send_request(address, method, path, body=None, headers=None, sender="test/", timeout=DEFAULT_TIMEOUT_SECONDS):
     """Sends one request on a new connection; returns (status, JSON body)."""
     connection = Connection(address, sender, timeout)
     try:
-        status, answer, _ = connection.ask(method, path, body, headers)
+        status, answer, _ = connection.send_request(method, path, body, headers)
         return status, answer
     finally:
         connection.close()
 
 
-def wait_until(condition, what, patience=DEFAULT_TIMEOUT_SECONDS):
-    """Returns the first true value of `condition()`; network errors count as false. Fails after `patience` seconds."""
-    end = time.monotonic() + patience
+def wait_until(condition, what, max_wait_seconds=DEFAULT_TIMEOUT_SECONDS):
+    """Returns the first true value of `condition()`; network errors count as false. Fails after `max_wait_seconds` seconds."""
+    end = time.monotonic() + max_wait_seconds
     last_error = None
     while time.monotonic() < end:
         try:
@@ -114,6 +114,6 @@
     raise AssertionError(f"timed out waiting: {what} ({last_error})" if last_error else f"timed out waiting: {what}")
 
 
-def wait_until_serving(address, path, patience=DEFAULT_TIMEOUT_SECONDS):
+def wait_until_serving(address, path, max_wait_seconds=DEFAULT_TIMEOUT_SECONDS):
     """Waits until `path` at `address` answers with status 200."""
-    wait_until(lambda: ask(address, "GET", path, timeout=2)[0] == 200, f"{address}{path}", patience)
+    wait_until(lambda: send_request(address, "GET", path, timeout=2)[0] == 200, f"{address}{path}", max_wait_seconds)
--- a/tests/system/sessions.py
+++ b/tests/system/sessions.py
@@ -7,7 +7,7 @@
 
 from callers import Caller
 from cluster import OPERATOR_TOKEN
-from processes import ask
+from processes import send_request
 
 # Patterns of values that differ between runs, and their placeholders.
 PLACEHOLDERS = [
@@ -84,7 +84,7 @@
         ("another interface version", "POST", "/v9/services/ledger/statements", {}),
         ("no such path", "GET", "/v1/elsewhere", None),
     ]:
-        status, answer = ask(cluster.proxies[0].callers, method, path, body)
+        status, answer = send_request(cluster.proxies[0].callers, method, path, body)
         transcript.add_step(title, f"status {status}", json.dumps(answer, sort_keys=True))
     caller.close()
     return transcript.text()
--- a/tests/system/standins.py
+++ b/tests/system/standins.py
@@ -3,7 +3,7 @@
 import itertools
 import os
 
-from processes import Connection, Process, ask, wait_until, wait_until_serving
+from processes import Connection, Process, send_request, wait_until, wait_until_serving
 
 
 class Standin:
@@ -27,12 +27,12 @@
 
     def faults(self, **changes):
         """Merges `changes` into the active faults; returns the reply."""
-        status, answer = ask(self.control, "POST", "/control/faults", changes)
+        status, answer = send_request(self.control, "POST", "/control/faults", changes)
         assert status == 200, answer
         return answer
 
     def state(self):
-        return ask(self.control, "GET", "/control/state")[1]
+        return send_request(self.control, "GET", "/control/state")[1]
 
 
 class Member(Standin):
@@ -45,17 +45,17 @@
         super().__init__(build, "member", address, folder, name, options)
 
     def report(self):
-        return ask(self.address, "GET", "/v1/report")[1]
+        return send_request(self.address, "GET", "/v1/report")[1]
 
     def order(self, what, **body):
         """Sends the order adopt, lead or follow; returns whether the member accepted it."""
-        return ask(self.address, "POST", f"/v1/{what}", body)[1]["accepted"]
+        return send_request(self.address, "POST", f"/v1/{what}", body)[1]["accepted"]
 
     def follow(self, term, primary):
         return self.order("follow", term=term, primary=primary.name, address=primary.address)
 
     def outcome(self, request_id):
-        return ask(self.address, "POST", "/v1/outcome", {"requestId": request_id})[1]
+        return send_request(self.address, "POST", "/v1/outcome", {"requestId": request_id})[1]
 
     def rows(self):
         return self.state()["rows"]
@@ -68,7 +68,7 @@
         super().__init__(build, "store", address, folder, "store", list(options))
 
     def set_instances(self, instances):
-        status, answer = ask(self.address, "POST", "/control/instances", {"instances": instances})
+        status, answer = send_request(self.address, "POST", "/control/instances", {"instances": instances})
         assert status == 200, answer
 
 
@@ -87,13 +87,13 @@
 
     def __init__(self, member, sender="test/", timeout=60):
         self.connection = Connection(member.address, sender, timeout)
-        self.status, _, _ = self.connection.ask("POST", "/v1/open", {"client": sender})
+        self.status, _, _ = self.connection.send_request("POST", "/v1/open", {"client": sender})
 
     def call(self, path, term, operation="", key="", arguments=None, **more):
         """Sends one call under a new exchange id and returns the reply."""
         body = {"exchange": f"x{next(self.exchanges)}", "term": term, "operation": operation, "key": key}
         body.update({"arguments": arguments or {}, **more})
-        _, reply, _ = self.connection.ask("POST", f"/v1/{path}", body)
+        _, reply, _ = self.connection.send_request("POST", f"/v1/{path}", body)
         return reply
 
     def write(self, term, operation, key, arguments, request_id="", fingerprint="1", **more):
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -107,7 +107,7 @@
     check_equal(kinds(events, {"a": ["t1/a"], "b": ["t1/b"]}), {checker.MIXED_TRANSACTION}, "violations")
 
 
-def catches_foreign_statement_in_transaction():
+def catches_reads_of_uncommitted_items():
     never_committed = transaction("s", 0, "t1", ["k"], "no")
     never_committed.sent = False
     events = [never_committed, read("other", 2, ["t1/k"], inside="t2")]
@@ -177,7 +177,7 @@
     catches_doubled_effect,
     catches_partial_transaction,
     catches_partial_read,
-    catches_foreign_statement_in_transaction,
+    catches_reads_of_uncommitted_items,
     catches_false_not_run,
     catches_vanished_reads,
     catches_false_outcome,
--- a/tests/system/test_control.py
+++ b/tests/system/test_control.py
@@ -15,7 +15,7 @@
 from callers import Caller
 from cluster import OPERATOR_TOKEN, Cluster
 from deployments import NORTESOFT
-from processes import Connection, ask, wait_until
+from processes import Connection, send_request, wait_until
 from verdicts import check, check_equal, run_cases
 
 BUILD = sys.argv[1] if len(sys.argv) > 1 else "build"
@@ -34,7 +34,7 @@
     ]
     with Cluster(BUILD, BASE, deployment, proxies=PROXIES, settings={"seeds": seeds}) as cluster:
         for proxy in cluster.proxies:
-            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the forms that each proxy reads")
+            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the record forms that each proxy reads")
             spec = {"service": f"warm-{proxy.name}", "groups": list(deployment.groups)}
             intent = {"kind": "RoutingIntent", "name": f"warm-{proxy.name}", "schema": "v1", "spec": spec}
             wait_until(lambda proxy=proxy, intent=intent: put(proxy, intent, who="warm")[0] == 200, f"{proxy.name} accepts")
@@ -52,7 +52,7 @@
     fields.update({name.replace("_", "-"): str(value) for name, value in headers.items()})
     connection = Connection(proxy.operators)
     try:
-        status, answer, _ = connection.ask(method, path, body, fields)
+        status, answer, _ = connection.send_request(method, path, body, fields)
         return status, answer
     finally:
         connection.close()
@@ -78,7 +78,7 @@
 
 def stored(cluster, kind, name):
     """Returns the object in the store as (status, body)."""
-    return ask(cluster.store.address, "GET", f"/v1/objects/{kind}/{name}")
+    return send_request(cluster.store.address, "GET", f"/v1/objects/{kind}/{name}")
 
 
 def run_command(cluster, proxy, *arguments, who="maire"):
@@ -121,7 +121,7 @@
 # Cases
 
 
-def one_of_two_operators_wins():
+def one_of_two_concurrent_changes_is_accepted():
     with start() as cluster:
         for round_number in range(ROUNDS):
             _, current = stored(cluster, "DatabaseGroup", cluster.deployment.groups[0])
@@ -147,7 +147,7 @@
             check(str(now["version"]) in results[1 - winner][2], f"the loser's error states version {now['version']}: {results[1 - winner]}")
 
 
-def lost_store_answer_is_no_failure():
+def change_succeeds_although_the_store_reply_is_lost():
     with start() as cluster:
         for connections in range(18, 18 + ROUNDS):
             cluster.store.faults(loseAnswers=1)
@@ -163,7 +163,7 @@
         check_equal((len(versions), len(set(versions))), (ROUNDS, ROUNDS), "each record was written once")
 
 
-def accepted_record_outlives_the_store():
+def accepted_record_stays_in_force_without_the_store():
     with start() as cluster:
         group = cluster.deployment.groups[0]
         for mode in ("503", "silent"):
@@ -203,7 +203,7 @@
         check_equal(write_all(cluster, 1, 2), [], "failed statements at the restarted proxy")
 
 
-def configuration_never_goes_back():
+def configuration_never_reverts():
     """A proxy that restarts while the store is slow or unavailable must not bring back replaced or deleted records."""
     with start() as cluster:
         group = cluster.deployment.groups[0]
@@ -276,8 +276,8 @@
             check_equal(code, 0, errors)
             shown = json.loads(text)
             check_equal(shown["schema"], record["schema"], f"schema of {name}")
-            holder = shown["spec"] if record["schema"] == "v1" else shown["spec"]["capacity"]
-            holder["connections"] = 26
+            limits = shown["spec"] if record["schema"] == "v1" else shown["spec"]["capacity"]
+            limits["connections"] = 26
             file = write_file(cluster, "again", shown)
             code, _, errors = run_command(cluster, cluster.proxies[2], "apply", "-f", file)
             check_equal(code, 0, errors)
@@ -285,8 +285,8 @@
             check_equal(kept["schema"], record["schema"], f"stored schema of {name}")
             later = kept["spec"].get("laterField", kept["spec"].get("capacity", {}).get("laterLimit"))
             check_equal(later, 7 if record["schema"] == "v2" else {"deep": [1, 2]}, f"unknown field of {name}")
-            holder = kept["spec"] if record["schema"] == "v1" else kept["spec"]["capacity"]
-            check_equal(holder["connections"], 26, f"rewritten field of {name}")
+            limits = kept["spec"] if record["schema"] == "v1" else kept["spec"]["capacity"]
+            check_equal(limits["connections"], 26, f"rewritten field of {name}")
         check_equal(write_all(cluster, 1), [], "failed statements with both schemas in force")
 
 
@@ -350,8 +350,8 @@
         check_equal(history["entries"], [], "entries of refused changes")
 
 
-def starting_proxy_is_not_mistaken_for_an_old_release():
-    """A change while a proxy starts is accepted, or refused with a retry-after."""
+def change_while_a_proxy_starts_is_accepted_or_refused_temporarily():
+    """A change while a proxy starts is accepted, or refused with a retry-after: the starting proxy must not be taken for an old release."""
     with Cluster(BUILD, BASE, NORTESOFT, proxies=PROXIES) as cluster:
         for connections in range(18, 18 + ROUNDS):
             status, answer = put(cluster.proxies[0], first_group(cluster, connections=connections))
@@ -359,15 +359,15 @@
 
 
 CASES = [
-    one_of_two_operators_wins,
-    lost_store_answer_is_no_failure,
-    accepted_record_outlives_the_store,
+    one_of_two_concurrent_changes_is_accepted,
+    change_succeeds_although_the_store_reply_is_lost,
+    accepted_record_stays_in_force_without_the_store,
     proxy_starts_without_the_store,
-    configuration_never_goes_back,
+    configuration_never_reverts,
     both_schemas_and_unknown_fields,
     history_records_who_changed_what,
     refused_changes_write_nothing,
-    starting_proxy_is_not_mistaken_for_an_old_release,
+    change_while_a_proxy_starts_is_accepted_or_refused_temporarily,
 ]
 
 if __name__ == "__main__":
--- a/tests/system/test_failover.py
+++ b/tests/system/test_failover.py
@@ -19,7 +19,7 @@
 BASE = 23000
 FAILOVERS = 9
 WRITERS = 6
-BUSY_SECONDS = 0.2
+LOAD_BEFORE_KILL_SECONDS = 0.2
 WINDOW_MS = 10000
 
 
@@ -65,7 +65,7 @@
 
 
 def kill_and_write(cluster, primary, caller, key, number):
-    time.sleep(BUSY_SECONDS)
+    time.sleep(LOAD_BEFORE_KILL_SECONDS)
     began = time.monotonic()
     primary.process.kill()
     answer = caller.write("put", key, {"value": number}, windowMs=WINDOW_MS)
--- a/tests/system/test_golden.py
+++ b/tests/system/test_golden.py
@@ -10,7 +10,7 @@
 
 from cluster import OPERATOR_TOKEN, Cluster
 from deployments import KAHEKSA
-from processes import ask, wait_until
+from processes import send_request, wait_until
 from sessions import caller_session, operator_session
 from verdicts import check, run_cases
 
@@ -60,7 +60,7 @@
     headers = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
     for proxy in cluster.proxies:
         for method, body in (("PUT", record), ("DELETE", None)):
-            if ask(proxy.operators, method, "/v1/records/RoutingIntent/probe", body, headers=headers)[0] != 200:
+            if send_request(proxy.operators, method, "/v1/records/RoutingIntent/probe", body, headers=headers)[0] != 200:
                 time.sleep(PAUSE_SECONDS)
                 return False
     return True
--- a/tests/system/test_history.py
+++ b/tests/system/test_history.py
@@ -15,7 +15,7 @@
 BUILD = sys.argv[1] if len(sys.argv) > 1 else "build"
 SEED = int(sys.argv[2]) if len(sys.argv) > 2 else 1
 BASE = 26000
-CALM_SECONDS = 0.5
+FAULT_FREE_SECONDS = 0.5
 FAULT_SECONDS = 1.5
 
 
@@ -25,9 +25,9 @@
         rng = random.Random(SEED)
         with Workload(cluster, SEED, client_ms=deployment.to_clients_ms) as workload:
             for fault in faults:
-                time.sleep(CALM_SECONDS)
+                time.sleep(FAULT_FREE_SECONDS)
                 fault(cluster, workload, rng)
-            time.sleep(CALM_SECONDS)
+            time.sleep(FAULT_FREE_SECONDS)
         workload.verify()
         mixed = sum(member.state()["mixedStatements"] for member in cluster.all_members())
         check_equal(mixed, 0, "statements outside a transaction on its connection")
--- a/tests/system/test_promises.py
+++ b/tests/system/test_promises.py
@@ -17,6 +17,7 @@
 GROUP = KAHEKSA.groups[0]
 KEY = f"{GROUP}/h/0"
 READ_SECONDS = 1.0
+# Time window of a write while replication is stopped.
 UNCONFIRMED_WINDOW_MS = 3000
 # One connection for each owner of a group.
 ONE_CONNECTION_PER_OWNER = 3
@@ -58,7 +59,7 @@
             check(answer.ok and item in answer.value, f"read of {item} through another proxy: {answer}")
 
 
-def lost_answer_runs_once():
+def request_with_a_lost_answer_runs_once():
     with deployment() as cluster:
         cluster.primary(GROUP).faults(loseAnswers=1)
         caller = Caller(cluster)
@@ -94,7 +95,7 @@
         check_equal((answer.status, answer.error), (400, "invalid-token"), "read with a damaged token")
 
 
-def reads_show_nothing_that_vanishes():
+def items_that_were_read_survive_a_failover():
     with deployment() as cluster:
         writer, reader = Caller(cluster, 0), Caller(cluster, 1)
         check(writer.write("append", KEY, {"item": "i0"}, requestId="i0").ok, "first write")
@@ -113,7 +114,7 @@
         check_equal(missing, set(), "items that were read and are missing at the end")
 
 
-def new_primary_acknowledges_only_what_a_majority_holds():
+def new_primary_acknowledges_only_writes_on_a_majority():
     with deployment() as cluster:
         caller = Caller(cluster, 0)
         check(caller.write("append", KEY, {"item": "i0"}, requestId="i0").ok, "first write")
@@ -152,27 +153,27 @@
         check(answers[0].ok, f"the write that waited: {answers[0]}")
 
 
-def transaction_goes_on_while_a_write_waits_for_its_connection():
+def transaction_continues_while_a_write_waits_for_its_connection():
     with transaction_and_waiting_write() as (caller, transaction):
         inside = caller.write("append", KEY, {"item": "i1"}, transaction=transaction, windowMs=SHORT_WINDOW_MS)
         check(inside.ok, f"statement in the transaction: {inside}")
         check(caller.commit(transaction, "c1", windowMs=SHORT_WINDOW_MS).ok, "commit")
 
 
-def abandoned_transaction_gives_way_to_a_waiting_write():
+def abandoned_transaction_is_ended_for_a_waiting_write():
     with transaction_and_waiting_write() as (caller, _):
         caller.close()
 
 
 CASES = [
     session_sees_its_writes_through_every_proxy,
-    lost_answer_runs_once,
+    request_with_a_lost_answer_runs_once,
     reused_request_id_is_refused,
     damaged_token_is_refused,
-    reads_show_nothing_that_vanishes,
-    new_primary_acknowledges_only_what_a_majority_holds,
-    transaction_goes_on_while_a_write_waits_for_its_connection,
-    abandoned_transaction_gives_way_to_a_waiting_write,
+    items_that_were_read_survive_a_failover,
+    new_primary_acknowledges_only_writes_on_a_majority,
+    transaction_continues_while_a_write_waits_for_its_connection,
+    abandoned_transaction_is_ended_for_a_waiting_write,
 ]
 
 if __name__ == "__main__":
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -74,7 +74,7 @@
     check_equal(scenario.checker.violations, [], "violations")
 
 
-def catches_an_answer_of_no_member():
+def catches_an_answer_that_no_member_gave():
     scenario = Scenario()
     scenario.send("r1", "READ i")
     scenario.run("r1", "READ i")
@@ -82,7 +82,7 @@
     scenario.expect_violation("mixed answers")
 
 
-def catches_a_statement_nobody_sent():
+def catches_a_statement_that_was_never_sent():
     scenario = Scenario()
     scenario.run("r1", "READ i")
     scenario.expect_violation("unsent statement")
@@ -229,8 +229,8 @@
         run_cases(
             [
                 accepts_a_correct_run,
-                catches_an_answer_of_no_member,
-                catches_a_statement_nobody_sent,
+                catches_an_answer_that_no_member_gave,
+                catches_a_statement_that_was_never_sent,
                 catches_a_changed_statement,
                 catches_another_statement_under_a_prepared_name,
                 catches_values_of_another_session,
--- a/tests/system/test_standins.py
+++ b/tests/system/test_standins.py
@@ -6,7 +6,7 @@
 import tempfile
 import threading
 
-from processes import Connection, ask, wait_until
+from processes import Connection, send_request, wait_until
 from standins import DatabaseConnection, Member, Relay, Store, make_leader, wait_for_position
 from verdicts import check, check_equal, run_cases
 
@@ -43,7 +43,7 @@
 
 def put_object(name, value, version=None):
     headers = {} if version is None else {"if-match": str(version)}
-    status, answer = ask(address(10), "PUT", f"/v1/objects/Thing/{name}", value, headers)
+    status, answer = send_request(address(10), "PUT", f"/v1/objects/Thing/{name}", value, headers)
     return status, answer["version"]
 
 
@@ -58,7 +58,7 @@
             check_equal(member.rows(), {"list": list(range(20))}, member.name)
 
 
-def lagging_and_stuck_replicas_fall_behind():
+def stuck_replica_falls_behind_and_catches_up():
     with group() as (a, b, c):
         make_leader(a, [b, c], "1.a")
         wait_for_position(b, "1.a/1")
@@ -260,19 +260,19 @@
     with group() as (a, b, c):
         a.faults(cut=["proxy-1"])
         try:
-            ask(a.address, "GET", "/v1/report", sender="proxy-1/domain-1")
+            send_request(a.address, "GET", "/v1/report", sender="proxy-1/domain-1")
             check(False, "an answer to a cut instance")
         except CONNECTION_ERRORS:
             pass
-        check_equal(ask(a.address, "GET", "/v1/report", sender="proxy-2/domain-1")[0], 200, "another instance")
+        check_equal(send_request(a.address, "GET", "/v1/report", sender="proxy-2/domain-1")[0], 200, "another instance")
         a.faults(freeze=True)
         try:
-            ask(a.address, "GET", "/v1/report", timeout=1)
+            send_request(a.address, "GET", "/v1/report", timeout=1)
             check(False, "an answer while frozen")
         except TimeoutError:
             pass
         a.faults(freeze=False)
-        check_equal(ask(a.address, "GET", "/v1/report")[0], 200, "after the freeze")
+        check_equal(send_request(a.address, "GET", "/v1/report")[0], 200, "after the freeze")
 
 
 def state_survives_a_kill():
@@ -296,7 +296,7 @@
 
         def wait():
             path = "/v1/report?afterTerm=1.a&afterMark=1.a/1&afterRole=primary&afterLeaving=false&waitMs=30000"
-            seen.update(ask(a.address, "GET", path)[1])
+            seen.update(send_request(a.address, "GET", path)[1])
 
         thread = threading.Thread(target=wait)
         thread.start()
@@ -314,13 +314,13 @@
         check_equal(put_object("b", {"n": 1}), (200, 2), "unconditional")
         check_equal(put_object("a", {"n": 2}, 1), (200, 3), "update")
         check_equal(put_object("c", {"n": 1}, 1), (412, 0), "update of nothing")
-        check_equal(ask(address(10), "GET", "/v1/objects/Thing/a")[1]["value"], {"n": 2}, "value")
-        check_equal(ask(address(10), "DELETE", "/v1/objects/Thing/a", headers={"if-match": "1"})[0], 412, "delete of an old version")
-        check_equal(ask(address(10), "DELETE", "/v1/objects/Thing/a", headers={"if-match": "3"})[1]["version"], 4, "delete")
-        check_equal(ask(address(10), "GET", "/v1/objects/Thing/a")[0], 404, "deleted")
-        listed = ask(address(10), "GET", "/v1/objects")[1]
+        check_equal(send_request(address(10), "GET", "/v1/objects/Thing/a")[1]["value"], {"n": 2}, "value")
+        check_equal(send_request(address(10), "DELETE", "/v1/objects/Thing/a", headers={"if-match": "1"})[0], 412, "delete of an old version")
+        check_equal(send_request(address(10), "DELETE", "/v1/objects/Thing/a", headers={"if-match": "3"})[1]["version"], 4, "delete")
+        check_equal(send_request(address(10), "GET", "/v1/objects/Thing/a")[0], 404, "deleted")
+        listed = send_request(address(10), "GET", "/v1/objects")[1]
         check_equal((listed["revision"], [o["name"] for o in listed["objects"]]), (4, ["b"]), "list")
-        check_equal(ask(address(10), "PUT", "/v1/objects/Thing/big", '"' + "x" * (1 << 20) + '"')[0], 413, "large value")
+        check_equal(send_request(address(10), "PUT", "/v1/objects/Thing/big", '"' + "x" * (1 << 20) + '"')[0], 413, "large value")
 
 
 def store_watch_waits_and_drops_history():
@@ -328,7 +328,7 @@
         seen = {}
 
         def watch():
-            seen.update(ask(address(10), "GET", "/v1/watch?after=0&waitMs=30000")[1])
+            seen.update(send_request(address(10), "GET", "/v1/watch?after=0&waitMs=30000")[1])
 
         thread = threading.Thread(target=watch)
         thread.start()
@@ -336,11 +336,11 @@
         thread.join()
         check_equal([(e["name"], e["version"]) for e in seen["events"]], [("a", 1)], "events")
         put_object("a", {"n": 2})
-        ask(address(10), "DELETE", "/v1/objects/Thing/a")
-        later = ask(address(10), "GET", "/v1/watch?after=1&waitMs=0")[1]
+        send_request(address(10), "DELETE", "/v1/objects/Thing/a")
+        later = send_request(address(10), "GET", "/v1/watch?after=1&waitMs=0")[1]
         check_equal([e.get("deleted", False) for e in later["events"]], [False, True], "change and deletion")
-        ask(address(10), "POST", "/control/forget", {})
-        check_equal(ask(address(10), "GET", "/v1/watch?after=1&waitMs=0")[0], 410, "too old")
+        send_request(address(10), "POST", "/control/forget", {})
+        check_equal(send_request(address(10), "GET", "/v1/watch?after=1&waitMs=0")[0], 410, "too old")
 
 
 def store_loses_answers_and_has_outages():
@@ -352,21 +352,21 @@
         except CONNECTION_ERRORS:
             check_equal(put_object("a", {"n": 1}, 0), (412, 1), "the lost change took effect")
         running.faults(outage="503")
-        check_equal(ask(address(10), "GET", "/v1/objects")[0], 503, "refusing outage")
+        check_equal(send_request(address(10), "GET", "/v1/objects")[0], 503, "refusing outage")
         running.faults(outage="silent")
         try:
-            ask(address(10), "GET", "/v1/objects", timeout=1)
+            send_request(address(10), "GET", "/v1/objects", timeout=1)
             check(False, "an answer in a silent outage")
         except TimeoutError:
             pass
         running.faults(outage="")
-        check_equal(ask(address(10), "GET", "/v1/objects")[0], 200, "after the outage")
+        check_equal(send_request(address(10), "GET", "/v1/objects")[0], 200, "after the outage")
 
 
 def store_limits_rates_and_counts():
     with store("--writes-per-second", "5") as running:
         connection = Connection(address(10))
-        statuses = [connection.ask("PUT", "/v1/objects/Thing/a", "1")[0] for _ in range(100)]
+        statuses = [connection.send_request("PUT", "/v1/objects/Thing/a", "1")[0] for _ in range(100)]
         check(429 in statuses, "a write above the rate")
         writes = running.state()["writes"]
         check_equal((writes["total"], writes["refused"]), (100, statuses.count(429)), "counts")
@@ -377,7 +377,7 @@
         running.set_instances([{"name": "p1", "domain": "d", "address": "127.0.0.1:1", "state": "live"}])
         running.faults(lagMs=600000)
         running.set_instances([])
-        check_equal(len(ask(address(10), "GET", "/v1/instances")[1]["instances"]), 1, "length of the outdated list")
+        check_equal(len(send_request(address(10), "GET", "/v1/instances")[1]["instances"]), 1, "length of the outdated list")
 
 
 def relay_forwards_cuts_and_silences():
@@ -387,29 +387,29 @@
             relay.start()
             relay.faults(delayMs=2, jitterMs=1)
             old = Connection(relay.address, timeout=1)
-            check_equal(old.ask("GET", "/v1/objects")[0], 200, "through the relay")
+            check_equal(old.send_request("GET", "/v1/objects")[0], 200, "through the relay")
             relay.faults(silentOpen=True)
             try:
-                old.ask("GET", "/v1/objects")
+                old.send_request("GET", "/v1/objects")
                 check(False, "an answer on a silent connection")
             except TimeoutError:
                 pass
-            check_equal(ask(relay.address, "GET", "/v1/objects")[0], 200, "on a new connection")
+            check_equal(send_request(relay.address, "GET", "/v1/objects")[0], 200, "on a new connection")
             relay.faults(cut=True)
             try:
-                ask(relay.address, "GET", "/v1/objects")
+                send_request(relay.address, "GET", "/v1/objects")
                 check(False, "an answer through a cut relay")
             except CONNECTION_ERRORS:
                 pass
             relay.faults(cut=False)
-            check_equal(ask(relay.address, "GET", "/v1/objects")[0], 200, "after the cut")
+            check_equal(send_request(relay.address, "GET", "/v1/objects")[0], 200, "after the cut")
         finally:
             relay.stop()
 
 
 CASES = [
     replicates_to_followers,
-    lagging_and_stuck_replicas_fall_behind,
+    stuck_replica_falls_behind_and_catches_up,
     refuses_lower_terms,
     pull_of_higher_term_ends_leadership,
     request_id_runs_once,
--- a/tests/system/test_stops.py
+++ b/tests/system/test_stops.py
@@ -13,7 +13,7 @@
 from callers import Caller
 from cluster import OPERATOR_TOKEN, Cluster
 from deployments import NORTESOFT
-from processes import Connection, ask, wait_until
+from processes import Connection, send_request, wait_until
 from verdicts import check, check_equal, run_cases
 from workload import Workload
 
@@ -21,21 +21,23 @@
 SEED = int(sys.argv[2]) if len(sys.argv) > 2 else 1
 BASE = 25000
 PROXIES = 3
+# A leaving member must receive no new work this long after the order to leave.
 LEAVING_SECONDS = 3
+# How long the test checks that it receives none.
 WATCHED_SECONDS = 2
 STATEMENT_WINDOW_MS = 5000
 
 
 @contextlib.contextmanager
 def start(deployment=NORTESOFT):
-    """Runs a cluster whose proxies know the forms that each of them reads and have each other's addresses as seeds."""
+    """Runs a cluster whose proxies have each other's addresses as seeds and know which record forms (kind and schema) each one reads."""
     seeds = [
         {"name": f"proxy-{number + 1}", "failureDomain": deployment.domains[number], "address": f"127.0.0.1:{BASE + 30 + number}"}
         for number in range(PROXIES)
     ]
     with Cluster(BUILD, BASE, deployment, proxies=PROXIES, settings={"seeds": seeds}) as cluster:
         for proxy in cluster.proxies:
-            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the forms that each proxy reads")
+            wait_until(lambda proxy=proxy: knows_all_forms(proxy), f"{proxy.name} knows the record forms that each proxy reads")
         yield cluster
 
 
@@ -43,7 +45,7 @@
     """Sends one request to the operators' address; returns (status, JSON body)."""
     connection = Connection(proxy.operators)
     try:
-        status, answer, _ = connection.ask(method, path, body, {"authorization": f"Bearer {OPERATOR_TOKEN}", "x-operator": "maire"})
+        status, answer, _ = connection.send_request(method, path, body, {"authorization": f"Bearer {OPERATOR_TOKEN}", "x-operator": "maire"})
         return status, answer
     finally:
         connection.close()
@@ -100,7 +102,7 @@
     Sessions of the workload write the same rows, and a member rolls one of two conflicting transactions back, also without
     faults: these answers are no failures.
     """
-    expected = ("transaction statement-failed", "transaction given up: ok", "read from primary", "read from replica")
+    expected = ("transaction statement-failed", "transaction abandoned: ok", "read from primary", "read from replica")
     return {name: count for name, count in workload.answers().items() if not name.endswith(" ok") and name not in expected}
 
 
@@ -197,7 +199,7 @@
         check_equal(status, 200, f"the first plan: {answer}")
         status, answer = put_plan(cluster, "stop-second", group, second)
         check_equal((status, answer.get("error")), (409, "plan-refused"), f"the second plan: {answer}")
-        check_equal(ask(cluster.store.address, "GET", "/v1/objects/StopPlan/stop-second")[0], 404, "the second plan in the store")
+        check_equal(send_request(cluster.store.address, "GET", "/v1/objects/StopPlan/stop-second")[0], 404, "the second plan in the store")
         other = cluster.deployment.groups[1]
         status, answer = put_plan(cluster, "stop-other", other, cluster.replicas(other)[0])
         check_equal(status, 200, f"a plan of another group: {answer}")
--- a/tests/system/workload.py
+++ b/tests/system/workload.py
@@ -142,7 +142,7 @@
         event.end = time.monotonic()
         event.ran, event.sent = "no", False
         self.events.append(event)
-        self.answers[f"transaction given up: {answer.error or 'ok'}"] += 1
+        self.answers[f"transaction abandoned: {answer.error or 'ok'}"] += 1
         self.caller.rollback(transaction, windowMs=WINDOW_MS)
 
     def resolve(self):
@@ -170,6 +170,7 @@
         self.client_ms = client_ms
         self.keys = history_keys(cluster.deployment)
         self.stopping = threading.Event()
+        # Numbers of the proxies that sessions must not use.
         self.avoided = set()
         self.sessions = [Session(self, number) for number in range(sessions)]
 
