--- a/src/app/configurationservice.h
+++ b/src/app/configurationservice.h
@@ -4,7 +4,7 @@
 #include "app/fwd.h"
 #include "app/periodic.h"
 #include "app/taskpool.h"
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 #include "peer/client.h"
 #include "records/catalog.h"
 #include "store/storeclient.h"
--- a/src/app/peersightings.cpp
+++ b/src/app/observationexchange.cpp
@@ -1,5 +1,5 @@
 // Sends and answers sightings of groups.
-#include "app/peersightings.h"
+#include "app/observationexchange.h"
 
 #include <utility>
 #include <variant>
--- a/src/app/planwatch.cpp
+++ b/src/app/planmonitor.cpp
@@ -1,5 +1,5 @@
 // Decides for each due plan how far it has come.
-#include "app/planwatch.h"
+#include "app/planmonitor.h"
 
 #include "logging/log.h"
 
--- a/src/app/planwatch.h
+++ b/src/app/planmonitor.h
@@ -1,8 +1,8 @@
 // Follows stop plans of members: moves their leadership away and tells when they are quiet.
 #pragma once
 
+#include "app/observationexchange.h"
 #include "app/ownership.h"
-#include "app/peersightings.h"
 #include "app/statuswriter.h"
 #include "owner/transactions.h"
 
--- a/src/app/proxy.cpp
+++ b/src/app/proxy.cpp
@@ -3,11 +3,11 @@
 
 #include "app/configurationservice.h"
 #include "app/membershipservice.h"
+#include "app/observationexchange.h"
 #include "app/operatorenvironment.h"
 #include "app/ownership.h"
-#include "app/peersightings.h"
 #include "app/periodic.h"
-#include "app/planwatch.h"
+#include "app/planmonitor.h"
 #include "app/statuswriter.h"
 #include "app/taskpool.h"
 #include "entry/callerapi.h"
--- a/src/base/mark.cpp
+++ b/src/base/logposition.cpp
@@ -1,5 +1,5 @@
 // Text forms of terms and marks.
-#include "base/mark.h"
+#include "base/logposition.h"
 
 #include <charconv>
 #include <optional>
--- a/src/cli/impl/explain.cpp
+++ b/src/cli/impl/explain.cpp
@@ -2,7 +2,7 @@
 #include "cli/commandline.h"
 #include "cli/exitcode.h"
 #include "cli/impl/commands.h"
-#include "cli/story.h"
+#include "cli/requesttimeline.h"
 
 #include <fstream>
 
--- a/src/cli/story.cpp
+++ b/src/cli/requesttimeline.cpp
@@ -1,5 +1,5 @@
 // Finds a request's lines in logs.
-#include "cli/story.h"
+#include "cli/requesttimeline.h"
 
 #include <algorithm>
 #include <set>
--- a/src/configuration/currency.cpp
+++ b/src/configuration/configurationfreshness.cpp
@@ -1,5 +1,5 @@
 // Ages of confirmations and signs of life.
-#include "configuration/currency.h"
+#include "configuration/configurationfreshness.h"
 
 #include <algorithm>
 
--- a/src/configuration/spread.cpp
+++ b/src/configuration/gossip.cpp
@@ -1,5 +1,5 @@
 // Roles, exchanges and pushes of ConfigurationSpread.
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/configuration/spread.h
+++ b/src/configuration/gossip.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "base/random.h"
-#include "configuration/currency.h"
+#include "configuration/configurationfreshness.h"
 #include "configuration/state.h"
 #include "membership/rendezvous.h"
 #include "store/watchresume.h"
--- a/src/connections/share.cpp
+++ b/src/connections/quota.cpp
@@ -1,5 +1,5 @@
 // Division of a member's connection limit among its holders.
-#include "connections/share.h"
+#include "connections/quota.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -1,9 +1,9 @@
 // What session proxies tell each other, as plain values.
 #pragma once
 
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
 #include "leadership/record.h"
-#include "store/catalogmarks.h"
+#include "store/catalogrevisions.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/gateway/catalogfollower.h
+++ b/src/gateway/catalogwatcher.h
@@ -3,12 +3,12 @@
 
 #include "base/hash.h"
 #include "evloop/clock.h"
-#include "gateway/follower.h"
+#include "gateway/storewatcher.h"
 #include "logging/log.h"
 #include "relay/directory.h"
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 #include "settings/sessionsettings.h"
-#include "store/catalogmarks.h"
+#include "store/catalogrevisions.h"
 
 #include <boost/asio.hpp>
 
--- a/src/gateway/leadercontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "fleet/client.h"
-#include "leadership/lease.h"
-#include "leadership/viewbook.h"
-#include "leadership/viewtree.h"
+#include "leadership/fleetlease.h"
+#include "leadership/primarytable.h"
+#include "leadership/renewaltree.h"
 #include "logging/log.h"
 #include "relay/engine.h"
 #include "settings/sessionsettings.h"
--- a/src/gateway/leadershell.h
+++ b/src/gateway/leadershipservice.h
@@ -3,15 +3,15 @@
 
 #include "evloop/clock.h"
 #include "fleet/server.h"
-#include "gateway/follower.h"
-#include "gateway/groupmoves.h"
-#include "gateway/leadercontext.h"
-#include "gateway/leasekeeper.h"
-#include "gateway/membercontrols.h"
-#include "gateway/primarywatch.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/leasemanager.h"
+#include "gateway/membercontrolconnections.h"
+#include "gateway/primarychanges.h"
+#include "gateway/primarymonitor.h"
+#include "gateway/primarytablesync.h"
 #include "gateway/proxymetrics.h"
 #include "gateway/proxyregistry.h"
-#include "gateway/viewkeeper.h"
+#include "gateway/storewatcher.h"
 #include "leadership/recordjson.h"
 
 #include <map>
--- a/src/gateway/leasekeeper.h
+++ b/src/gateway/leasemanager.h
@@ -3,7 +3,7 @@
 
 #include "evloop/clock.h"
 #include "fleet/messages.h"
-#include "gateway/leadercontext.h"
+#include "gateway/leadershipcontext.h"
 #include "leadership/recordjson.h"
 
 #include <functional>
--- a/src/gateway/membercontrol.h
+++ b/src/gateway/membercontrolconnection.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/memberlink.h"
+#include "gateway/memberconnection.h"
 #include "relay/directory.h"
 
 #include <deque>
--- a/src/gateway/membercontrols.h
+++ b/src/gateway/membercontrolconnections.h
@@ -1,8 +1,8 @@
 // The control connections of the lease's holder, one to each member.
 #pragma once
 
-#include "gateway/leadercontext.h"
-#include "gateway/membercontrol.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/membercontrolconnection.h"
 
 #include <map>
 #include <memory>
--- a/src/gateway/groupmoves.h
+++ b/src/gateway/primarychanges.h
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/leadercontext.h"
-#include "gateway/membercontrols.h"
-#include "gateway/primarywatch.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/membercontrolconnections.h"
+#include "gateway/primarymonitor.h"
+#include "gateway/primarytablesync.h"
 #include "gateway/proxyregistry.h"
-#include "gateway/viewkeeper.h"
-#include "leadership/promotion.h"
+#include "leadership/primarychange.h"
 #include "leadership/recordjson.h"
 
 #include <algorithm>
--- a/src/gateway/primarywatch.h
+++ b/src/gateway/primarymonitor.h
@@ -3,10 +3,10 @@
 
 #include "evloop/clock.h"
 #include "fleet/messages.h"
-#include "gateway/leadercontext.h"
-#include "gateway/membercontrols.h"
-#include "gateway/sighting.h"
-#include "leadership/suspicion.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/membercontrolconnections.h"
+#include "gateway/primaryobservation.h"
+#include "leadership/primaryfailuredetector.h"
 
 #include <map>
 #include <optional>
--- a/src/gateway/sighting.h
+++ b/src/gateway/primaryobservation.h
@@ -1,8 +1,8 @@
 // What this process' own statements tell of a group's primary.
 #pragma once
 
+#include "leadership/primaryfailuredetector.h"
 #include "leadership/record.h"
-#include "leadership/suspicion.h"
 #include "relay/engine.h"
 
 namespace cardamomstep::gateway {
--- a/src/gateway/viewkeeper.h
+++ b/src/gateway/primarytablesync.h
@@ -3,10 +3,10 @@
 
 #include "evloop/clock.h"
 #include "fleet/messages.h"
-#include "gateway/leadercontext.h"
-#include "gateway/leasekeeper.h"
+#include "gateway/leadershipcontext.h"
+#include "gateway/leasemanager.h"
+#include "gateway/primaryobservation.h"
 #include "gateway/proxyregistry.h"
-#include "gateway/sighting.h"
 #include "leadership/recordjson.h"
 
 #include <algorithm>
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "gateway/leadercontext.h"
-#include "leadership/attendance.h"
+#include "gateway/leadershipcontext.h"
+#include "leadership/proxyliveness.h"
 #include "leadership/recordjson.h"
 #include "membership/rendezvous.h"
 
--- a/src/gateway/sessionplacement.h
+++ b/src/gateway/sessionplacement.h
@@ -5,7 +5,7 @@
 #include "gateway/forwardtarget.h"
 #include "membership/rendezvous.h"
 #include "relay/engine.h"
-#include "relay/placement.h"
+#include "relay/poolplacement.h"
 
 #include <map>
 #include <optional>
--- a/src/gateway/follower.h
+++ b/src/gateway/storewatcher.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "evloop/clock.h"
-#include "store/missednews.h"
+#include "store/missedchangedetector.h"
 #include "store/watchresume.h"
 
 #include <utility>
--- a/src/groups/impl/memberwatch.cpp
+++ b/src/groups/impl/membertracker.cpp
@@ -1,5 +1,5 @@
 // Merging of member reports and the timing of what is asked of one member.
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/groups/impl/suspicion.cpp
+++ b/src/groups/impl/peerobservations.cpp
@@ -1,5 +1,5 @@
 // Bookkeeping of other owners' sightings.
-#include "groups/impl/suspicion.h"
+#include "groups/impl/peerobservations.h"
 
 #include <algorithm>
 
--- a/src/groups/impl/suspicion.h
+++ b/src/groups/impl/peerobservations.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 
 #include <cstddef>
 #include <vector>
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -2,16 +2,16 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/random.h"
 #include "base/time.h"
 #include "groups/action.h"
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
 #include "groups/member.h"
+#include "groups/peerobservation.h"
 #include "groups/policy.h"
-#include "groups/sighting.h"
 #include "groups/switchover.h"
 #include "members/member.h"
 
--- a/src/groups/coverage.cpp
+++ b/src/groups/quorumstate.cpp
@@ -1,5 +1,5 @@
 // Counting of members that hold an entry.
-#include "groups/coverage.h"
+#include "groups/quorumstate.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/groups/coverage.h
+++ b/src/groups/quorumstate.h
@@ -1,7 +1,7 @@
 // Whether a log entry is held by a majority of a group's members, and so outlives any promotion.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "groups/member.h"
 #include "members/member.h"
 
--- a/src/groups/legitimacy.cpp
+++ b/src/groups/readindexrounds.cpp
@@ -1,5 +1,5 @@
 // Rounds of read checks.
-#include "groups/legitimacy.h"
+#include "groups/readindexrounds.h"
 
 #include "groups/member.h"
 
--- a/src/groups/legitimacy.h
+++ b/src/groups/readindexrounds.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 
 #include <cstdint>
--- a/src/leadership/lease.cpp
+++ b/src/leadership/fleetlease.cpp
@@ -1,5 +1,5 @@
 // Taking, renewing and losing the lease.
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
 
 #include <algorithm>
 
--- a/src/leadership/promotion.cpp
+++ b/src/leadership/primarychange.cpp
@@ -1,5 +1,5 @@
 // The steps of a move of leadership.
-#include "leadership/promotion.h"
+#include "leadership/primarychange.h"
 
 #include <algorithm>
 
--- a/src/leadership/promotion.h
+++ b/src/leadership/primarychange.h
@@ -5,8 +5,8 @@
 // holds all that was acknowledged; have it promoted; record it as the primary.
 #pragma once
 
+#include "leadership/primaryfailuredetector.h"
 #include "leadership/record.h"
-#include "leadership/suspicion.h"
 #include "relay/directory.h"
 
 #include <map>
--- a/src/leadership/suspicion.cpp
+++ b/src/leadership/primaryfailuredetector.cpp
@@ -1,5 +1,5 @@
 // Weighs the sightings of a primary.
-#include "leadership/suspicion.h"
+#include "leadership/primaryfailuredetector.h"
 
 #include <algorithm>
 
--- a/src/leadership/viewbook.cpp
+++ b/src/leadership/primarytable.cpp
@@ -1,5 +1,5 @@
 // Keeps the newest record of each group and the end of its view.
-#include "leadership/viewbook.h"
+#include "leadership/primarytable.h"
 
 #include <algorithm>
 
--- a/src/leadership/viewbook.h
+++ b/src/leadership/primarytable.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "leadership/record.h"
-#include "relay/primarybelief.h"
+#include "relay/cachedprimary.h"
 
 #include <map>
 #include <vector>
--- a/src/leadership/recordjson.h
+++ b/src/leadership/recordjson.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
 #include "leadership/record.h"
 #include "store/object.h"
 
--- a/src/leadership/viewtree.cpp
+++ b/src/leadership/renewaltree.cpp
@@ -1,5 +1,5 @@
 // Ranks proxies by a hash of their names.
-#include "leadership/viewtree.h"
+#include "leadership/renewaltree.h"
 
 #include "base/hash.h"
 
--- a/src/members/httplink.cpp
+++ b/src/members/httpconnection.cpp
@@ -1,5 +1,5 @@
 // Links to a member over HTTP/JSON.
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 
 #include "http/connection.h"
 #include "members/impl/membercodec.h"
--- a/src/owner/controlworker.h
+++ b/src/owner/controlworker.h
@@ -1,7 +1,7 @@
 // A thread that carries out reports and orders on one control link, one after the other.
 #pragma once
 
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 
 #include <condition_variable>
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -1,7 +1,7 @@
 // The owner of one database group on this proxy: carries its statements and looks after its primary.
 #pragma once
 
-#include "groups/sighting.h"
+#include "groups/peerobservation.h"
 #include "owner/fwd.h"
 #include "owner/options.h"
 #include "owner/transactions.h"
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -2,12 +2,12 @@
 #pragma once
 
 #include "base/random.h"
-#include "connections/share.h"
-#include "groups/coverage.h"
-#include "groups/legitimacy.h"
+#include "connections/quota.h"
 #include "groups/monitor.h"
+#include "groups/quorumstate.h"
+#include "groups/readindexrounds.h"
 #include "owner/controlworker.h"
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 #include "owner/options.h"
 #include "owner/waiter.h"
 #include "requests/admission.h"
--- a/src/owner/memberlinks.cpp
+++ b/src/owner/memberconnections.cpp
@@ -1,5 +1,5 @@
 // The statement connections of this proxy to one member.
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 
 #include <algorithm>
 #include <variant>
--- a/src/owner/memberlinks.h
+++ b/src/owner/memberconnections.h
@@ -4,7 +4,7 @@
 #include "base/result.h"
 #include "connections/pool.h"
 #include "connections/silence.h"
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 #include "owner/waiter.h"
 
--- a/src/owner/options.h
+++ b/src/owner/options.h
@@ -6,7 +6,7 @@
 #include "groups/action.h"
 #include "groups/member.h"
 #include "groups/policy.h"
-#include "members/httplink.h"
+#include "members/httpconnection.h"
 #include "owner/fwd.h"
 #include "requests/admission.h"
 
--- a/src/owner/transactions.h
+++ b/src/owner/transactions.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "owner/fwd.h"
-#include "owner/memberlinks.h"
+#include "owner/memberconnections.h"
 #include "requests/transactions.h"
 
 #include <map>
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -3,8 +3,8 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "configuration/spread.h"
-#include "groups/sighting.h"
+#include "configuration/gossip.h"
+#include "groups/peerobservation.h"
 #include "membership/view.h"
 #include "peer/fwd.h"
 
--- a/src/records/impl/fieldreader.h
+++ b/src/records/impl/fieldreader.h
@@ -7,7 +7,7 @@
 #include "json/located.h"
 #include "json/reader.h"
 
-#include "base/mark.h"
+#include "base/logposition.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/records/impl/fieldwriter.h
+++ b/src/records/impl/fieldwriter.h
@@ -5,7 +5,7 @@
 #include "records/kind.h"
 #include "json/reader.h"
 
-#include "base/mark.h"
+#include "base/logposition.h"
 
 #include <nlohmann/json.hpp>
 
--- a/src/records/status.h
+++ b/src/records/status.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "records/configuration.h"
 #include "records/diff.h"
 #include "records/fwd.h"
--- a/src/relay/forwardedsession.cpp
+++ b/src/relay/forwardedsession.cpp
@@ -1,7 +1,7 @@
 // Follows a session that another proxy serves.
 #include "relay/forwardedsession.h"
 
-#include "relay/outcome.h"
+#include "relay/retrydecision.h"
 
 namespace cardamomstep::relay {
 
--- a/src/relay/placement.cpp
+++ b/src/relay/poolplacement.cpp
@@ -1,5 +1,5 @@
 // Chooses holders of connections by rendezvous hashing in each failure domain.
-#include "relay/placement.h"
+#include "relay/poolplacement.h"
 
 #include <algorithm>
 
--- a/src/relay/outcome.cpp
+++ b/src/relay/retrydecision.cpp
@@ -1,5 +1,5 @@
 // The table from a failed exchange to the caller's answer.
-#include "relay/outcome.h"
+#include "relay/retrydecision.h"
 
 namespace cardamomstep::relay {
 
--- a/src/relay/routebook.cpp
+++ b/src/relay/routingtable.cpp
@@ -1,5 +1,5 @@
 // Replaces the routing intents in force by newer ones.
-#include "relay/routebook.h"
+#include "relay/routingtable.h"
 
 namespace cardamomstep::relay {
 
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "members/member.h"
 #include "requests/fwd.h"
--- a/src/sessions/freshness.h
+++ b/src/sessions/freshness.h
@@ -1,10 +1,10 @@
 // The history of confirmed marks, which proves the age of a replica's data.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 #include "sessions/fwd.h"
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <cstddef>
 #include <optional>
--- a/src/sessions/impl/timedmarks.cpp
+++ b/src/sessions/impl/timedpositions.cpp
@@ -1,5 +1,5 @@
 // A bounded series of times and rising log marks.
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <algorithm>
 
--- a/src/sessions/impl/timedmarks.h
+++ b/src/sessions/impl/timedpositions.h
@@ -1,7 +1,7 @@
 // A bounded series of times and rising log marks, fine for recent times and coarse for old ones.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/time.h"
 
 #include <array>
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -2,14 +2,14 @@
 #pragma once
 
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/result.h"
 #include "base/time.h"
 #include "connections/smoothedtime.h"
 #include "members/member.h"
 #include "sessions/freshness.h"
 #include "sessions/fwd.h"
-#include "sessions/impl/timedmarks.h"
+#include "sessions/impl/timedpositions.h"
 
 #include <cstdint>
 #include <optional>
--- a/src/statements/statement.h
+++ b/src/statements/statement.h
@@ -3,7 +3,7 @@
 
 #include "base/error.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "statements/fwd.h"
 
 #include <cstdint>
--- a/standins/member.h
+++ b/standins/member.h
@@ -6,7 +6,7 @@
 #include "http/fwd.h"
 #include "memberstate.h"
 #include "server.h"
-#include "slots.h"
+#include "slotpool.h"
 
 #include <condition_variable>
 #include <map>
--- a/standins/memberlog.h
+++ b/standins/memberlog.h
@@ -1,7 +1,7 @@
 // A stand-in member's log, with the rows and the request ids that follow from it.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "rows.h"
 
 #include <cstdint>
--- a/tests/base/test_base.cpp
+++ b/tests/base/test_base.cpp
@@ -2,7 +2,7 @@
 #include "base/errorkind.h"
 #include "base/hash.h"
 #include "base/ids.h"
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/random.h"
 
 #include <criterion/criterion.h>
--- a/tests/configuration/fleetmodel.h
+++ b/tests/configuration/fleetmodel.h
@@ -1,7 +1,7 @@
 // A fleet of proxies in virtual time: their spread machines, a model of the store and of the network between them.
 #pragma once
 
-#include "configuration/spread.h"
+#include "configuration/gossip.h"
 #include "store/modelstore.h"
 
 #include <algorithm>
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -1,6 +1,6 @@
 // Tests of connection shares, the pool's accounting and the detection of silence.
 #include "connections/pool.h"
-#include "connections/share.h"
+#include "connections/quota.h"
 #include "connections/silence.h"
 
 #include <criterion/criterion.h>
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include "base/random.h"
-#include "groups/coverage.h"
 #include "groups/monitor.h"
+#include "groups/quorumstate.h"
 
 #include <functional>
 #include <map>
--- a/tests/groups/test_units.cpp
+++ b/tests/groups/test_units.cpp
@@ -1,11 +1,11 @@
 // The parts of the groups slice on their own: coverage, read rounds, switchover, pacing, tallies and own pauses.
-#include "groups/coverage.h"
-#include "groups/impl/memberwatch.h"
+#include "groups/impl/membertracker.h"
+#include "groups/impl/peerobservations.h"
 #include "groups/impl/promotion.h"
-#include "groups/impl/suspicion.h"
-#include "groups/legitimacy.h"
 #include "groups/monitor.h"
 #include "groups/pacing.h"
+#include "groups/quorumstate.h"
+#include "groups/readindexrounds.h"
 #include "groups/switchover.h"
 
 #include <criterion/criterion.h>
--- a/tests/leadership/test_leadership.cpp
+++ b/tests/leadership/test_leadership.cpp
@@ -1,10 +1,10 @@
 // Tests of the lease, the view book and the suspicion of primaries.
-#include "leadership/attendance.h"
-#include "leadership/lease.h"
+#include "leadership/fleetlease.h"
+#include "leadership/primaryfailuredetector.h"
+#include "leadership/primarytable.h"
+#include "leadership/proxyliveness.h"
 #include "leadership/recordjson.h"
-#include "leadership/suspicion.h"
-#include "leadership/viewbook.h"
-#include "leadership/viewtree.h"
+#include "leadership/renewaltree.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/leadership/test_promotion.cpp
+++ b/tests/leadership/test_primarychange.cpp
@@ -1,5 +1,5 @@
 // Tests of one move of leadership, step by step and under loss.
-#include "leadership/promotion.h"
+#include "leadership/primarychange.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/platform/test_callerlink.cpp
+++ b/tests/platform/test_callerconnection.cpp
@@ -1,5 +1,5 @@
 // Tests of sessions that are passed on to another proxy, over loopback sockets.
-#include "gateway/callerlink.h"
+#include "gateway/callerconnection.h"
 #include "platform/lineprotocol.h"
 
 #include <criterion/criterion.h>
--- a/tests/relay/test_units.cpp
+++ b/tests/relay/test_units.cpp
@@ -1,8 +1,8 @@
 // Tests of the relay's small parts: outcomes, the route book, the directory.
 #include "relay/directory.h"
-#include "relay/outcome.h"
-#include "relay/placement.h"
-#include "relay/routebook.h"
+#include "relay/poolplacement.h"
+#include "relay/retrydecision.h"
+#include "relay/routingtable.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/sessions/readtrace.h
+++ b/tests/sessions/readtrace.h
@@ -1,7 +1,7 @@
 // A recorded day of one database group in virtual time: writes, their replication and acknowledgement, and the reads.
 #pragma once
 
-#include "base/mark.h"
+#include "base/logposition.h"
 #include "base/random.h"
 #include "base/time.h"
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -4,7 +4,7 @@
 import itertools
 
 from platform_standins import CallerSession, Refused, SessionLost, statements
-from promises import Sent
+from guaranteechecker import Sent
 
 ITEMS = 60
 # A statement sent this shortly before the end of its session may not have been read.
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -30,7 +30,7 @@
     serve,
     serve_member,
 )
-from promises import Promises  # noqa: E402
+from guaranteechecker import Promises  # noqa: E402
 
 ZONES = ("east", "west", "south")
 GROUPS = 2
--- a/tests/store/test_missednews.cpp
+++ b/tests/store/test_missedchangedetector.cpp
@@ -1,6 +1,6 @@
 // A watch that missed what others know of is found out.
-#include "store/catalogmarks.h"
-#include "store/missednews.h"
+#include "store/catalogrevisions.h"
+#include "store/missedchangedetector.h"
 
 #include <criterion/criterion.h>
 
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -10,7 +10,7 @@
 sys.path.insert(0, SOAK)
 
 from platform_standins import Commit  # noqa: E402
-from promises import Promises, Sent  # noqa: E402
+from guaranteechecker import Promises, Sent  # noqa: E402
 from verdicts import check, check_equal, run_cases  # noqa: E402
 
 SECONDS_OF_FAULTS = 8
