--- a/src/evloop/httpclient.cpp
+++ b/src/evloop/httpclient.cpp
@@ -16,7 +16,8 @@
 
 /// Maximum size of a response body.
 constexpr std::uint64_t maxResponseBytes = std::uint64_t{8} << 20U;
-/// A watch may wait long without receiving a byte; a lost connection must still be detected within seconds.
+/// Time for which sent data may stay unacknowledged, and idle time before TCP keep-alive probes: a watch may wait long without receiving
+/// a byte, but a lost connection must be detected within seconds.
 constexpr Milliseconds peerTimeout{3000};
 constexpr Seconds keepAliveIdle{1};
 
@@ -34,6 +35,7 @@
     beast::http::request<beast::http::string_body> request;
     beast::http::response_parser<beast::http::string_body> parser;
     beast::flat_buffer buffer;
+    /// Sending has begun, so the server may execute the call.
     bool sent = false;
     bool finished = false;
 };
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -34,7 +34,7 @@
     std::optional<Milliseconds> leaseHolderSinceStoreReply;
     /// Newest catalog revisions that the sender knows, or that other proxies reported to it.
     CatalogRevisions catalogRevisions;
-    /// Fencing token of a lease that the sender held and relinquished, whatever the store still says; 0 for none.
+    /// Fencing token of a lease that the sender held and relinquished; the store may still name the sender as the holder. 0 for none.
     std::uint64_t relinquishedToken = 0;
 };
 
--- a/src/gateway/callerconnection.h
+++ b/src/gateway/callerconnection.h
@@ -344,6 +344,7 @@
     boost::asio::io_context &loop_;
     boost::asio::steady_timer timer_;
     std::shared_ptr<evloop::LineConnection> connection_;
+    /// Empty once the connection has ended or close() was called.
     CallerConnectionHandlers handlers_;
     bool sessionStarted_ = false;
     relay::DatabaseName database_;
@@ -358,6 +359,7 @@
     bool replySucceeded_ = false;
     /// A forwarded line has no complete reply yet.
     bool replyPending_ = false;
+    /// The state of a forwarded session as of its last complete answer.
     relay::SessionState state_ = relay::SessionState::Idle;
     /// The last statement only set the session up; the statement that needs it is expected next.
     bool inSetup_ = false;
--- a/src/gateway/leadershipcontext.h
+++ b/src/gateway/leadershipcontext.h
@@ -76,8 +76,8 @@
     LeadershipHost host;
     LeadershipLimits limits;
     Store store;
-    /// For reads that must not wait behind a write to `store`.
-    Store renewStore;
+    /// A second client of the same store, for reads that must not wait behind a write to `store`.
+    Store readStore;
     Random random;
     leadership::FleetLease lease;
     leadership::PrimaryTable primaryTable;
--- a/src/gateway/leadershipservice.h
+++ b/src/gateway/leadershipservice.h
@@ -34,7 +34,7 @@
                    .host = host,
                    .limits = {},
                    .store = Store(loop, settings.store),
-                   .renewStore = Store(loop, settings.store),
+                   .readStore = Store(loop, settings.store),
                    .random = Random(seed),
                    .lease = leadership::FleetLease(settings.instance, seed ^ 1U),
                    .startedAt = evloop::bootTimeNow()}
@@ -104,7 +104,8 @@
         return registry_.sessionTargets();
     }
 
-    /// Releases the lease and does not acquire it again. This proxy's entry in the store stays: a stopped instance usually starts again.
+    /// Relinquishes the lease and does not acquire it again. This proxy's entry in the store stays: a stopped instance usually starts
+    /// again.
     void leave()
     {
         leaving_ = true;
--- a/src/gateway/leasemanager.h
+++ b/src/gateway/leasemanager.h
@@ -1,4 +1,4 @@
-// Acquires, renews, reads and releases the fleet's lease in the store.
+// Acquires, renews, reads and relinquishes the fleet's lease in the store.
 #pragma once
 
 #include "evloop/clock.h"
@@ -76,7 +76,7 @@
             return;
         }
         readPending_ = true;
-        context_.renewStore.list(leadership::leaseKind(), context_.limits.storeTimeout, [this](const Result<StoreListing> &listing) {
+        context_.readStore.list(leadership::leaseKind(), context_.limits.storeTimeout, [this](const Result<StoreListing> &listing) {
             readPending_ = false;
             if (!listing) {
                 return;
@@ -137,18 +137,16 @@
                           {{"fence", static_cast<std::int64_t>(relinquishedToken_)}, {"store_answers", request.instance.text()}});
     }
 
-    /// Releases the lease, also in the store so that others need not wait until it expires, and does not acquire it again.
-    ///
-    /// This proxy's entry in the store stays: a stopped instance usually starts again.
+    /// Relinquishes the lease, also in the store so that others need not wait until it expires, and does not acquire it again.
     void leave()
     {
         const auto now = evloop::bootTimeNow();
         if (context_.lease.holds(now)) {
             const auto revision = context_.lease.revision();
             relinquishedToken_ = context_.lease.relinquish(now);
-            const auto released = leadership::encodeLease(InstanceName{}, relinquishedToken_, 0);
+            const auto relinquished = leadership::encodeLease(InstanceName{}, relinquishedToken_, 0);
             context_.store.replace(
-                leadership::leaseKey(), revision, released, context_.limits.storeTimeout, [](const Result<StoredObject> &) {});
+                leadership::leaseKey(), revision, relinquished, context_.limits.storeTimeout, [](const Result<StoredObject> &) {});
             context_.host.log(LogLevel::Info, "lease_returned", {{"fence", static_cast<std::int64_t>(relinquishedToken_)}});
         }
         context_.lease.resign();
@@ -170,7 +168,7 @@
     void readRecords()
     {
         const auto fencingToken = context_.lease.fencingToken();
-        context_.renewStore.list(
+        context_.readStore.list(
             leadership::fleetKind(), context_.limits.storeTimeout, [this, fencingToken](const Result<StoreListing> &listing) {
                 const auto now = evloop::bootTimeNow();
                 if (!context_.lease.holds(now) || context_.lease.fencingToken() != fencingToken) {
--- a/src/gateway/memberconnection.h
+++ b/src/gateway/memberconnection.h
@@ -46,6 +46,7 @@
         });
     }
 
+    /// Sends \a requests in this order; the `opened` handler must have been called.
     void send(const std::vector<relay::MemberRequest> &requests)
     {
         if (!connection_) {
@@ -58,6 +59,7 @@
         connection_->send(text);
     }
 
+    /// Closes the connection immediately; no handler is called any more.
     void close()
     {
         ended_ = true;
--- a/src/gateway/primarychanges.h
+++ b/src/gateway/primarychanges.h
@@ -69,7 +69,7 @@
         change.setMembers(context_.host.directory.membersOf(record.group));
     }
 
-    /// Performs the actions that are due of all primary changes; drops finished ones.
+    /// Performs the due actions of all primary changes; drops the changes that have finished.
     void stepAll(TimePoint now)
     {
         for (auto change = changes_.begin(); change != changes_.end();) {
@@ -147,7 +147,7 @@
     /// Reads the stored record to find out whether a write that failed or whose reply was lost took effect.
     void resolveRecord(const GroupName &group, const leadership::GroupRecord &wanted)
     {
-        context_.renewStore.list(
+        context_.readStore.list(
             leadership::fleetKind(), context_.limits.storeTimeout, [this, group, wanted](const Result<StoreListing> &listing) {
                 const auto now = evloop::bootTimeNow();
                 auto *change = changeOf(group);
@@ -213,7 +213,7 @@
 
     void perform(const GroupName &group, const leadership::ListProxies &)
     {
-        context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, group](const Result<StoreListing> &listing) {
+        context_.readStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, group](const Result<StoreListing> &listing) {
             auto *change = changeOf(group);
             if (!listing || change == nullptr) {
                 return;
--- a/src/gateway/primarytablesync.h
+++ b/src/gateway/primarytablesync.h
@@ -213,7 +213,7 @@
     {
         storeRenewPending_ = true;
         storeRenewedAt_ = now;
-        context_.renewStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, now](const Result<StoreListing> &listing) {
+        context_.readStore.list(leadership::fleetKind(), context_.limits.storeTimeout, [this, now](const Result<StoreListing> &listing) {
             storeRenewPending_ = false;
             if (!listing) {
                 return;
--- a/src/gateway/proxyregistry.h
+++ b/src/gateway/proxyregistry.h
@@ -28,6 +28,7 @@
     {
     }
 
+    /// Writes this proxy's entry to the store; retryRegistration() repeats it after a failure.
     void registerSelf()
     {
         const auto value = leadership::encode(leadership::ProxyEntry{context_.settings.instance,
--- a/src/gateway/sessionplacement.h
+++ b/src/gateway/sessionplacement.h
@@ -68,6 +68,7 @@
         return target ? std::optional(ForwardTarget{target->address, route->statementTimeout}) : std::nullopt;
     }
 
+    /// Forwards no sessions to \a proxy for `failedTargetBackoff`.
     void onTargetFailed(const Address &proxy)
     {
         failedTargets_[proxy] = evloop::bootTimeNow() + failedTargetBackoff;
--- a/src/gateway/sessionproxy.h
+++ b/src/gateway/sessionproxy.h
@@ -427,22 +427,22 @@
         if (!stoppingSince_) {
             return;
         }
-        const auto since = evloop::bootTimeNow() - *stoppingSince_;
-        if (since >= limits_.acceptAfterStop && acceptor_.is_open()) {
+        const auto stoppingFor = evloop::bootTimeNow() - *stoppingSince_;
+        if (stoppingFor >= limits_.acceptAfterStop && acceptor_.is_open()) {
             // Callers that connect from now on are refused at once and go elsewhere; connections already accepted are still served.
             boost::system::error_code ignored; // The acceptor no longer listens even when closing it fails.
             acceptor_.close(ignored);
             sessionAcceptor_.close(ignored);
         }
-        const bool outOfTime = since >= settings_.stopGrace * 9 / 10;
-        const bool done = callers_.empty() && since >= limits_.acceptAfterStop + limits_.lastConnectionsGrace;
+        const bool outOfTime = stoppingFor >= settings_.stopGrace * 9 / 10;
+        const bool done = callers_.empty() && stoppingFor >= limits_.acceptAfterStop + limits_.lastConnectionsGrace;
         if (!done && !outOfTime) {
             return;
         }
         log(LogLevel::Info,
             "stopped",
             {{"sessions", static_cast<std::int64_t>(callers_.size())},
-             {"after_ms", static_cast<std::int64_t>(wholeMilliseconds(since).count())}});
+             {"after_ms", static_cast<std::int64_t>(wholeMilliseconds(stoppingFor).count())}});
         log_.flush();
         leadership_.stop();
         loop_.stop();
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -129,7 +129,7 @@
             onFailure(listing.error(), now);
             return;
         }
-        // A listing starts over: its revision must not precede the changes applied so far, and nothing else bounds it.
+        // A listing starts over: it may have any revision that does not precede the changes applied so far.
         if (resume_.onListing(*listing, completeUpTo_, now) == StoreReplyKind::Current) {
             completeUpTo_ = listing->revision;
             updateNewest(listing->objects);
--- a/src/leadership/fleetlease.h
+++ b/src/leadership/fleetlease.h
@@ -100,7 +100,7 @@
     /// Records that the holder with \a fencingToken relinquished the lease, as it reported.
     void onRelinquished(std::uint64_t fencingToken, TimePoint now);
 
-    /// Stops taking and renewing the lease for the rest of this process.
+    /// Makes this process never take or renew the lease again.
     void resign() noexcept
     {
         resigned_ = true;
@@ -157,8 +157,9 @@
     bool held_ = false;
     bool writePending_ = false;
     bool conflicted_ = false;
-    /// No lease is taken or renewed until the stored one no longer names this instance; with leaving_, never again.
+    /// No lease is taken or renewed until the stored one no longer names this instance.
     bool resigned_ = false;
+    /// resign() was called: resigned_ stays true.
     bool leaving_ = false;
     std::uint64_t fencingToken_ = 0;
     std::uint64_t renewals_ = 0;
--- a/src/leadership/primarychange.cpp
+++ b/src/leadership/primarychange.cpp
@@ -216,6 +216,7 @@
            });
 }
 
+/// True when the replication of every registered replica was stopped at stopTerm_.
 bool PrimaryChange::replicasSettled() const
 {
     return std::all_of(members_.begin(), members_.end(), [this](const auto &member) {
--- a/src/leadership/primarychange.h
+++ b/src/leadership/primarychange.h
@@ -95,7 +95,8 @@
     void memberStatus(const MemberStatus &status);
     /// Records that the member confirmed that its replication stopped at \a term; \a status is as of then.
     void replicationStopped(const MemberStatus &status, std::uint64_t term);
-    /// Handles the platform's reply: \a refused when it reported that the member does not run; both false when there was no reply.
+    /// Handles the platform's reply to a promotion: \a accepted when it started the promotion, \a refused when it reported that the member
+    /// does not run; both false when there was no reply.
     void promoted(const MemberName &member, bool accepted, bool refused, TimePoint now);
 
     /// Returns the actions due at \a now.
@@ -122,11 +123,11 @@
 
 private:
     enum class Phase : std::uint8_t {
-        Recording,
-        Gathering,
-        Promoting,
-        Confirming,
-        Publishing,
+        Recording, ///< Stores that a change is in progress.
+        Gathering, ///< Quiesces the proxies, stops the replicas and chooses the member to promote.
+        Promoting, ///< Waits for the platform's reply to the promotion.
+        Confirming, ///< Waits until the promoted member reports that it leads.
+        Publishing, ///< Stores the primary and the end of the change.
         Finished,
     };
 
--- a/src/leadership/primaryfailuredetector.h
+++ b/src/leadership/primaryfailuredetector.h
@@ -29,7 +29,7 @@
 
 /// Why a primary is to be replaced.
 enum class PrimaryChangeReason : std::uint8_t {
-    Silent,
+    Silent, ///< It replies to no proxy.
     Stalled, ///< It replies, but its writes are not acknowledged.
     NotLeading, ///< It reports that it does not lead.
     Leaving, ///< It is draining.
--- a/src/leadership/renewaltree.h
+++ b/src/leadership/renewaltree.h
@@ -25,7 +25,7 @@
     /// Sets the registered proxies.
     void setProxies(std::vector<InstanceName> proxies);
 
-    /// Returns the proxy that \a self queries at its consecutive \a attempt, counted from 0; empty when there is none.
+    /// Returns the proxy that \a self queries after \a attempt consecutive attempts that granted no table; empty when there is none.
     [[nodiscard]] InstanceName source(const InstanceName &self, const InstanceName &leaseHolder, std::size_t attempt) const;
 
     /// True when \a self reads the store for others while there is no lease holder.
--- a/src/relay/callersession.cpp
+++ b/src/relay/callersession.cpp
@@ -94,7 +94,7 @@
     case StatementKind::Write:
         break;
     default:
-        return refuse(reply, ErrorKind::MalformedRequest, "not allowed inside a transaction");
+        return refuse(reply, ErrorKind::MalformedRequest, "the statement is malformed or not allowed inside a transaction");
     }
     if (readOnly_ && writes(statement)) {
         return refuse(reply, ErrorKind::Superseded, "the transaction is read-only");
--- a/src/relay/engine.cpp
+++ b/src/relay/engine.cpp
@@ -80,7 +80,7 @@
     group.primary = primary;
     if (changed) {
         group.history = FreshnessHistory{};
-        group.writesStalledFrom.reset();
+        group.writeStallStartedAt.reset();
     }
     if (primary.usable(now) && (changed || !wasUsable)) {
         dispatchWaiting(group, now);
@@ -213,7 +213,7 @@
 std::optional<TimePoint> Engine::writesStalledSince(const GroupName &group) const
 {
     const auto found = groups_.find(group);
-    return found == groups_.end() ? std::nullopt : found->second.writesStalledFrom;
+    return found == groups_.end() ? std::nullopt : found->second.writeStallStartedAt;
 }
 
 } // namespace cardamomstep::relay
--- a/src/relay/engine.h
+++ b/src/relay/engine.h
@@ -71,7 +71,9 @@
 struct GroupStats {
     GroupName group;
     CachedPrimary primary;
+    /// Number of statements that wait for a connection.
     std::size_t waiting = 0;
+    /// Connections to all members of the group, those being opened included.
     std::uint32_t connections = 0;
     std::uint32_t connectionsInUse = 0;
 };
@@ -84,8 +86,12 @@
 
     // State of the fleet.
 
+    /// Applies \a configuration; ignored unless it is newer than the active one.
     void configure(const Configuration &configuration, TimePoint now);
+    /// Applies the directory to all groups known so far; a member that is no longer listed counts as draining until its connections are
+    /// closed.
     void setMembers(const MemberDirectory &directory, TimePoint now);
+    /// Sets the group's cached primary; statements that wait for it are sent as soon as it is usable.
     void setPrimary(const GroupName &group, const CachedPrimary &primary, TimePoint now);
     /// Returns the number of statements in flight at the group's primary that may have durable effects, and of open transactions there
     /// that wrote.
@@ -102,11 +108,15 @@
     [[nodiscard]] Result<Success> callerOpened(CallerKey caller, const DatabaseName &database, TimePoint now);
     /// Resumes a session that another proxy served until now; errors as of callerOpened().
     [[nodiscard]] Result<Success> callerAdopted(CallerKey caller, const CallerSession &session, TimePoint now);
+    /// Handles a statement, which ends in exactly one ReplyToCaller unless the session is closed before; the next statement must wait for
+    /// that.
     void callerStatement(CallerKey caller, const SessionStatement &statement, TimePoint now);
+    /// Ends the session; its open transaction is rolled back.
     void callerClosed(CallerKey caller, TimePoint now);
 
     // Member connections.
 
+    /// Handles an accepted connection; \a position is the member's log position as of its handshake.
     void connectionOpened(MemberConnectionKey connection, const std::optional<LogPosition> &position, TimePoint now);
     void connectionReplied(MemberConnectionKey connection, const MemberReply &reply, TimePoint now);
     /// Handles a connection that broke or could not be opened; \a refusal is set if the member refused it.
@@ -149,7 +159,7 @@
         Idle,
         Waiting, ///< For a connection.
         Beginning, ///< The transaction is being opened at the member; the statement follows.
-        Running,
+        Running, ///< The statement was sent to a member, which has not replied yet.
     };
 
     struct Caller {
@@ -205,12 +215,14 @@
         std::map<MemberName, MemberPool> pools;
         /// Callers that wait for a connection, by the time of their latency objective, earliest first.
         std::vector<std::pair<TimePoint, CallerKey>> waiting;
+        /// The highest log position of any commit that was acknowledged to a caller.
         LogPosition acknowledged;
         /// When the primary's position was last probed.
         TimePoint probedAt;
-        /// When a read last needed a recent position of the primary.
-        TimePoint evidenceUsedAt;
-        std::optional<TimePoint> writesStalledFrom;
+        /// When a read last needed a recent log position of the primary; without such reads, the primary is not probed.
+        TimePoint positionNeededAt;
+        /// When the first write was sent to the primary after its last successful one; nothing if there is none.
+        std::optional<TimePoint> writeStallStartedAt;
     };
 
     /// Returns the group's state; creates it on first use, since records may arrive before the configuration.
@@ -276,9 +288,10 @@
     EngineLimits limits_;
     Random random_;
     RoutingTable routes_;
-    RetryBudget budget_;
+    RetryBudget retryBudget_;
     std::unordered_map<CallerKey, Caller> callers_;
     std::map<GroupName, Group> groups_;
+    /// The group and the member of each connection; the connections themselves are in the pools of groups_.
     std::unordered_map<MemberConnectionKey, std::pair<GroupName, MemberName>> connections_;
     MemberConnectionKey nextConnection_ = 1;
     /// Invariant: contains each caller's timerAt, if set, exactly once.
--- a/src/relay/enginecallers.cpp
+++ b/src/relay/enginecallers.cpp
@@ -272,7 +272,10 @@
         }
         dequeue(key, caller);
         const auto kind = noPrimary ? ErrorKind::NoPrimary : ErrorKind::Overloaded;
-        answerError(key, caller, Error{kind, "no connection became free before the timeout"}.withRetryAfter(retryAfterOf(group)), now);
+        answerError(key,
+                    caller,
+                    Error{kind, "no usable primary or no free connection before the timeout"}.withRetryAfter(retryAfterOf(group)),
+                    now);
         return;
     }
     const bool mayHedge =
@@ -290,7 +293,7 @@
 /// read would increase their load.
 bool Engine::shouldHedge(Caller &caller, TimePoint now)
 {
-    if (caller.attempts >= limits_.maxHedgedMembers || budget_.balance() < 1) {
+    if (caller.attempts >= limits_.maxHedgedMembers || retryBudget_.balance() < 1) {
         return false;
     }
     auto &group = groupState(caller.group);
--- a/src/relay/engineconnections.cpp
+++ b/src/relay/engineconnections.cpp
@@ -132,9 +132,9 @@
         exchangeFailed(key, caller, ExchangeEnd::Refused, fault, now);
         return;
     }
-    budget_.succeeded();
+    retryBudget_.succeeded();
     if (durable) {
-        group.writesStalledFrom.reset();
+        group.writeStallStartedAt.reset();
         group.acknowledged = std::max(group.acknowledged, reply.position.value_or(LogPosition{}));
     }
     caller.session.statementSucceeded(caller.statement, reply.position);
@@ -154,6 +154,7 @@
 /// Enqueues the statement again if that is safe, before its deadline and within the retry budget; otherwise answers with the error.
 void Engine::exchangeFailed(CallerKey key, Caller &caller, ExchangeEnd end, std::optional<MemberFault> fault, TimePoint now)
 {
+    // Nothing of a transaction that is not open yet is kept at the member, so it can begin again elsewhere, as a read can run again.
     const bool beginDeferred = caller.session.phase() == TransactionPhase::BeginDeferred;
     const auto retryClass = beginDeferred ? RetryClass::Read : retryClassOf(caller.session, caller.statement);
     auto decision = classifyFailure(retryClass, end, fault);
@@ -163,7 +164,7 @@
     const auto member = connection == nullptr ? MemberName{} : connection->member;
     const bool exemptFromBudget = fault == MemberFault::Lagging || fault == MemberFault::UnknownStatement;
     const bool resend =
-        decision.mayResend && now < caller.deadline && caller.attempts < limits_.maxAttempts && (exemptFromBudget || budget_.take());
+        decision.mayResend && now < caller.deadline && caller.attempts < limits_.maxAttempts && (exemptFromBudget || retryBudget_.take());
     actions_.emplace_back(LogDecision{LogLevel::Info,
                                       "exchange_failed",
                                       {{"id", caller.statement.id},
--- a/src/relay/enginedispatch.cpp
+++ b/src/relay/enginedispatch.cpp
@@ -9,7 +9,7 @@
 
 /// Timeout for replies to this process's own requests.
 constexpr Milliseconds ownRequestTimeout{1000};
-/// Probe intervals after which the primary is no longer probed if no read needed its position.
+/// The primary is no longer probed after this many probe intervals without a read that needed its position.
 constexpr int probeIntervalsAfterUse = 4;
 
 } // namespace
@@ -54,7 +54,7 @@
     if (needsPrimary(caller)) {
         return std::nullopt;
     }
-    group.evidenceUsedAt = now;
+    group.positionNeededAt = now;
     auto required = group.history.positionCovering(caller.freshFrom - caller.route.maxStaleness);
     if (required && caller.route.consistency == Consistency::ReadYourWrites && caller.session.lastCommit()) {
         required = std::max(*required, *caller.session.lastCommit());
@@ -89,6 +89,7 @@
             continue;
         }
         const auto running = static_cast<std::int64_t>(pool.count(PooledConnectionState::InUse));
+        // Up to 2 ms are added at random, so that members of similar cost share the reads.
         auto cost = pool.replyTime().mean() * (1 + running) / 2 + Microseconds{static_cast<std::int64_t>(random_.below(2'000))};
         cost += primary ? limits_.primaryPenalty : Microseconds{0};
         cost += pool.entry().failureDomain == ownDomain_ ? Microseconds{0} : limits_.remotePenalty;
@@ -115,6 +116,7 @@
         if (primary ? !group.primary.usable(now) : pool.entry().draining) {
             continue;
         }
+        // Reads go to replicas where possible, so only a quarter of the waiting ones counts for the primary.
         const auto wantedConnections = primary ? forPrimary + forReaders / 4 : forReaders;
         const bool keepOne = pool.size() == 0 && pool.fairShare() > 0 && !drainUntil_;
         auto opening = pool.count(PooledConnectionState::Opening);
@@ -187,7 +189,7 @@
     caller.sentAt = now;
     const auto retryClass = retryClassOf(caller.session, caller.statement);
     if (retryClass == RetryClass::Write || retryClass == RetryClass::CommitOfWrites) {
-        group.writesStalledFrom = group.writesStalledFrom.value_or(now);
+        group.writeStallStartedAt = group.writeStallStartedAt.value_or(now);
     }
     const auto overdueAfter = wholeMilliseconds(pool.replyTime().withMargin(limits_.overdueFactor));
     auto due = caller.deadline;
@@ -239,7 +241,7 @@
 /// Queries the primary's log position if reads depend on it and no reply has confirmed it recently.
 void Engine::probe(Group &group, TimePoint now)
 {
-    if (now - group.evidenceUsedAt > limits_.probeInterval * probeIntervalsAfterUse || now - group.probedAt < limits_.probeInterval) {
+    if (now - group.positionNeededAt > limits_.probeInterval * probeIntervalsAfterUse || now - group.probedAt < limits_.probeInterval) {
         return;
     }
     if (group.history.positionCovering(now - limits_.probeInterval)) {
--- a/src/relay/forwardedsession.cpp
+++ b/src/relay/forwardedsession.cpp
@@ -36,6 +36,7 @@
     if (disposition_ != StatementDisposition::Forward) {
         return reply_;
     }
+    // What ran of a transaction that was being opened is rolled back when its connection closes, so its first statement may run again.
     const bool beginDeferred = session_.phase() == TransactionPhase::BeginDeferred;
     const auto decision =
         classifyFailure(beginDeferred ? RetryClass::Read : retryClassOf(session_, statement_), ExchangeEnd::Broken, std::nullopt);
--- a/src/relay/memberpool.h
+++ b/src/relay/memberpool.h
@@ -30,7 +30,7 @@
 struct AwaitedReply {
     ReplyPurpose purpose = ReplyPurpose::Statement;
     TimePoint sentAt;
-    /// When the connection counts as silent.
+    /// When the connection counts as silent if the reply has not arrived.
     TimePoint silentAt;
 };
 
@@ -56,6 +56,7 @@
     std::map<std::string, std::string> values;
     /// Names of the statements prepared on this connection.
     std::set<std::string> prepared;
+    /// Oldest request first; the member replies in this order.
     std::deque<AwaitedReply> awaited;
 };
 
@@ -202,6 +203,7 @@
     TimePoint surplusAllowedFrom_;
     /// When the member last refused a connection because of its limit.
     TimePoint limitRefusedAt_;
+    /// Number of failures since the last contact; the backoff doubles with each, up to `maxBackoff`.
     std::uint32_t failures_ = 0;
 };
 
--- a/src/relay/message.h
+++ b/src/relay/message.h
@@ -70,6 +70,8 @@
 };
 
 /// Why a member's reply is not a success.
+///
+/// guaranteesNotExecuted() relies on the order: the faults up to Aborted guarantee that the statement left no effect.
 enum class MemberFault : std::uint8_t {
     Busy, ///< Its queue is full; nothing ran.
     UnknownStatement, ///< The statement is not prepared on this connection; nothing ran.
--- a/src/relay/poolplacement.h
+++ b/src/relay/poolplacement.h
@@ -29,6 +29,8 @@
 
 /// Decides how many of the live proxies have a connection pool for a group's members.
 ///
+/// \a memberConnections is the number of connections to each member that the proxies share.
+///
 /// With many proxies and few connections, the fair share is one connection or less, and an idle transaction blocks all other statements
 /// of its proxy. Therefore only some proxies of each failure domain have pools, which are larger, and the others forward their callers'
 /// sessions to them.
--- a/src/relay/retrydecision.cpp
+++ b/src/relay/retrydecision.cpp
@@ -26,7 +26,7 @@
     case MemberFault::Aborted:
         return {ErrorKind::TransactionAborted, "the member rolled the transaction back"};
     default:
-        return {ErrorKind::Overloaded, "the member accepts no more work"};
+        return {ErrorKind::Overloaded, "the member refused the statement before running it"};
     }
 }
 
--- a/src/relay/wire.h
+++ b/src/relay/wire.h
@@ -27,22 +27,25 @@
 /// One line of a caller.
 using CallerLine = std::variant<StartSession, SessionStatement, EndSession, UnreadableLine>;
 
-/// One line of a member.
+/// One row of a reply.
 struct MemberRow {
     std::string data;
 };
+/// The request succeeded; follows the rows.
 struct MemberSuccess {
     /// Empty if the member signed nothing.
     std::string signature;
 };
+/// The request failed, or the member refused the connection.
 struct MemberError {
     MemberFault fault = MemberFault::Unknown;
 };
-/// Ends each reply.
+/// Ends the handshake and each reply.
 struct MemberReady {
     SessionState state = SessionState::Idle;
     std::optional<LogPosition> position;
 };
+/// One line of a member.
 using MemberLine = std::variant<MemberRow, MemberSuccess, MemberError, MemberReady, UnreadableLine>;
 
 /// Converts lines to messages and back; lines are passed without their terminator.
--- a/tests/relay/relaydriver.h
+++ b/tests/relay/relaydriver.h
@@ -24,7 +24,8 @@
 /// Configuration of the group under test.
 struct DriverOptions {
     std::uint32_t memberConnections = 16;
-    std::uint32_t liveProxies = 1;
+    /// Number of proxies with a pool for the members, the driven one included.
+    std::uint32_t poolCount = 1;
     Consistency consistency = Consistency::ReadYourWrites;
     EngineLimits limits;
 };
@@ -47,7 +48,7 @@
         configuration.routes.push_back(route);
         configuration.groups.push_back({GroupName{"g"}, options.memberConnections, 1});
         engine.configure(configuration, now);
-        engine.setPoolCount(GroupName{"g"}, options.liveProxies);
+        engine.setPoolCount(GroupName{"g"}, options.poolCount);
         directory.replaceAll({member("p", "a", true), member("r1", "b", false), member("r2", "c", false)}, now);
         engine.setMembers(directory, now);
         setGroupPrimary("p", 1);
@@ -71,7 +72,7 @@
         engine.setPrimary(GroupName{"g"}, {MemberName{primary}, generation, TimePoint::max(), changeInProgress}, now);
     }
 
-    /// Performs the pending actions; connections open at once.
+    /// Performs the pending actions; connections open at once, or are refused if openRefusal is set.
     void performActions()
     {
         for (auto actions = engine.takeActions(); !actions.empty(); actions = engine.takeActions()) {
@@ -149,12 +150,15 @@
     TimePoint now = at(0);
     Engine engine;
     MemberDirectory directory;
+    /// The last open() created a session.
     bool opened = false;
     int statementCount = 0;
     /// If set, members refuse new connections with this fault.
     std::optional<MemberFault> openRefusal;
     std::vector<OpenMemberConnection> opens;
+    /// Requests without a reply yet, oldest first.
     std::vector<std::pair<MemberConnectionKey, MemberRequest>> requests;
+    /// The member that each statement was sent to, in order.
     std::vector<std::string> statementTargets;
     std::vector<std::pair<CallerKey, CallerReply>> replies;
     std::vector<LogDecision> decisions;
--- a/tests/relay/test_engine.cpp
+++ b/tests/relay/test_engine.cpp
@@ -356,7 +356,7 @@
 {
     DriverOptions options;
     options.memberConnections = 16;
-    options.liveProxies = 7;
+    options.poolCount = 7;
     RelayDriver driver(options);
     for (CallerKey caller = 1; caller <= 20; ++caller) {
         driver.open(caller);
@@ -374,7 +374,7 @@
 {
     DriverOptions options;
     options.memberConnections = 40;
-    options.liveProxies = 62;
+    options.poolCount = 62;
     RelayDriver driver(options);
     driver.advance(1000);
     cr_assert(driver.opens.empty(), "no connection is opened while no statement waits");
@@ -433,7 +433,7 @@
     DriverOptions options;
     options.consistency = Consistency::Current;
     options.memberConnections = 3;
-    options.liveProxies = 1;
+    options.poolCount = 1;
     options.limits.minSurplusConnections = 1;
     RelayDriver driver(options);
     driver.open(1);
