--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -24,17 +24,24 @@
     std::vector<std::string> prefixes;
     unsigned callers = 32;
     double seconds = 5;
+    /// Fraction of statements that are reads.
     double readShare = 0.9;
+    /// Rate of all callers together; 0 for no limit.
     double ratePerSecond = 0;
     std::int64_t windowMs = 500;
+    /// Accepted age of reads; negative for reads that must be current.
     std::int64_t acceptedAgeMs = -1;
 };
 
 struct Totals {
     std::mutex mutex;
+    /// In milliseconds.
     std::vector<double> latencies;
+    /// Number of answers by error name; "ok" for successes.
     std::map<std::string, std::uint64_t> answers;
+    /// Successful answers within the window.
     std::uint64_t inWindow = 0;
+    /// Successful reads, and those of them that a replica served.
     std::uint64_t fromReplica = 0;
     std::uint64_t reads = 0;
 };
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -68,7 +68,7 @@
             with self.cluster() as cluster:
                 with Workload(cluster, seed, client_ms=self.deployment.to_clients_ms) as workload:
                     time.sleep(6)
-                faults = violations(workload)
+                violation_counts = violations(workload)
                 counts = workload.answers()
                 load = self.load(cluster, callers=24, seconds=5, rate=300, read_share=0.9, age=-1)
             replicas, primary = counts["read from replica"], counts["read from primary"]
@@ -80,7 +80,7 @@
                 reads=replicas + primary + load["reads"],
                 p50_ms=load["p50_ms"],
                 p99_ms=load["p99_ms"],
-                **faults,
+                **violation_counts,
             )
 
     def failover(self):
@@ -90,9 +90,9 @@
             with Workload(cluster, self.options.seed, sessions=4, client_ms=self.deployment.to_clients_ms) as workload:
                 for run in range(self.options.runs):
                     gaps.append(self.one_failover(cluster, run))
-            faults = violations(workload)
+            violation_counts = violations(workload)
         yield self.result(
-            gap_ms_p50=round(statistics.median(gaps), 1), gap_ms_max=round(max(gaps), 1), gaps_ms=[round(gap, 1) for gap in gaps], **faults
+            gap_ms_p50=round(statistics.median(gaps), 1), gap_ms_max=round(max(gaps), 1), gaps_ms=[round(gap, 1) for gap in gaps], **violation_counts
         )
 
     def one_failover(self, cluster, run):
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Growth of the control cost of idle proxies with the number of groups and of proxies. Prints one JSON object per line.
+"""Processor time and memory of idle proxies, and their growth with the number of groups and of proxies. Prints one JSON object per line.
 
 Usage: bench/slopes.py [BUILD_FOLDER]. Takes about a minute; at most 70 processes.
 """
--- a/src/cli/client.cpp
+++ b/src/cli/client.cpp
@@ -102,7 +102,7 @@
             faults.push_back(readFault(answer, answer));
         }
     } catch (const Json::exception &) {
-        faults = {Error{ErrorKind::CorruptAnswer, "the proxy's answer has an unknown form"}};
+        faults = {Error{ErrorKind::CorruptAnswer, "the proxy's answer has an unexpected format"}};
     }
     return faults;
 }
--- a/src/cli/commandline.cpp
+++ b/src/cli/commandline.cpp
@@ -39,13 +39,13 @@
         value = value->default_value(fallback);
     }
     options_.add_options()(name, help, value, valueName);
-    names_.push_back("--" + longName(name));
+    longOptions_.push_back("--" + longName(name));
 }
 
 void CommandLine::addFlag(const std::string &name, const std::string &help)
 {
     options_.add_options()(name, help);
-    names_.push_back("--" + longName(name));
+    longOptions_.push_back("--" + longName(name));
 }
 
 std::optional<int> CommandLine::parse(int argc, const char *const *argv, ArgumentCount count, std::ostream &out, std::ostream &err)
@@ -108,7 +108,7 @@
 std::string CommandLine::unknownOption(const std::string &option) const
 {
     const auto name = option.substr(0, option.find('='));
-    const auto nearest = json::nearestWord(name, names_);
+    const auto nearest = json::nearestWord(name, longOptions_);
     return "there is no option \"" + name + "\"" + (nearest ? "; did you mean \"" + *nearest + "\"?" : std::string());
 }
 
--- a/src/cli/commandline.h
+++ b/src/cli/commandline.h
@@ -79,7 +79,8 @@
     cxxopts::Options options_;
     std::optional<cxxopts::ParseResult> parsed_;
     std::vector<std::string> arguments_;
-    std::vector<std::string> names_;
+    /// The long form of each option, with its dashes.
+    std::vector<std::string> longOptions_;
 };
 
 } // namespace cardamomstep::cli
--- a/src/cli/impl/changeresult.cpp
+++ b/src/cli/impl/changeresult.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr json::Length anyCount{0, 100'000};
+constexpr json::Length elementCount{0, 100'000};
 constexpr std::array<std::pair<std::string_view, bool>, 2> ranWords{{{"yes", true}, {"no", false}}};
 constexpr std::array<std::pair<std::string_view, bool>, 2> auditWords{{{"missing", true}, {"written", false}}};
 
@@ -25,13 +25,13 @@
     result.written = reader.oneOf<bool>("ran", ranWords, std::nullopt);
     result.fromVersion = reader.number<std::uint64_t>("fromVersion", {});
     result.version = reader.number<std::uint64_t>("version", {});
-    result.changes = reader.array("changes", anyCount);
+    result.changes = reader.array("changes", elementCount);
     result.auditMissing = reader.oneOf<bool>("audit", auditWords, false);
-    for (const auto &field : reader.optionalArray("unknownFields", anyCount)) {
+    for (const auto &field : reader.optionalArray("unknownFields", elementCount)) {
         result.unknownFields.push_back(field.is_string() ? field.get<std::string>() : field.dump());
     }
     if (!faults.empty()) {
-        return Error{ErrorKind::CorruptAnswer, "the proxy's answer: " + faults.front().path + ": " + faults.front().expected};
+        return Error{ErrorKind::CorruptAnswer, "the proxy's answer: " + faults.front().path + ": " + faults.front().description};
     }
     return result;
 }
--- a/src/cli/impl/follow.cpp
+++ b/src/cli/impl/follow.cpp
@@ -16,6 +16,7 @@
 
 using Json = nlohmann::json;
 
+/// How long the proxy may wait for a change before it answers a watch.
 constexpr Milliseconds watchWait{20'000};
 
 bool isOutputFormat(const std::string &text)
@@ -85,13 +86,15 @@
     }
 }
 
-/// Parses "90s", "15m", "2h" or "3d" before now, or milliseconds since 1970; returns milliseconds since 1970, nullopt when invalid.
+/// Parses a span before now ("90s", "15m", "2h", "3d") or a time in milliseconds since 1970.
+///
+/// Returns milliseconds since 1970; nullopt when \a text is neither.
 std::optional<std::int64_t> readSince(const std::string &text)
 {
     constexpr std::size_t maxDigits = 15;
-    const auto digits = text.find_first_not_of("0123456789");
-    const auto unit = digits == std::string::npos ? std::string() : text.substr(digits);
-    const auto number = text.substr(0, digits);
+    const auto unitStart = text.find_first_not_of("0123456789");
+    const auto unit = unitStart == std::string::npos ? std::string() : text.substr(unitStart);
+    const auto number = text.substr(0, unitStart);
     if (number.empty() || number.size() > maxDigits) {
         return std::nullopt;
     }
--- a/src/cli/impl/wait.cpp
+++ b/src/cli/impl/wait.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 constexpr Milliseconds pollInterval{200};
-constexpr std::size_t maxNamed = 10;
+constexpr std::size_t maxNamedProxies = 10;
 
 std::string namesOf(const nlohmann::json &proxies)
 {
     std::string names;
-    for (std::size_t index = 0; index < proxies.size() && index < maxNamed; ++index) {
+    for (std::size_t index = 0; index < proxies.size() && index < maxNamedProxies; ++index) {
         names += (names.empty() ? "" : ", ") + cell(proxies[index], "instance");
     }
-    return proxies.size() > maxNamed ? names + " and " + std::to_string(proxies.size() - maxNamed) + " more" : names;
+    return proxies.size() > maxNamedProxies ? names + " and " + std::to_string(proxies.size() - maxNamedProxies) + " more" : names;
 }
 
 } // namespace
--- a/src/cli/requesttimeline.h
+++ b/src/cli/requesttimeline.h
@@ -11,6 +11,7 @@
 
 /// One parsed log line.
 struct LogLine {
+    /// UTC in ISO 8601 with milliseconds, so that texts compare in order of time.
     std::string time;
     std::string instance;
     std::string event;
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -52,7 +52,7 @@
     try {
         return subcommand.run(argc, argv, out, err);
     } catch (const nlohmann::json::exception &) {
-        err << "cardamomstep " << subcommand.name << ": the proxy's answer has an unknown form\n";
+        err << "cardamomstep " << subcommand.name << ": the proxy's answer has an unexpected format\n";
         return toInt(ExitCode::OutcomeUnknown);
     }
 }
--- a/src/entry/callercodec.cpp
+++ b/src/entry/callercodec.cpp
@@ -99,7 +99,7 @@
 Error firstFault(const std::vector<json::Fault> &faults)
 {
     const auto &fault = faults.front();
-    return malformed(fault.path + ": " + fault.expected);
+    return malformed(fault.path + ": " + fault.description);
 }
 
 Milliseconds readWindow(json::ObjectReader &reader, const CallerLimits &limits)
--- a/src/http/connection.h
+++ b/src/http/connection.h
@@ -62,6 +62,8 @@
     bool checkOpen() noexcept;
 
     /// Sends \a request and waits for the complete response; connects first if the connection is not open or the server has closed it.
+    ///
+    /// \a timeout applies to the connect and to the exchange separately, so a call may take twice as long.
     [[nodiscard]] ExchangeResult exchange(const Request &request, Milliseconds timeout);
 
     /// Closes the connection.
--- a/src/json/document.cpp
+++ b/src/json/document.cpp
@@ -22,7 +22,7 @@
 
 Error faultError(const Document &document, ErrorKind kind, const Fault &fault)
 {
-    Error error{kind, fault.expected};
+    Error error{kind, fault.description};
     error.position = SourcePosition{document.file, document.lines.line(fault.path), fault.path};
     return error;
 }
--- a/src/json/nearest.cpp
+++ b/src/json/nearest.cpp
@@ -36,11 +36,11 @@
         return std::nullopt;
     }
     std::optional<std::string> nearest;
-    auto limit = std::max<std::size_t>(word.size() / 3, 1) + 1;
+    auto distanceBound = std::max<std::size_t>(word.size() / 3, 1) + 1;
     for (const auto &candidate : known) {
         const auto distance = editDistance(word, candidate);
-        if (distance < limit) {
-            limit = distance;
+        if (distance < distanceBound) {
+            distanceBound = distance;
             nearest = candidate;
         }
     }
--- a/src/json/reader.cpp
+++ b/src/json/reader.cpp
@@ -145,9 +145,9 @@
     return *value;
 }
 
-void ObjectReader::fault(const std::string &key, std::string expected)
+void ObjectReader::fault(const std::string &key, std::string description)
 {
-    faults_->push_back({childPath(path_, key), std::move(expected)});
+    faults_->push_back({childPath(path_, key), std::move(description)});
 }
 
 void ObjectReader::rejectUnknown()
--- a/src/json/reader.h
+++ b/src/json/reader.h
@@ -23,7 +23,7 @@
 struct Fault {
     std::string path;
     /// Description of the fault, for example what was expected and what was found.
-    std::string expected;
+    std::string description;
 };
 
 /// Minimum and maximum value, both inclusive.
@@ -153,8 +153,8 @@
     /// Returns an array; an empty one if it is missing or faulty.
     [[nodiscard]] const nlohmann::json &optionalArray(const std::string &key, Length length);
 
-    /// Reports a fault at \a key, described by \a expected.
-    void fault(const std::string &key, std::string expected);
+    /// Reports a fault at \a key.
+    void fault(const std::string &key, std::string description);
 
     /// Reports every key that was never requested, and suggests the nearest known key.
     void rejectUnknown();
--- a/src/logging/boundedlog.h
+++ b/src/logging/boundedlog.h
@@ -23,8 +23,10 @@
 class BoundedLog
 {
 public:
+    /// Writes to \a descriptor, which it switches to non-blocking mode and never closes.
     BoundedLog(int descriptor, LogLevel level, std::string instance, const BoundedLogLimits &limits = {});
 
+    /// Sets the lowest level that is written; lines below it are discarded without being counted.
     void setLevel(LogLevel level) noexcept
     {
         level_ = level;
@@ -33,7 +35,7 @@
     /// Buffers one line, or drops it; \a now is used for the rate only, the line has the wall clock time.
     void write(LogLevel level, std::string_view event, const std::vector<LogField> &fields, TimePoint now);
 
-    /// Writes as much of the buffer as the descriptor accepts without blocking.
+    /// Writes as much of the buffer as the descriptor accepts without blocking; keeps the rest.
     void flush();
 
     /// The number of lines dropped so far.
--- a/src/trace/replay.cpp
+++ b/src/trace/replay.cpp
@@ -39,7 +39,7 @@
     return std::nullopt;
 }
 
-Error at(Error error, std::size_t line)
+Error withLine(Error error, std::size_t line)
 {
     error.position = SourcePosition{"trace", static_cast<std::uint32_t>(line), {}};
     return error;
@@ -54,18 +54,18 @@
     std::getline(lines, text);
     const auto start = readStart(text);
     if (!start) {
-        return at(start.error(), line);
+        return withLine(start.error(), line);
     }
     GroupMonitor monitor{start->members, start->rank, start->policy, start->seed, start->now};
     ReplayReport report;
     while (std::getline(lines, text)) {
         ++line;
         if (text.size() > maxLineBytes) {
-            return at(Error{ErrorKind::TooLarge, "the line is too long"}, line);
+            return withLine(Error{ErrorKind::TooLarge, "the line is longer than 1 MiB"}, line);
         }
         const auto step = readStep(text);
         if (!step) {
-            return at(step.error(), line);
+            return withLine(step.error(), line);
         }
         ++report.steps;
         report.difference = replayStep(monitor, *step, line);
--- a/src/trace/replay.h
+++ b/src/trace/replay.h
@@ -41,7 +41,7 @@
 enum class ReplayExit : int {
     Same = 0,
     Different = 1,
-    Unreadable = 2,
+    Unreadable = 2, ///< The trace is malformed or of another format version.
 };
 
 /// Replays the trace in \a lines and writes the result as text: the subcommand `replay`.
--- a/standins/member.h
+++ b/standins/member.h
@@ -56,12 +56,17 @@
     void addState(nlohmann::json &state);
     void recordWork();
 
+    /// Returns the report; requires that mutex_ is held.
     [[nodiscard]] nlohmann::json reportLocked() const;
+    /// Returns whether the report differs from the one that \a request states as known; requires that mutex_ is held.
     [[nodiscard]] bool differsLocked(const http::Request &request) const;
 
     void replicate();
     void follow(const Primary &primary, const Term &term);
     [[nodiscard]] bool follows(const Primary &primary, const Term &term) const;
+    /// Pulls once from \a primary and applies the entries.
+    ///
+    /// \a cursor is the index up to which the log is assumed to match the primary's; a mismatch moves it back.
     void pullOnce(http::Connection &connection, const Primary &primary, const Term &term, std::uint64_t &cursor);
     void applyEntries(const nlohmann::json &reply, const Term &term, std::uint64_t &cursor);
     [[nodiscard]] bool waitUntilDue(std::int64_t dueAt, const Term &term);
@@ -78,7 +83,7 @@
     std::set<ConnectionNumber> openConnections_;
     std::uint64_t refusedOpens_ = 0;
     std::uint64_t workWhileLeaving_ = 0;
-    /// Microseconds of the steady clock: start of the leaving fault, and latest new work while it was in force; 0 for never.
+    /// Start of the leaving fault, and arrival of the latest new work during it, in microseconds of the steady clock; 0 for never.
     std::int64_t leavingSince_ = 0;
     std::int64_t lastWorkWhileLeaving_ = 0;
 };
--- a/standins/memberstate.cpp
+++ b/standins/memberstate.cpp
@@ -299,7 +299,7 @@
     std::string text;
     while (std::getline(file, text)) {
         const auto line = Json::parse(text, nullptr, false);
-        if (line.is_discarded()) {
+        if (line.is_discarded()) { // incomplete, as after a kill during the write
             return;
         }
         if (line.contains("adopted")) {
--- a/standins/memberstate.h
+++ b/standins/memberstate.h
@@ -87,7 +87,8 @@
 
     /// Adopts \a term, or returns false if a higher one was adopted. A newly adopted term ends the leadership.
     [[nodiscard]] bool adopt(const Term &term);
-    /// Becomes primary at \a term and appends its start entry; returns false if \a term is not the adopted one or no term was adopted.
+    /// Becomes primary at \a term and appends its start entry; returns false if \a term is not the adopted one or no
+    /// term was adopted. \a now, here and below, is Entry::writtenAt of the entry.
     [[nodiscard]] bool lead(const Term &term, std::int64_t now);
     /// Follows \a primary at \a term, adopting the term if it is higher. Returns false for a lower term, for this member
     /// itself, or if it is primary at \a term.
--- a/standins/server.cpp
+++ b/standins/server.cpp
@@ -316,7 +316,7 @@
             handlers_.addState(state);
             return jsonReply(ok, state);
         }
-        return handlers_.control ? handlers_.control(request) : jsonReply(notFound, {{"error", "no such control"}});
+        return handlers_.control ? handlers_.control(request) : jsonReply(notFound, {{"error", "no such control path"}});
     } catch (const Json::exception &jsonError) {
         return jsonReply(badRequest, {{"error", jsonError.what()}});
     }
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -107,7 +107,7 @@
         compactedUpTo_ = revision_;
         return jsonReply(ok, Json::object());
     }
-    return jsonReply(notFound, {{"error", "no such control"}});
+    return jsonReply(notFound, {{"error", "no such control path"}});
 }
 
 bool Store::admit(bool isWrite)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -202,7 +202,7 @@
 
 
 async def replicas_lag(world):
-    """Makes replicas lag and one receive nothing; a member, mostly the primary, may crash meanwhile."""
+    """Makes all replicas of a group lag and one of them receive nothing; a member, mostly the primary, may crash meanwhile."""
     group, for_s = world.group(), world.random.uniform(1.0, 6.0)
     world.record_disturbance(for_s)
     replicas = [member for member in group.running() if member.role == "replica"]
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -114,7 +114,10 @@
             proxy.disturbed_until = max(proxy.disturbed_until, until)
 
     def stopping_undisturbed(self, proxy, since):
-        """Returns true when the proxy has time left for a planned stop and no fault was active from SETTLE_S before `since`."""
+        """Returns true while a graceful stop of the proxy has time left, if all faults ended more than SETTLE_S before `since`.
+
+        The last sixth of STOP_GRACE_S is not counted as time left.
+        """
         now = self.clock()
         last_disturbance = max([self.disturbed_until] + [each.disturbed_until for each in self.proxies])
         undisturbed = last_disturbance + SETTLE_S < since
--- a/tests/soak/guaranteechecker.py
+++ b/tests/soak/guaranteechecker.py
@@ -23,6 +23,7 @@
         self.transaction = transaction
         self.values = values
         self.prepared = prepared
+        # The session's last acknowledged commit, which the read must see; None if the route doesn't guarantee that.
         self.own_commit = own_commit
         self.runs = []
         self.result = None
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -145,6 +145,7 @@
     async def _run_faults(self, fleet, groups, store, promotions, operator):
         options = self.options
         until = WARM_UP_S + options.seconds
+        # Callers work until RECOVERY_S after this time. The value is provisional until all faults have ended.
         self.faults_ended_at = until + 60.0
         routes = [Route(*route) for route in operator.routes()]
         callers = [
--- a/tests/system/checker.py
+++ b/tests/system/checker.py
@@ -178,22 +178,22 @@
         if event.kind != "read":
             requests[event.request_id].append(event)
     violations = []
-    for own in requests.values():
-        if {event.ran for event in own} != {"no"} and not is_closed(own):
+    for events_of_id in requests.values():
+        if {event.ran for event in events_of_id} != {"no"} and not is_closed(events_of_id):
             continue
-        for key, item in {effect for event in own for effect in event.effects}:
+        for key, item in {effect for event in events_of_id for effect in event.effects}:
             if item in final.get(key, []):
-                text = f"{item} was reported as not run {describe_source(own[-1])}, but is in {key} at the end"
+                text = f"{item} was reported as not run {describe_source(events_of_id[-1])}, but is in {key} at the end"
                 violations.append(Violation(FALSE_NOT_RUN, text))
     return violations
 
 
-def is_closed(own):
-    """Returns true when an outcome query was answered "no" and no request with the same id ended after it began."""
-    last_query = max((event.start for event in own if event.kind == "outcome" and event.ran == "no"), default=None)
+def is_closed(events_of_id):
+    """Returns true when an outcome query was answered "no" and all requests with the id had ended before that query began."""
+    last_query = max((event.start for event in events_of_id if event.kind == "outcome" and event.ran == "no"), default=None)
     if last_query is None:
         return False
-    return not any(event.kind != "outcome" and event.end > last_query for event in own)
+    return not any(event.kind != "outcome" and event.end > last_query for event in events_of_id)
 
 
 def vanished_reads(events, final):
--- a/tests/system/test_stops.py
+++ b/tests/system/test_stops.py
@@ -82,9 +82,9 @@
     return [event for event in workload.events if event.served_by == member.name and event.start >= since]
 
 
-def check_no_new_work(cluster, workload, member, ordered):
+def check_no_new_work(cluster, workload, member, ordered_at):
     """Checks that LEAVING_SECONDS after the order the member serves no new statements and none of its slots is in use."""
-    time.sleep(max(0.0, ordered + LEAVING_SECONDS - time.monotonic()))
+    time.sleep(max(0.0, ordered_at + LEAVING_SECONDS - time.monotonic()))
     since = time.monotonic()
     samples_in_use = 0
     while time.monotonic() < since + WATCHED_SECONDS:
@@ -137,10 +137,10 @@
         with Workload(cluster, SEED) as workload:
             time.sleep(1)
             caller, key, transaction = open_transaction(cluster, group)
-            ordered = time.monotonic()
+            ordered_at = time.monotonic()
             order(cluster, group, member)
             commit(caller, key, transaction)
-            check_no_new_work(cluster, workload, member, ordered)
+            check_no_new_work(cluster, workload, member, ordered_at)
             last_work_ms = member.state()["lastWorkAfterLeavingMs"]
         check_equal(failed_answers(workload), {}, "failed requests")
         check(last_work_ms <= 1000 * LEAVING_SECONDS, f"the last work arrived {last_work_ms} ms after the member reported that it leaves")
@@ -166,11 +166,11 @@
         with Workload(cluster, SEED) as workload:
             time.sleep(1)
             status, answer = put_plan(cluster, "stop-primary", group, member)
-            ordered = time.monotonic()
+            ordered_at = time.monotonic()
             check_equal(status, 200, f"the plan: {answer}")
             wait_until_done(cluster, "stop-primary")
             check(cluster.primary(group) is not member, f"{member.name} no longer leads")
-            check_no_new_work(cluster, workload, member, ordered)
+            check_no_new_work(cluster, workload, member, ordered_at)
         print(f"# longest write gap of {group}: {longest_write_gap_ms(workload, workload.keys[group]):.1f} ms", flush=True)
         check_equal(failed_answers(workload), {}, "failed requests")
         workload.verify()
