--- a/src/connections/pool.cpp
+++ b/src/connections/pool.cpp
@@ -34,20 +34,20 @@
         entry->since = now;
         return ReuseConnection{entry->key};
     }
-    const TimePoint openedAt = std::max(now, nextOpenAt_) + limits_.expectedOpenTime;
+    const TimePoint expectedOpenAt = std::max(now, nextOpenAt_) + limits_.expectedOpenTime;
     const bool mayOpen = open() < allowed_ && opening() < limits_.maxOpening && now >= nextOpenAt_;
-    if (mayOpen && openedAt < deadline) {
+    if (mayOpen && expectedOpenAt < deadline) {
         entries_.push_back(Entry{nextKey_, Phase::Opening, now});
         return OpenConnection{nextKey_++};
     }
     const bool mayBecomeAvailable = !entries_.empty();
-    if (now >= deadline || (!mayBecomeAvailable && openedAt >= deadline)) {
-        const auto wait = std::max(wholeMilliseconds(openedAt - now), limits_.expectedOpenTime);
+    if (now >= deadline || (!mayBecomeAvailable && expectedOpenAt >= deadline)) {
+        const auto wait = std::max(wholeMilliseconds(expectedOpenAt - now), limits_.expectedOpenTime);
         return NoConnection{
             Error{ErrorKind::EndpointUnreachable, "no connection to the member is available before the deadline"}.withRetryAfter(wait)};
     }
     if (allowed_ == 0) {
-        const Error error{ErrorKind::EndpointUnreachable, "this proxy has no quota of the member's connections"};
+        const Error error{ErrorKind::EndpointUnreachable, "this proxy's quota of the member's connections is zero"};
         return NoConnection{Error{error}.withRetryAfter(limits_.initialBackoff)};
     }
     const TimePoint retryAt = now < nextOpenAt_ ? nextOpenAt_ : now + limits_.expectedOpenTime;
--- a/src/connections/pool.h
+++ b/src/connections/pool.h
@@ -120,6 +120,7 @@
     struct Entry {
         ConnectionKey key = 0;
         Phase phase = Phase::Opening;
+        /// When the connection entered this phase.
         TimePoint since;
     };
 
--- a/src/groups/action.h
+++ b/src/groups/action.h
@@ -35,7 +35,8 @@
 /// Returns the name of \a reason in logs and status records, for example "primary-silent".
 [[nodiscard]] std::string_view toText(PromotionReason reason) noexcept;
 
-/// Request a report of \a member: at once when \a wait is zero, else after a change from the last one received, at most \a wait later.
+/// Request a report of \a member. It replies at once when \a wait is zero; otherwise when its state differs from the last report received,
+/// at the latest after \a wait.
 ///
 /// The reply's deadline is \a wait plus \a timeout. Exactly one of onReport() and onConnectionFailure() must follow.
 struct SendReport {
@@ -103,12 +104,12 @@
     PrimaryLost, ///< `member` is no longer primary.
     PromotionStarted, ///< An attempt at `term` started.
     PromotionAbandoned, ///< The attempt at `term` ended without a primary.
-    PrimaryConfirmed, ///< The start entry of `term` is replicated to a majority.
+    PrimaryConfirmed, ///< The start entry of `term` is replicated to a majority; see PrimaryInfo::confirmed.
     MemberRedirected, ///< `member` was ordered to follow the primary.
     SwitchoverStarted, ///< The switchover away from `member` started.
     SwitchoverAbandoned, ///< No replica caught up before the deadline; `member` remains primary.
     SwitchoverFinished, ///< Another member is primary.
-    LocalPause, ///< This process was paused; its members' silence does not count for that time.
+    LocalPause, ///< This process was paused; the members' silence during the pause does not count.
 };
 
 /// Returns the name of \a kind in the log and the audit trail, for example "primary-suspected".
@@ -133,7 +134,7 @@
 struct PrimaryInfo {
     MemberName member;
     Term term;
-    /// True once the start entry of the term is replicated to a majority.
+    /// True once the term's start entry, the first one that its primary appends, is replicated to a majority.
     bool confirmed = false;
     /// True while there is a reason to replace the primary, for example no contact with it or stalled replication.
     bool suspected = false;
--- a/src/groups/impl/membertracker.cpp
+++ b/src/groups/impl/membertracker.cpp
@@ -82,8 +82,8 @@
     reportReceivedAt_ = now;
 }
 
-// Replies to a report and to an order may overlap and arrive in either order. Then the state that a member can only reach
-// later wins. A reply to a request sent after the last state arrived is always newer.
+// Replies to a report request and to an order may overlap, so the older one may arrive last. Of two such states the newer one is the
+// one that the member can only reach after the other. A reply to a request sent after the last state arrived is always newer.
 bool MemberTracker::isNewer(const MemberReport &report, TimePoint sentAt) const noexcept
 {
     if (!report_ || sentAt >= reportReceivedAt_) {
--- a/src/groups/impl/membertracker.h
+++ b/src/groups/impl/membertracker.h
@@ -50,7 +50,7 @@
     [[nodiscard]] bool isDown() const noexcept;
     /// Time of the first of the counted refusals.
     [[nodiscard]] TimePoint refusedAt() const noexcept;
-    /// True when the time without contact has reached GroupPolicy::suspectAfter().
+    /// True when the time without contact has reached GroupPolicy::suspectAfter(\a primary).
     [[nodiscard]] bool silent(const GroupPolicy &policy, bool primary, TimePoint now) const noexcept;
 
     /// True when a report may be requested now.
@@ -95,7 +95,7 @@
     /// Term of the last accepted follow order; none after a failed exchange.
     std::optional<Term> followedTerm_;
 
-    /// Refusals since the last contact, at most 2 are counted.
+    /// Counted refusals since the last contact: at most 2, both within GroupPolicy::refusalWindow.
     unsigned refusals_ = 0;
     TimePoint refusedAt_;
 
--- a/src/groups/impl/promotion.h
+++ b/src/groups/impl/promotion.h
@@ -47,7 +47,7 @@
     void onAdopted(const MemberReport &report);
     [[nodiscard]] bool adoptedBy(const MemberName &member) const noexcept;
 
-    /// Chooses the candidate if a majority has adopted the term and \a complete is set: no further adoption is awaited.
+    /// Chooses the candidate if a majority has adopted the term and no further adoption is awaited (\a complete).
     void choose(bool complete);
     /// The member to lead at the term; empty until it is chosen.
     [[nodiscard]] const MemberName &candidate() const noexcept;
--- a/src/groups/monitor.h
+++ b/src/groups/monitor.h
@@ -128,7 +128,9 @@
     void clearPrimary();
     void confirmPrimary();
     void refreshReplication(TimePoint now);
+    /// Highest term that a majority has reached: each of its members has adopted this term or a higher one.
     [[nodiscard]] Term majorityAdopted() const;
+    /// End of the primary's log in its own last report or in a peer's observation, whichever is further.
     [[nodiscard]] LogPosition primaryLog() const;
 
     // Whether a promotion is needed, in monitortrigger.cpp
@@ -141,7 +143,9 @@
     [[nodiscard]] bool overruledByPeers(const Term &term, TimePoint since) const;
     [[nodiscard]] bool primaryStalled(TimePoint now) const;
     [[nodiscard]] bool needsTermRepair(TimePoint now) const;
+    /// How long replicas may now be behind the primary without progress: stallBound(), doubled by each promotion that did not help.
     [[nodiscard]] Microseconds replicationBound() const noexcept;
+    /// Delay that lets the owners of lower ranks act first, with random jitter; zero for rank 0.
     [[nodiscard]] Microseconds rankDelay();
     [[nodiscard]] std::size_t reachableMembers(const MemberName &without, TimePoint now) const;
     void queryPeers(TimePoint now);
--- a/src/groups/monitormaintenance.cpp
+++ b/src/groups/monitormaintenance.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-/// How long a member without an accepted follow order may be behind the primary without progress.
+/// How long a member without an accepted follow order may be behind the primary without progress before it gets the order.
 constexpr Milliseconds followDelay{50};
-/// The same for a member that accepted the order; repeating it may discard a transfer in progress.
+/// How long a member that accepted the order may be behind without progress before it gets the order again. Longer, because the
+/// repeated order may discard a transfer in progress.
 constexpr Milliseconds followRecheck{10'000};
 
 } // namespace
@@ -31,8 +32,8 @@
     }
 }
 
-// The report of a replica that adopted the term does not say whom it follows. So the order goes to one whose log does not
-// end at the term, or that is behind the primary without progress. Slow progress alone does not repeat the order.
+// The report of a replica that adopted the term does not say whom it follows. So a replica gets the follow order when its log does not
+// end at the term, or when it is behind the primary without progress. Slow progress alone does not repeat the order.
 bool GroupMonitor::mustFollow(const MemberTracker &tracker, TimePoint now) const
 {
     if (tracker.name() == primary_->member || !reachable(tracker, now)) {
--- a/src/groups/monitortrigger.cpp
+++ b/src/groups/monitortrigger.cpp
@@ -118,7 +118,7 @@
     return votes.alive >= dead;
 }
 
-// True when too many reachable replicas are behind the primary without progress: it accepts writes that no majority gets.
+// True when too many reachable replicas are behind the primary without progress: it accepts writes that reach no majority.
 bool GroupMonitor::primaryStalled(TimePoint now) const
 {
     const auto stalled = [&](const MemberTracker &tracker) {
--- a/src/groups/pacing.cpp
+++ b/src/groups/pacing.cpp
@@ -1,4 +1,4 @@
-// Computes the report interval that a node's byte budget allows.
+// Computes the report interval that a proxy's byte budget allows.
 #include "groups/pacing.h"
 
 #include <algorithm>
--- a/src/groups/pacing.h
+++ b/src/groups/pacing.h
@@ -1,4 +1,4 @@
-// Report intervals that keep a node within its budget for control traffic.
+// Report intervals that keep a proxy within its budget for control traffic.
 #pragma once
 
 #include "base/time.h"
@@ -7,7 +7,7 @@
 
 namespace cardamomstep {
 
-/// Limits of a node's report traffic.
+/// Limits of a proxy's report traffic.
 struct PacingBudget {
     /// Bytes per second for reports, both directions.
     std::uint64_t bytesPerSecond = 7'000;
@@ -23,7 +23,7 @@
     unsigned replicaFactor = 4;
 };
 
-/// The interval of one node's reports.
+/// The intervals of one proxy's report requests.
 struct Pacing {
     /// Interval of a primary's reports.
     Milliseconds heartbeatInterval{50};
--- a/src/groups/peerobservation.h
+++ b/src/groups/peerobservation.h
@@ -7,17 +7,17 @@
 
 namespace cardamomstep {
 
-/// Another owner's last observation of a primary.
+/// What one owner last observed of the group's primary.
 struct PeerObservation {
-    /// The primary that it observes; empty when there is none.
+    /// The primary as that owner knows it; empty when it knows none.
     MemberName primary;
     /// Term of that primary.
     Term term;
-    /// Highest term that it knows of.
+    /// Highest term that the owner knows of.
     Term highest;
     /// End of the primary's log in its last report to that owner.
     LogPosition log;
-    /// Time since its last contact with the primary.
+    /// Time since the owner's last contact with the primary.
     Milliseconds contactAge{0};
 
     [[nodiscard]] bool operator==(const PeerObservation &) const = default;
--- a/src/groups/quorumstate.h
+++ b/src/groups/quorumstate.h
@@ -56,6 +56,8 @@
         Positions furthest{};
     };
 
+    /// Raises the position kept for the entry's term and returns true; returns false if it is as high already or the term is too low to
+    /// keep.
     static bool advance(Positions &positions, const LogPosition &entryPosition) noexcept;
     [[nodiscard]] static std::uint64_t indexAt(const Positions &positions, const Term &term) noexcept;
     [[nodiscard]] std::uint64_t majorityIndex(const Term &term) const;
--- a/src/groups/readindexrounds.h
+++ b/src/groups/readindexrounds.h
@@ -52,7 +52,7 @@
     /// in the reply to a repeated write is neither and would make the read position too low.
     void onState(const MemberName &member, const Term &adopted, const LogPosition &log, TimePoint sentAt);
 
-    /// Returns the result of an ended round, each once.
+    /// Fails a round whose timeout has passed, then returns the oldest result that was not returned yet, if any.
     [[nodiscard]] std::optional<RoundResult> takeResult(TimePoint now);
 
     /// When takeResult() must be called next; none when no timeout is running.
--- a/src/members/httpconnection.cpp
+++ b/src/members/httpconnection.cpp
@@ -205,7 +205,7 @@
     if (result.response->status != statusOk) {
         impl_->requester.connection().close();
         const auto fault = result.response->status == statusTooMany ? ConnectionFault::NoConnection : ConnectionFault::Corrupt;
-        return ConnectionFailure{fault, true, "open failed with status " + std::to_string(result.response->status)};
+        return ConnectionFailure{fault, true, "opening the connection failed with HTTP status " + std::to_string(result.response->status)};
     }
     impl_->open = true;
     return Success{};
--- a/src/members/member.h
+++ b/src/members/member.h
@@ -86,6 +86,7 @@
 struct MemberReply {
     std::string exchange;
     std::optional<Refusal> refusal;
+    /// Explains the refusal, for error messages.
     std::string description;
     /// Rows as the text of a JSON array.
     std::string rows = "[]";
@@ -105,6 +106,7 @@
     bool found = false;
     /// Position of the entry that holds the effect, if found.
     LogPosition position;
+    /// The fingerprint in that entry, if found.
     std::uint64_t fingerprint = 0;
     std::string rows = "[]";
     std::uint64_t rowCount = 0;
--- a/src/membership/rendezvous.h
+++ b/src/membership/rendezvous.h
@@ -52,6 +52,8 @@
     rank(const GroupName &group, const std::vector<FailureDomain> &domains, const InstanceName &instance) const;
 
     /// Returns the up to \a count instances of \a domain with the highest scores for \a purpose, best first.
+    ///
+    /// \a purpose is hashed like a group's name, so that different purposes choose different instances.
     [[nodiscard]] std::vector<const LiveInstance *> best(std::string_view purpose, const FailureDomain &domain, std::size_t count) const;
 
     /// All instances, sorted by name.
@@ -72,6 +74,7 @@
         std::uint64_t score;
         std::size_t index;
     };
+    /// True when another instance of the same failure domain has a higher score for the group.
     [[nodiscard]] bool isOutscored(std::uint64_t groupHash, const LiveInstance &instance) const;
     [[nodiscard]] std::optional<Choice> choose(std::uint64_t groupHash, const std::vector<Candidate> &candidates) const;
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -235,7 +235,7 @@
         message.requestReceiverUpdate = !receiver->contacted;
         const auto state = receiver->update->state;
         if (state == ProxyState::Suspect || state == ProxyState::Dead) {
-            // Lets the receiver refute it.
+            // Lets the receiver refute that it is suspect or dead.
             message.updates.push_back(receiver->update);
         }
     }
@@ -342,7 +342,7 @@
         return;
     }
     if (update.state == ProxyState::Leaving) {
-        // Another proxy has read it in the platform's list first.
+        // The platform's list marks this proxy as leaving, and another proxy has read the list first.
         leave(now);
         return;
     }
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -104,6 +104,7 @@
     LiveInstance self;
     /// Initial incarnation: the start time in milliseconds since the epoch, so that a restarted process has a higher one.
     std::uint64_t incarnation = 1;
+    /// The schema forms that this proxy can read; those beyond maxSchemaForms are dropped.
     std::vector<SchemaForm> forms;
     /// Time between two pings.
     Milliseconds pingPeriod{1000};
@@ -168,7 +169,7 @@
         configuration_ = revision;
     }
 
-    /// Records that \a name has all of the configuration up to \a revision, as other messages show.
+    /// Records that \a name has all of the configuration up to \a revision; for revisions learned from messages outside this protocol.
     void recordConfiguration(const InstanceName &name, Revision revision);
 
     /// The proxies that may own groups: alive or suspect, not leaving. Rebuilt if generation() has increased since the last call.
@@ -201,7 +202,7 @@
         TimePoint sentAt;
         bool indirectPingsSent = false;
     };
-    /// Number of times that each rumor was sent, by the name of the proxy that it is about.
+    /// The rumors, that is, the updates still being disseminated: how often each was sent, by the name of the proxy that it is about.
     using Rumors = std::map<InstanceName, std::size_t>;
 
     [[nodiscard]] MembershipMessage messageTo(const KnownProxy *receiver);
@@ -248,6 +249,7 @@
     std::map<PingId, Probe> probes_;
     /// Names of the platform's last list, sorted.
     std::vector<InstanceName> listed_;
+    /// Failure domains of the platform's last list, sorted, each once.
     std::vector<FailureDomain> listedDomains_;
     std::shared_ptr<const InstanceSet> owners_ = std::make_shared<InstanceSet>();
     std::uint64_t generation_ = 1;
--- a/src/owner/groupowner.h
+++ b/src/owner/groupowner.h
@@ -22,6 +22,7 @@
     GroupName group;
     std::optional<PrimaryInfo> primary;
     std::vector<MemberReport> reports;
+    /// Requests that wait for a slot, and requests that have one, in both lanes together.
     std::uint32_t waiting = 0;
     std::uint32_t running = 0;
     std::uint32_t openConnections = 0;
@@ -39,7 +40,7 @@
     /// Stops monitoring and closes the connections. No run() may be in progress.
     ~GroupOwner();
 
-    /// Runs \a statement and returns its answer by \a deadline; blocks until then.
+    /// Runs \a statement and returns its answer, by \a deadline at the latest; blocks meanwhile.
     [[nodiscard]] Answer run(const Statement &statement, TimePoint deadline);
 
     /// Sets the current owners of the group and this proxy's rank among them; rank 0 acts first.
--- a/src/owner/impl/groupcore.h
+++ b/src/owner/impl/groupcore.h
@@ -168,9 +168,11 @@
     std::uint64_t nextExchange_ = 1;
     /// The start times of the rounds in flight.
     std::map<RoundNumber, TimePoint> roundStartedAt_;
+    /// The latest results, kept for threads that have yet to read them.
     std::map<RoundNumber, RoundResult> roundResults_;
 
     std::condition_variable tickerCondition_;
+    /// True when the ticker must run now, because its next due time may have changed.
     bool tickerDue_ = false;
     bool stopping_ = false;
     std::thread ticker_;
--- a/src/owner/impl/outcomeflow.cpp
+++ b/src/owner/impl/outcomeflow.cpp
@@ -104,6 +104,7 @@
     const WaitList::Entry primaryEntry(core_.primaryWaiters, waiter);
     for (;;) {
         const auto leader = core_.leader();
+        // The primary's term has its start entry on a majority, and with it every earlier entry of the primary's log.
         const bool inheritedDurably = leader.startReplicated && leader.term == reply.report.adopted && reply.position.term < leader.term;
         if (inheritedDurably || core_.acks.quorumState(reply.position) == QuorumState::Replicated) {
             break;
--- a/src/owner/impl/readflow.cpp
+++ b/src/owner/impl/readflow.cpp
@@ -46,7 +46,8 @@
             return *answer;
         }
         if (steadyNow() >= deadline_) {
-            return failedAnswer(Error{ErrorKind::NotFresh, "no member answered within the window"}.withRetryAfter(defaultRetryAfter));
+            return failedAnswer(
+                Error{ErrorKind::NotFresh, "no member replied with fresh data within the window"}.withRetryAfter(defaultRetryAfter));
         }
     }
 }
--- a/src/requests/admission.cpp
+++ b/src/requests/admission.cpp
@@ -274,9 +274,9 @@
         }
         start += mean / slots;
     };
-    for (const bool tier : {true, false}) {
+    for (const bool tierInCredit : {true, false}) {
         for (const auto &waiting : lane.waiting) {
-            if (inCredit(lane, waiting.share) == tier) {
+            if (inCredit(lane, waiting.share) == tierInCredit) {
                 schedule(waiting);
             }
         }
--- a/src/requests/admission.h
+++ b/src/requests/admission.h
@@ -145,10 +145,16 @@
     void charge(LaneState &lane, std::size_t share, Microseconds used) const;
     void expire(LaneState &lane, TimePoint now, Actions &actions) const;
     void dispatch(LaneState &lane, TimePoint now, Actions &actions) const;
+    /// If the queue is full, refuses its last request out of credit in favor of \a candidate; returns false if \a candidate cannot be
+    /// added.
     [[nodiscard]] bool evictFor(LaneState &lane, const Waiting &candidate, TimePoint now, Actions &actions) const;
+    /// Number of waiting requests of services in credit, which go first.
     [[nodiscard]] std::size_t preferredWaiting(const LaneState &lane) const noexcept;
     [[nodiscard]] std::size_t nextToAdmit(const LaneState &lane) const noexcept;
+    /// True when \a candidate is expected to finish in time and no waiting request would miss its deadline because of it. Requests out of
+    /// credit do not count when \a candidate is in credit.
     [[nodiscard]] bool fits(const LaneState &lane, const Waiting &candidate, TimePoint now) const;
+    /// Slot time that the running requests are expected to need still, over all slots together.
     [[nodiscard]] Microseconds backlog(const LaneState &lane, TimePoint now) const noexcept;
     [[nodiscard]] Refused refuse(const LaneState &lane, std::uint64_t ticket, TimePoint now) const;
 
--- a/src/requests/attempt.cpp
+++ b/src/requests/attempt.cpp
@@ -321,7 +321,7 @@
         return "replication to a quorum was not confirmed for log position " + toText(waiting->position);
     }
     if (const auto *query = std::get_if<QueryOutcome>(&step_)) {
-        return "the primary of term " + toText(query->term) + " did not report it";
+        return "the primary of term " + toText(query->term) + " did not report the outcome";
     }
     return inFlight() ? "the primary did not reply" : "there was no primary to query";
 }
--- a/src/requests/attempt.h
+++ b/src/requests/attempt.h
@@ -20,7 +20,7 @@
 struct LeaderInfo {
     /// Term of the primary; number 0 when there is none.
     Term term;
-    /// True once a majority of members has the start entry of this term in its log.
+    /// True once the term's start entry, the first one that its primary appends, is in the logs of a majority of members.
     bool startReplicated = false;
 
     [[nodiscard]] bool operator==(const LeaderInfo &) const = default;
--- a/src/requests/transactions.cpp
+++ b/src/requests/transactions.cpp
@@ -46,7 +46,7 @@
 Result<OpenTransaction> TransactionRegistry::open(OpenTransaction transaction, TimePoint now)
 {
     if (!hasCapacity()) {
-        return Error{ErrorKind::Overloaded, "too many open transactions"}.withRetryAfter(retryAfterOverloaded);
+        return Error{ErrorKind::Overloaded, "this proxy has too many open transactions"}.withRetryAfter(retryAfterOverloaded);
     }
     if (byConnection_.count(transaction.connection) != 0) {
         return Error{ErrorKind::Internal, "the connection belongs to another transaction"};
--- a/src/sessions/readrouter.h
+++ b/src/sessions/readrouter.h
@@ -198,7 +198,7 @@
         /// The last log position known of this member, and when it was observed.
         LogPosition position;
         TimePoint positionObservedAt;
-        /// The time by which this member reaches a log position later than the primary.
+        /// How long after the primary this member reaches a log position.
         SmoothedTime lag;
         Microseconds roundTrip{1000};
         std::uint32_t inFlight = 0;
@@ -219,7 +219,9 @@
     [[nodiscard]] std::optional<TimePoint> waitForReplica(ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] GiveUpRead giveUp(const ReadPlan &plan, TimePoint now) const;
     [[nodiscard]] bool usable(std::size_t index, const ReadPlan &plan, TimePoint now) const noexcept;
+    /// Returns when \a member is expected to have reached \a wanted.
     [[nodiscard]] TimePoint expectedAt(const Member &member, const LogPosition &wanted, TimePoint now) const noexcept;
+    /// Returns the expected time of a read at \a member: one round trip and the wait for a slot.
     [[nodiscard]] Microseconds costOf(const Member &member) const noexcept;
     void recordPosition(Member &member, const LogPosition &position, TimePoint now);
     void recordPrimaryPosition(const LogPosition &position, TimePoint now);
--- a/src/sessions/token.cpp
+++ b/src/sessions/token.cpp
@@ -132,7 +132,7 @@
         return Success{};
     }
     if (entries_.size() == maxGroups) {
-        return Error{ErrorKind::TooLarge, "the session token already names " + std::to_string(maxGroups) + " groups"};
+        return Error{ErrorKind::TooLarge, "the session token already names the maximum of " + std::to_string(maxGroups) + " groups"};
     }
     if (group.empty() || impl::percentEncoded(group.text()).size() > maxGroupBytes) {
         return Error{ErrorKind::TooLarge, "the group's name is empty or too long for a session token"};
--- a/tests/connections/test_connections.cpp
+++ b/tests/connections/test_connections.cpp
@@ -77,7 +77,7 @@
 
 namespace {
 
-// Proxies that learn of ownership changes, and close their excess connections, with delays; in virtual time.
+// Proxies that learn of ownership changes, and close their excess connections, with delays; in virtual time, in milliseconds.
 struct Fleet {
     static constexpr std::uint32_t limit = 16;
     static constexpr std::size_t count = 5;
--- a/tests/groups/cluster.h
+++ b/tests/groups/cluster.h
@@ -50,10 +50,15 @@
     int following = -1;
     /// Additional delay of each pull.
     Microseconds lag{0};
+    /// Counts the ends of the process; a reply to a request from before the last one is dropped.
     unsigned generation = 0;
+    /// Number of the current series of pulls; pulls with another number have no effect.
     unsigned pulls = 0;
+    /// Work that runs once the frozen member wakes.
     std::vector<std::function<void()>> backlog;
+    /// Called once, at the next change of the member's state.
     std::vector<std::function<void()>> watchers;
+    /// Called when the process ends while its host stays up: the open connections are closed.
     std::vector<std::function<void()>> closeHandlers;
 
     [[nodiscard]] LogPosition position() const
@@ -84,7 +89,9 @@
     std::unique_ptr<AckTracker> tracker;
     std::vector<PendingWrite> pending;
     std::map<int, MemberReport> lastReports;
+    /// Members whose connection is closed; the next call to them opens one.
     std::set<int> closedConnections;
+    /// Number of the scheduled tick; earlier ones have no effect.
     std::uint64_t tickNumber = 0;
     /// Writes are paused until then.
     TimePoint writesPausedUntil;
@@ -123,13 +130,16 @@
     /// Ends the leaving of all members.
     void clearLeaving();
     void requestSwitchover(const MemberName &member);
+    /// Appends \a count entries of \a term to the member's log.
     void append(int member, const Term &term, std::uint64_t count);
 
     /// Index of the first live proxy's primary; -1 for none.
     [[nodiscard]] int primary() const;
     [[nodiscard]] Term term() const;
     [[nodiscard]] std::size_t count(AuditEventKind kind) const;
+    /// Number of terms at which a member became primary.
     [[nodiscard]] std::size_t promotions() const;
+    /// Number of acknowledged writes that were appended at \a since or later and at \a term.
     [[nodiscard]] std::size_t ackedSince(TimePoint since, const Term &term) const;
     /// Returns an empty text or the first problem found: a safety violation, no primary, a lost acknowledged write, or an acknowledged
     /// write that was appended by a superseded primary.
@@ -142,7 +152,7 @@
     /// Called before each action; false discards the action, for example because the proxy was killed.
     std::function<bool(int proxy, const GroupAction &)> beforeAction;
     TimePoint now{Microseconds{1'000'000}};
-    /// When a majority first had adopted the term or a higher one.
+    /// For each term, when a majority first had adopted it or a higher one.
     std::map<Term, TimePoint> majorityAdoptedAt;
     std::set<Term> ledTerms;
     std::string safetyViolation;
@@ -162,6 +172,7 @@
     bool isDelivered(int from, int to);
     Microseconds delay();
     void send(int from, int to, std::function<void()> action);
+    /// Number of a member in the simulated network, where the proxies come first.
     [[nodiscard]] int node(int member) const;
     void runWhenAwake(int member, std::function<void()> action);
     void onChanged(int member);
--- a/tests/membership/test_view.cpp
+++ b/tests/membership/test_view.cpp
@@ -98,6 +98,7 @@
     std::vector<bool> up;
     /// The side of a partition that each proxy is on; messages between different sides are lost.
     std::vector<int> side;
+    /// Bytes sent and received by each proxy.
     std::vector<std::uint64_t> bytes;
     std::uint64_t messages = 0;
     TimePoint now{};
@@ -135,19 +136,19 @@
         return std::stoul(instance.name.text().substr(6));
     }
 
-    void count(std::size_t from, std::size_t to, std::size_t updates)
+    void addTraffic(std::size_t from, std::size_t to, std::size_t updates)
     {
-        constexpr std::size_t framing = 150;
+        constexpr std::size_t framingBytes = 150;
         constexpr std::size_t updateBytes = 60;
-        bytes[from] += framing + updates * updateBytes;
-        bytes[to] += framing + updates * updateBytes;
+        bytes[from] += framingBytes + updates * updateBytes;
+        bytes[to] += framingBytes + updates * updateBytes;
         ++messages;
     }
 
     /// Sends a message from one proxy to another and calls \a onArrival when it arrives.
     void transmit(std::size_t from, std::size_t to, std::size_t updates, std::function<void()> onArrival)
     {
-        count(from, to, updates);
+        addTraffic(from, to, updates);
         const auto delay = Microseconds{3500 + random_.below(1000)};
         if (side[from] == side[to] && lost.count({from, to}) == 0) {
             at(now + delay, [this, to, onArrival = std::move(onArrival)] {
--- a/tests/requests/test_admission.cpp
+++ b/tests/requests/test_admission.cpp
@@ -202,12 +202,13 @@
 
 namespace {
 
+// Times of streams and loads are in microseconds.
 struct Stream {
     std::string service;
     /// Requests per second.
     double rate = 0;
     std::int64_t window = 100'000;
-    /// Microseconds; the stream sends only in every second interval of this length, or always when it is 0.
+    /// The stream sends only in every second interval of this length, or always when it is 0.
     std::int64_t burstInterval = 0;
 };
 
--- a/tests/sessions/readtrace.h
+++ b/tests/sessions/readtrace.h
@@ -34,20 +34,26 @@
     double readsPerSecond = 400;
     /// One-way delays from the proxy in microseconds: the primary, then the replicas.
     std::array<std::int64_t, memberCount> delays{3500, 250, 3500};
+    /// Duration of the trace in microseconds.
     std::int64_t length = 30'000'000;
     std::uint64_t seed = 1;
 };
 
 struct Read {
+    /// Microseconds since the trace's start.
     std::int64_t arrived = 0;
+    /// The accepted age of the data; a current read has none.
     std::optional<Milliseconds> age;
+    /// Log position in the session token; 0 when there is none.
     std::uint64_t token = 0;
 };
 
 /// All times are in microseconds; the entry at log position P has index P - 1.
 struct Trace {
     Setup setup;
+    /// When each member had each entry; `never` for those that it does not get.
     std::array<std::vector<std::int64_t>, memberCount> reached;
+    /// When each entry was acknowledged.
     std::vector<std::int64_t> acknowledged;
     std::vector<Read> reads;
 
--- a/tests/sessions/test_readrouter.cpp
+++ b/tests/sessions/test_readrouter.cpp
@@ -203,11 +203,11 @@
     cr_assert(is<CollectReports>(router.route(plan, at(1000))));
     router.confirm(at(1500), positionOf(10));
     cr_assert(giveUpKind(router.route(plan, at(8000))) == ErrorKind::TokenAhead);
-    ReadPlan roamed{requirementsAt(9000, Milliseconds{60'000}, positionOf(12))};
-    cr_assert(is<CollectReports>(router.route(roamed, at(9000))));
+    ReadPlan fromOtherProxy{requirementsAt(9000, Milliseconds{60'000}, positionOf(12))};
+    cr_assert(is<CollectReports>(router.route(fromOtherProxy, at(9000))));
     router.confirm(at(9500), positionOf(12));
     router.report(reportOf(1, 12), at(9900));
-    cr_assert(chosenMember(router.route(roamed, at(10'000))) == 1);
+    cr_assert(chosenMember(router.route(fromOtherProxy, at(10'000))) == 1);
 }
 
 Test(sessions, readsWithoutAPrimaryUseFreshReplicas)
@@ -306,6 +306,7 @@
     std::uint64_t staleAnswers = 0;
     std::uint64_t discarded = 0;
     std::uint64_t rounds = 0;
+    /// Sum over all answers of the time from arrival to answer, in microseconds.
     std::int64_t delay = 0;
 
     [[nodiscard]] double replicaPercent() const
@@ -318,10 +319,11 @@
     Router,
     /// The router, with the primary's position as the bound of each round.
     PrimaryBound,
+    /// A baseline: a replica serves a read only while the primary's log has not advanced for `minIdleTime` and the replica has all of it.
     OnlyWhenIdle,
 };
 
-// Simulates a trace against the router; reports, rounds and exchanges take their network delays.
+// Simulates a trace against the router; reports, rounds and exchanges take their network delays. All times are in microseconds.
 class TraceSimulation
 {
 public:
